--- a/src/core/age.rs
+++ b/src/core/age.rs
@@ -1,4 +1,4 @@
-//! How old a replica's data can be at most, proven and never estimated.
+//! Upper bounds on the age of a replica's data. A bound is always proven, never estimated.
 
 use crate::clock::{Span, Time};
 use crate::core::lineage::Lineage;
@@ -8,20 +8,22 @@
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// Reports whose sending time is remembered: a steward names its latest, and more than a few
-/// are never under way.
-const REPORTS_KEPT: usize = 8;
+/// Maximum number of reports whose sending time is kept. A steward refers to the latest report that
+/// it received, and no more than a few are in flight.
+const MAX_REPORTS: usize = 8;
 
-/// Proofs kept for a replica that has yet to catch up with them. When they are too many, every
-/// second one of the older half goes, so that a replica far behind still meets one.
-const PROOFS_KEPT: usize = 64;
+/// Maximum number of proofs kept for a replica that has not caught up with them. When there are
+/// more, every second proof of the older half is dropped, so that a replica far behind still
+/// reaches one.
+const MAX_PROOFS: usize = 64;
 
-/// Proofs of a replica's age: that the primary's log was no further than a position at a time.
+/// Proofs of a replica's age: each proves that the primary's log had not passed a position at a
+/// time.
 ///
-/// Failure: a replica that is cut off from its primary still answers at once. Symptom: a phone
-/// is shown data older than it accepts. Enough, because only a primary that was asked proves
-/// anything, the time counted is from before it was asked, and a replica that has not applied
-/// what the primary had then gets no younger by answering.
+/// A replica that is cut off from its primary still answers at once, and a client would read data
+/// older than it accepts. A proof therefore comes only from an answer of the primary and counts
+/// from a time before the primary was asked, so a replica that has not applied the primary's
+/// position gets no younger by answering.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Proofs {
     reports: VecDeque<(RequestId, Time)>,
@@ -35,15 +37,16 @@
 }
 
 impl Proofs {
-    /// A report was sent to the steward at `now`.
+    /// Records that a report was sent to the steward at `now`.
     pub fn reported(&mut self, round: RequestId, now: Time) {
-        if self.reports.len() == REPORTS_KEPT {
+        if self.reports.len() == MAX_REPORTS {
             self.reports.pop_front();
         }
         self.reports.push_back((round, now));
     }
 
-    /// The steward told how far the primary's log was.
+    /// Adds a proof from the primary's log position that the steward sent. Ignores it if the report
+    /// that it refers to is not known, or if it is no newer than the last proof.
     pub fn learn(&mut self, fresh: &Fresh) {
         let Some((_, sent)) = self.reports.iter().find(|(round, _)| *round == fresh.round) else {
             return;
@@ -52,20 +55,20 @@
         if self.proofs.back().is_some_and(|last| last.at >= at) {
             return;
         }
-        if self.proofs.len() == PROOFS_KEPT {
+        if self.proofs.len() == MAX_PROOFS {
             self.thin();
         }
         let position = fresh.position;
         self.proofs.push_back(Proof { position, at });
     }
 
-    /// Another term leads: what its predecessor proved counts no more.
+    /// Drops all reports and proofs: those of an earlier term are not valid in a new one.
     pub fn clear(&mut self) {
         self.reports.clear();
         self.proofs.clear();
     }
 
-    /// The most that the data of a log applied up to `applied` can be behind the primary;
+    /// The longest time by which data of a log applied up to `applied` can be behind the primary;
     /// `None` if nothing is proven.
     pub fn age(&self, now: Time, lineage: &Lineage, applied: Position) -> Option<Span> {
         let covered = |proof: &&Proof| {
@@ -76,7 +79,7 @@
     }
 
     fn thin(&mut self) {
-        let half = PROOFS_KEPT / 2;
+        let half = MAX_PROOFS / 2;
         let mut index = 0;
         self.proofs.retain(|_| {
             index += 1;
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -1,49 +1,50 @@
-//! What a proxy has done since it started, as plain numbers for metrics.
+//! Event counts of a proxy, for its metrics.
 
 use crate::core::request::{Cause, Outcome, Unknown};
 use serde::Serialize;
 
-/// Counts since the process started. Every one only rises, but for the gap last measured.
+/// Counts since the process started. All of them only increase, except `failover_gap_micros`, which
+/// holds the last measured value.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Counters {
-    /// Reads answered by a replica, at the entry.
+    /// Reads answered by a replica, counted at the entry.
     pub reads_by_replica: u64,
-    /// Reads answered by a primary, at the entry.
+    /// Reads answered by a primary, counted at the entry.
     pub reads_by_primary: u64,
-    /// Writes and transaction statements answered, at the entry.
+    /// Writes and transaction statements answered, counted at the entry.
     pub writes: u64,
     /// Requests that were not run, by cause.
     pub not_run: NotRunCounters,
     /// Requests whose outcome is unknown, by cause.
     pub unknown: UnknownCounters,
-    /// Second and later tries of a request.
+    /// Second and later attempts of a request.
     pub retries: u64,
-    /// Answers dropped because nothing waits for them any more.
+    /// Answers dropped because no request waits for them any more.
     pub dropped_answers: u64,
-    /// Promotions that this proxy brought to an end.
+    /// Promotions that this proxy completed.
     pub promotions: u64,
-    /// Promotions that were given up for a higher term or for want of a majority.
+    /// Promotions abandoned because of a higher term or a missing majority.
     pub promotions_abandoned: u64,
-    /// The last failover gap in microseconds: from the last confirmed service that was heard of
+    /// The last failover gap in microseconds: from the last confirmed service known to this proxy
     /// to the opening of the next term.
     pub failover_gap_micros: u64,
-    /// Probes of databases sent as a steward.
+    /// Probes that this proxy sent to databases as a steward.
     pub probes: u64,
     /// Leases granted on sessions' floors.
     pub grants: u64,
-    /// Questions for a floor that got no lease.
+    /// Requests for a floor that were answered without a lease.
     pub grants_refused: u64,
-    /// Leases taken back because the session wrote elsewhere.
+    /// Leases revoked because the session wrote through another proxy.
     pub revokes: u64,
-    /// Connections closed because they fell silent.
+    /// Connections closed because the database stopped answering on them.
     pub silent_connections: u64,
-    /// Transactions rolled back because their caller, entry or time was gone.
+    /// Transactions rolled back because their caller or entry was gone or their time had run out.
     pub rollbacks: u64,
     /// Control messages sent to other proxies.
     pub control_messages: u64,
-    /// Their encoded size in bytes, without the transport's framing.
+    /// The encoded size of those messages in bytes, without the transport's framing.
     pub control_bytes: u64,
-    /// Messages of peers that made no sense and were dropped.
+    /// Invalid messages from peers, callers and databases that were dropped.
     pub nonsense: u64,
 }
 
@@ -86,18 +87,18 @@
 }
 
 impl Counters {
-    /// Counts what a caller was told, unless it is an answer.
+    /// Counts the outcome sent to a caller by its cause. Answers are not counted here.
     pub(crate) fn told(&mut self, outcome: &Outcome) {
         match outcome {
             Outcome::Done(_) => {}
-            Outcome::NotRun(not_run) => *self.not_run.of(not_run.cause) += 1,
-            Outcome::Unknown(unknown) => *self.unknown.of(*unknown) += 1,
+            Outcome::NotRun(not_run) => *self.not_run.counter_mut(not_run.cause) += 1,
+            Outcome::Unknown(unknown) => *self.unknown.counter_mut(*unknown) += 1,
         }
     }
 }
 
 impl NotRunCounters {
-    fn of(&mut self, cause: Cause) -> &mut u64 {
+    fn counter_mut(&mut self, cause: Cause) -> &mut u64 {
         match cause {
             Cause::Busy => &mut self.busy,
             Cause::NoPrimary => &mut self.no_primary,
@@ -113,7 +114,7 @@
 }
 
 impl UnknownCounters {
-    fn of(&mut self, cause: Unknown) -> &mut u64 {
+    fn counter_mut(&mut self, cause: Unknown) -> &mut u64 {
         match cause {
             Unknown::Broken => &mut self.broken,
             Unknown::Unconfirmed => &mut self.unconfirmed,
--- a/src/core/entry.rs
+++ b/src/core/entry.rs
@@ -1,4 +1,5 @@
-//! The entry: what callers ask of this proxy, and where it is sent.
+//! The entry: the part of a proxy that accepts callers' requests and routes them to the holders of
+//! databases.
 
 mod answer;
 mod dispatch;
@@ -18,38 +19,39 @@
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// How long after a request's deadline its holder's answer is still waited for: the holder ends
-/// what has not started at the same deadline and says so, which takes a round trip between
-/// regions (20 ms) and its tick to arrive. Without it, that work would be told "outcome unknown".
+/// How long the entry waits for a holder's answer after a request's deadline. At the same deadline
+/// the holder ends work that has not started and reports it; the report takes a round trip between
+/// regions (20 ms) and the holder's tick to arrive. Without the grace period such work would get
+/// "outcome unknown".
 const ANSWER_GRACE: Span = Span::from_millis(100);
 
-/// Leases on sessions' floors that an entry remembers, about 200 bytes each. A forgotten one
-/// is asked for again.
-const LEASES_KEPT: usize = 16_384;
+/// Maximum number of leases on sessions' floors kept at one entry, about 200 bytes each. An evicted
+/// lease is requested again.
+const MAX_LEASES: usize = 16_384;
 
-/// The callers of one proxy and what they have under way.
+/// The callers of one proxy and their requests in flight.
 #[derive(Debug)]
 pub(crate) struct Entry {
     links: HashMap<Link, Caller>,
     sent: HashMap<RequestId, Sent>,
     groups: HashMap<GroupId, View>,
     leases: Recent<(GroupId, SessionId), Lease>,
-    asks: HashMap<RequestId, Asking>,
+    asks: HashMap<RequestId, LeaseRequest>,
     budget: Budget,
 }
 
 /// One caller's connection.
 #[derive(Debug, Default)]
 struct Caller {
-    /// The floors of a connection that is a session of its own.
+    /// The floors by group, if the connection is a session of its own.
     floors: Vec<(GroupId, Position)>,
-    transaction: Option<Bound>,
-    under_way: bool,
+    transaction: Option<Location>,
+    in_flight: bool,
 }
 
-/// Where a connection's transaction runs.
+/// The VM and database on which a connection's transaction runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-struct Bound {
+struct Location {
     vm: VmId,
     database: DatabaseId,
 }
@@ -58,36 +60,36 @@
 #[derive(Debug)]
 struct Pending {
     request: Request,
-    /// The databases that are yet to be tried for a read, worst first.
-    left: Option<Vec<DatabaseId>>,
-    /// The floor under which it is sent.
+    /// The databases not tried yet for a read, worst first.
+    untried: Option<Vec<DatabaseId>>,
+    /// The floor sent with the request.
     floor: Option<Position>,
     tries: u32,
-    /// An earlier try may have been run.
-    doubt: Option<Unknown>,
+    /// Set if an earlier attempt may have run.
+    earlier_unknown: Option<Unknown>,
 }
 
-/// A request at a holder.
+/// A request that was sent to a holder.
 #[derive(Debug)]
 struct Sent {
     pending: Pending,
     vm: VmId,
     database: DatabaseId,
     at: Time,
-    /// It runs on the primary, by way of the steward.
+    /// Whether it was sent to the primary through the group's steward.
     primary: bool,
 }
 
-/// A lease that an entry has on a session's floor.
+/// A lease on a session's floor. While it is valid, the floor is the session's highest one.
 #[derive(Debug, Clone)]
 struct Lease {
     floor: Position,
     until: Time,
 }
 
-/// A question to a steward for a session's floor.
+/// A request to a steward for a lease on a session's floor.
 #[derive(Debug)]
-struct Asking {
+struct LeaseRequest {
     pending: Pending,
     session: SessionId,
     vm: VmId,
@@ -95,14 +97,14 @@
     until: Time,
 }
 
-/// What an entry knows of a group that its callers use.
+/// An entry's state of a group that its callers use.
 #[derive(Debug, Default)]
 struct View {
     router: Router,
     wait: Wait,
 }
 
-/// An entry's state for `dump`.
+/// The state of an entry for `dump`.
 #[derive(Debug, Serialize)]
 pub(crate) struct Dump<'a> {
     links: usize,
@@ -123,7 +125,7 @@
             links: HashMap::new(),
             sent: HashMap::new(),
             groups: HashMap::new(),
-            leases: Recent::new(LEASES_KEPT),
+            leases: Recent::new(MAX_LEASES),
             asks: HashMap::new(),
             budget: Budget::default(),
         }
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Nothing is under way and no transaction is open.
+    /// Whether no request is in flight and no transaction is open.
     pub fn is_quiet(&self) -> bool {
         self.links.values().all(Caller::is_idle)
     }
@@ -175,18 +177,18 @@
             || self.groups.values().any(|view| view.wait.len() > 0)
     }
 
-    /// A caller sends a request.
+    /// Accepts a request from a caller.
     pub fn submit(&mut self, turn: &mut Turn, request: Request) {
         let link = request.link;
         let caller = self.links.entry(link).or_default();
-        if caller.under_way {
-            // The caller's side of this process keeps one request a connection under way.
+        if caller.in_flight {
+            // The client side of this process sends at most one request at a time on a connection.
             turn.world.counters.nonsense += 1;
             return;
         }
-        caller.under_way = true;
-        if let Some(bound) = caller.transaction.clone() {
-            return self.go_on(turn, request, bound);
+        caller.in_flight = true;
+        if let Some(location) = caller.transaction.clone() {
+            return self.continue_transaction(turn, request, location);
         }
         let pending = Pending::new(request);
         if pending.request.kind == Kind::Continue {
@@ -202,27 +204,26 @@
         self.dispatch(turn, pending);
     }
 
-    /// Sends a statement to where its transaction is.
-    fn go_on(&mut self, turn: &mut Turn, mut request: Request, bound: Bound) {
+    /// Sends a statement to the database on which its transaction runs.
+    fn continue_transaction(&mut self, turn: &mut Turn, mut request: Request, location: Location) {
         request.kind = Kind::Continue;
         let pending = Pending::new(request);
-        self.send(turn, pending, bound.vm, bound.database, false);
+        self.send(turn, pending, location.vm, location.database, false);
     }
 
-    /// Tells a caller what came of its request.
+    /// Sends the outcome of a request to its caller.
     ///
-    /// Failure: a write under a key is tried again after an unknown outcome, and the second try
-    /// is not run. Symptom: its caller hears "not run" although the first try was. Enough,
-    /// because an earlier doubt outlives every later "not run".
-    fn tell(&mut self, turn: &mut Turn, pending: Pending, outcome: Outcome) {
-        let outcome = match (pending.doubt, outcome) {
-            (Some(doubt), Outcome::NotRun(_)) => Outcome::Unknown(doubt),
+    /// If an earlier attempt of a keyed write ended with an unknown outcome and a later one was not
+    /// run, the outcome stays unknown: the first attempt may have run, so "not run" could be false.
+    fn respond(&mut self, turn: &mut Turn, pending: Pending, outcome: Outcome) {
+        let outcome = match (pending.earlier_unknown, outcome) {
+            (Some(earlier_unknown), Outcome::NotRun(_)) => Outcome::Unknown(earlier_unknown),
             (_, outcome) => outcome,
         };
         let request = pending.request;
-        let floor = self.shown_floor(&request);
+        let floor = self.reported_floor(&request);
         if let Some(caller) = self.links.get_mut(&request.link) {
-            caller.under_way = false;
+            caller.in_flight = false;
             turn.reply(request.link, outcome, floor);
             if turn.world.stopping && caller.is_idle() {
                 turn.out.push(Output::Dismiss(request.link));
@@ -232,20 +233,20 @@
 
     fn not_run(&mut self, turn: &mut Turn, pending: Pending, cause: Cause, retry_after: Span) {
         let not_run = NotRun { cause, retry_after };
-        self.tell(turn, pending, Outcome::NotRun(not_run));
+        self.respond(turn, pending, Outcome::NotRun(not_run));
     }
 
-    /// A caller's connection is gone.
+    /// Handles the end of a caller's connection.
     pub fn depart(&mut self, turn: &mut Turn, link: Link) {
         let Some(caller) = self.links.remove(&link) else {
             return;
         };
         let mut vms: Vec<VmId> = caller.transaction.into_iter().map(|b| b.vm).collect();
-        if caller.under_way {
+        if caller.in_flight {
             let theirs = self.sent.extract_if(|_, sent| sent.link() == link);
             vms.extend(theirs.map(|(_, sent)| sent.vm));
             self.asks
-                .retain(|_, asking| asking.pending.request.link != link);
+                .retain(|_, lease_request| lease_request.pending.request.link != link);
             for view in self.groups.values_mut() {
                 view.wait.forget(link);
             }
@@ -257,7 +258,7 @@
         }
     }
 
-    /// A caller cancels what its connection has under way.
+    /// Cancels the request in flight on a caller's connection.
     pub fn cancel(&mut self, turn: &mut Turn, link: Link) {
         let found = self.sent.iter().find(|(_, sent)| sent.link() == link);
         if let Some((id, sent)) = found {
@@ -266,8 +267,8 @@
         }
         let mut waiting: Vec<Pending> = self
             .asks
-            .extract_if(|_, asking| asking.pending.request.link == link)
-            .map(|(_, asking)| asking.pending)
+            .extract_if(|_, lease_request| lease_request.pending.request.link == link)
+            .map(|(_, lease_request)| lease_request.pending)
             .collect();
         for view in self.groups.values_mut() {
             waiting.extend(view.wait.forget(link));
@@ -277,7 +278,7 @@
         }
     }
 
-    /// The process is to stop: idle callers are told to connect elsewhere.
+    /// Handles a planned stop of the process: idle callers are asked to connect elsewhere.
     pub fn stop(&mut self, turn: &mut Turn) {
         let idle = self.links.iter().filter(|(_, caller)| caller.is_idle());
         let mut idle: Vec<Link> = idle.map(|(link, _)| *link).collect();
@@ -287,7 +288,7 @@
         }
     }
 
-    /// Ends what has waited until its deadline, and asks again for leaders.
+    /// Ends requests that are past their deadline, and asks again for missing leaders.
     pub fn tick(&mut self, turn: &mut Turn) {
         let now = turn.now;
         let late = self
@@ -298,7 +299,7 @@
         for (id, sent) in late {
             turn.send(&sent.vm, Message::Cancel(id));
             self.release(turn, &sent.pending.request, &sent.vm);
-            self.tell(turn, sent.pending, Outcome::Unknown(Unknown::PeerLost));
+            self.respond(turn, sent.pending, Outcome::Unknown(Unknown::PeerLost));
         }
         self.tick_asks(turn);
         self.tick_waiting(turn);
@@ -307,7 +308,7 @@
 
 impl Caller {
     fn is_idle(&self) -> bool {
-        !self.under_way && self.transaction.is_none()
+        !self.in_flight && self.transaction.is_none()
     }
 }
 
@@ -315,10 +316,10 @@
     fn new(request: Request) -> Self {
         Self {
             request,
-            left: None,
+            untried: None,
             floor: None,
             tries: 0,
-            doubt: None,
+            earlier_unknown: None,
         }
     }
 }
@@ -329,7 +330,7 @@
     }
 }
 
-/// Whether the pool of a request exists and reaches its group.
+/// Whether the pool of a request exists and includes its group.
 fn serves(turn: &Turn, request: &Request) -> bool {
     let pool = turn.world.pool(&request.pool);
     pool.is_some_and(|pool| pool.groups.contains(&request.group))
--- a/src/core/entry/answer.rs
+++ b/src/core/entry/answer.rs
@@ -1,6 +1,6 @@
-//! What an entry does with a holder's answer: tell the caller, or try again.
+//! Handles holders' answers: passes them to the caller or tries the request again.
 
-use super::{Bound, Entry, Pending, Sent};
+use super::{Entry, Location, Pending, Sent};
 use crate::clock::{Span, Time};
 use crate::core::database::Refusal;
 use crate::core::message::{Answer, Hint, Message};
@@ -9,11 +9,12 @@
 use crate::types::VmId;
 
 impl Entry {
-    /// A holder answered.
+    /// Handles an answer from a holder.
     ///
-    /// Failure: an answer is late, repeated or not from the VM that was asked. Symptom: a
-    /// caller gets another request's rows. Enough, because each try has its own id, which is
-    /// forgotten once it was answered or given up.
+    /// An answer may be late, repeated or from a VM that was not asked, and must not reach another
+    /// request's caller. Each attempt therefore has its own id, which is dropped once the attempt
+    /// was answered or abandoned, and an answer counts only if it comes from the VM to which that
+    /// attempt was sent.
     pub fn answered(&mut self, turn: &mut Turn, from: &VmId, answer: Answer) {
         if self
             .sent
@@ -34,7 +35,7 @@
         match answer.outcome {
             Outcome::Done(done) => self.done(turn, sent, done, answer.lease, &answer.hint),
             Outcome::NotRun(not_run) => {
-                self.turned_away(turn, sent, not_run, answer.refused, &answer.hint);
+                self.rejected(turn, sent, not_run, answer.refused, &answer.hint);
             }
             Outcome::Unknown(cause) => self.unknown(turn, sent, cause),
         }
@@ -55,7 +56,7 @@
         if let Some(caller) = self.links.get_mut(&request.link) {
             caller.transaction = match done.status {
                 Status::Idle => None,
-                Status::Open | Status::Failed => Some(Bound {
+                Status::Open | Status::Failed => Some(Location {
                     vm: sent.vm.clone(),
                     database: sent.database.clone(),
                 }),
@@ -65,10 +66,10 @@
             let until = lease.map_or(Time::default(), |span| sent.at + span);
             self.raise_floor(&sent.pending.request, wrote, until);
         }
-        self.tell(turn, sent.pending, Outcome::Done(done));
+        self.respond(turn, sent.pending, Outcome::Done(done));
     }
 
-    fn turned_away(
+    fn rejected(
         &mut self,
         turn: &mut Turn,
         sent: Sent,
@@ -79,7 +80,7 @@
         let kind = sent.pending.request.kind;
         if kind == Kind::Continue {
             self.release(turn, &sent.pending.request, &sent.vm);
-            return self.tell(turn, sent.pending, Outcome::NotRun(not_run));
+            return self.respond(turn, sent.pending, Outcome::NotRun(not_run));
         }
         if let Some(view) = self.groups.get_mut(&sent.pending.request.group) {
             match not_run.cause {
@@ -91,77 +92,81 @@
         }
         let reads = matches!(kind, Kind::Read | Kind::BeginRead);
         match (not_run.cause, refused) {
-            // What looked like a read writes: the primary runs it, and it is a write from here on.
-            (_, Some(Refusal::ReadOnly)) if kind == Kind::Read => self.as_write(turn, sent.pending),
+            // A request classified as a read turned out to write: the primary runs it as a write.
+            (_, Some(Refusal::ReadOnly)) if kind == Kind::Read => {
+                self.resend_as_write(turn, sent.pending)
+            }
             (_, Some(Refusal::KeyBusy)) => {
-                // The key's earlier request may yet commit, so that "not run" could turn out false.
-                self.tell(turn, sent.pending, Outcome::Unknown(Unknown::KeyBusy));
+                // The key's earlier request may still commit, so "not run" could turn out false.
+                self.respond(turn, sent.pending, Outcome::Unknown(Unknown::KeyBusy));
             }
             (Cause::Lost, _) => {
                 self.forget_floor(&sent.pending.request, hint.position);
-                self.tell(turn, sent.pending, Outcome::NotRun(not_run));
+                self.respond(turn, sent.pending, Outcome::NotRun(not_run));
             }
             (Cause::NoPrimary, _) => self.leader_gone(turn, sent),
-            // Nothing was asked of the database, and each is tried once: this adds no load.
+            // The database did no work, and each database is tried once, so this adds no load.
             (Cause::Behind | Cause::Refused | Cause::Stopping, _) if reads && !sent.primary => {
                 self.send_to_replica(turn, sent.pending);
             }
-            (Cause::Busy, _) if reads => self.next(turn, sent, Outcome::NotRun(not_run)),
-            _ => self.tell(turn, sent.pending, Outcome::NotRun(not_run)),
+            (Cause::Busy, _) if reads => self.retry(turn, sent, Outcome::NotRun(not_run)),
+            _ => self.respond(turn, sent.pending, Outcome::NotRun(not_run)),
         }
     }
 
-    fn as_write(&mut self, turn: &mut Turn, mut pending: Pending) {
+    fn resend_as_write(&mut self, turn: &mut Turn, mut pending: Pending) {
         pending.request.kind = Kind::Write;
         pending.floor = None;
         self.dispatch(turn, pending);
     }
 
-    /// The VM asked does not lead the group, or not any more; nothing was run.
+    /// Handles an answer from a VM that does not lead the group, or no longer does. Nothing was
+    /// run.
     fn leader_gone(&mut self, turn: &mut Turn, sent: Sent) {
         let group = sent.pending.request.group.clone();
         let current = turn.world.leaders.get(&group);
         if current.is_some_and(|leader| leader.steward == sent.vm) {
-            self.doubt(turn, &group);
+            self.suspect_leader(turn, &group);
         }
         if sent.pending.request.deadline <= turn.now {
-            let gap = turn.timing().probe;
-            return self.not_run(turn, sent.pending, Cause::NoPrimary, gap);
+            let retry_after = turn.timing().probe;
+            return self.not_run(turn, sent.pending, Cause::NoPrimary, retry_after);
         }
         self.dispatch(turn, sent.pending);
     }
 
-    /// It is not known whether the work was run.
+    /// Handles a request for which it is not known whether it was run.
     pub(super) fn unknown(&mut self, turn: &mut Turn, mut sent: Sent, cause: Unknown) {
-        sent.pending.doubt = Some(cause);
+        sent.pending.earlier_unknown = Some(cause);
         let request = &sent.pending.request;
         if let Some(view) = self.groups.get_mut(&request.group) {
             view.router.failed(turn.now, &sent.database);
         }
         let idempotent = match request.kind {
-            // A replica can't write. A primary can, if what looked like a read calls a function
-            // that does: run twice, it would be doubled.
+            // A replica can't write. On a primary, what looked like a read may call a function that
+            // writes, and a second run would write twice.
             Kind::Read => !sent.primary,
             Kind::Write => request.key.is_some(),
             Kind::BeginRead | Kind::Begin | Kind::Continue => false,
         };
         if idempotent {
-            return self.next(turn, sent, Outcome::Unknown(cause));
+            return self.retry(turn, sent, Outcome::Unknown(cause));
         }
         self.release(turn, &sent.pending.request, &sent.vm);
-        self.tell(turn, sent.pending, Outcome::Unknown(cause));
+        self.respond(turn, sent.pending, Outcome::Unknown(cause));
     }
 
-    /// Tries again what may be tried again, while the budget allows; else tells `outcome`.
+    /// Retries the request while its deadline and the retry budget allow; otherwise sends `outcome`
+    /// to the caller.
     ///
-    /// Failure: a database is down and each caller's read is tried again. Symptom: the others
-    /// get twice the load and fail too. Enough, because retries are a share of first tries.
-    fn next(&mut self, turn: &mut Turn, sent: Sent, outcome: Outcome) {
+    /// When a database is down and every failed read is retried, the other databases would get
+    /// twice the load and fail too. The budget limits retries to a share of first attempts.
+    fn retry(&mut self, turn: &mut Turn, sent: Sent, outcome: Outcome) {
         let pending = sent.pending;
         let exhausted = sent.primary && pending.request.kind != Kind::Write;
         let in_time = pending.request.deadline > turn.now;
         if exhausted || !in_time || !self.budget.withdraw(turn.now) {
-            return self.tell(turn, pending, outcome);
+            return self.respond(turn, pending, outcome);
         }
         turn.world.counters.retries += 1;
         match pending.request.kind {
@@ -170,8 +175,8 @@
         }
     }
 
-    /// A transaction is over although its caller did not end it. Its holder is told, in case
-    /// it still has the connection.
+    /// Ends a transaction that its caller did not end, and notifies its holder, which may still
+    /// keep the connection.
     pub(super) fn release(&mut self, turn: &mut Turn, request: &Request, vm: &VmId) {
         if let Some(caller) = self.links.get_mut(&request.link) {
             caller.transaction = None;
--- a/src/core/entry/dispatch.rs
+++ b/src/core/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! Where a request is sent: the primary, or one replica after the other.
+//! Dispatches requests: to the primary, or to one replica after the other.
 
 use super::{Entry, Pending, Sent};
 use crate::clock::Span;
@@ -8,12 +8,13 @@
 use crate::core::world::Turn;
 use crate::types::{DatabaseId, VmId};
 
-/// The share of a caller's patience that a holder is not given, in percent, so that its "not
-/// run" is back before the entry has to say that the outcome is unknown.
-const MARGIN_PERCENT: u64 = 5;
+/// The part of the remaining time, in percent, that a holder does not get, so that its "not run"
+/// arrives before the entry has to report an unknown outcome.
+const DEADLINE_MARGIN_PERCENT: u64 = 5;
 
 impl Entry {
-    /// Sends a request to where it may run, or lets it wait for what it lacks.
+    /// Sends a request to a database that may run it, or queues it until a leader or a lease is
+    /// available.
     pub(super) fn dispatch(&mut self, turn: &mut Turn, mut pending: Pending) {
         if pending.request.deadline <= turn.now {
             return self.not_run(turn, pending, Cause::Expired, Span::ZERO);
@@ -28,19 +29,19 @@
                     pending.floor = self.own_floor(&pending.request);
                     return self.send_to_replica(turn, pending);
                 };
-                self.under_lease(turn, pending, session);
+                self.send_under_lease(turn, pending, session);
             }
         }
     }
 
-    /// Sends a read to the next best database that is left to try.
+    /// Sends a read to the best database that was not tried yet, or to the primary if none is left.
     pub(super) fn send_to_replica(&mut self, turn: &mut Turn, mut pending: Pending) {
-        if pending.left.is_none() {
-            pending.left = Some(self.choose(turn, &pending));
+        if pending.untried.is_none() {
+            pending.untried = Some(self.rank_databases(turn, &pending));
         }
         let leader = turn.world.leaders.get(&pending.request.group);
         let primary = leader.map(|leader| leader.database.clone());
-        let next = pending.left.as_mut().and_then(Vec::pop);
+        let next = pending.untried.as_mut().and_then(Vec::pop);
         match next {
             Some(database) if Some(&database) != primary.as_ref() => {
                 let vm = turn.world.holder(turn.now, &database);
@@ -51,18 +52,18 @@
     }
 
     /// The databases for a read, worst first.
-    fn choose(&mut self, turn: &mut Turn, pending: &Pending) -> Vec<DatabaseId> {
+    fn rank_databases(&mut self, turn: &mut Turn, pending: &Pending) -> Vec<DatabaseId> {
         let group = &pending.request.group;
         let leader = turn.world.leaders.get(group);
         let primary = leader.map(|leader| &leader.database);
         let Some(found) = turn.world.group(group) else {
             return Vec::new();
         };
-        let stays = found
+        let remaining = found
             .databases
             .iter()
             .filter(|(_, settings)| !settings.leaving);
-        let candidates: Vec<Candidate> = stays
+        let candidates: Vec<Candidate> = remaining
             .map(|(id, settings)| Candidate {
                 database: id.clone(),
                 primary: primary == Some(id),
@@ -79,7 +80,7 @@
         order
     }
 
-    /// Sends work to a database's holder and remembers it until its answer.
+    /// Sends work to a database's holder and records it until it is answered.
     pub(super) fn send(
         &mut self,
         turn: &mut Turn,
@@ -107,7 +108,7 @@
             floor: pending.floor,
             max_age: request.max_age,
             key: request.key.clone(),
-            patience: left.percent(100 - MARGIN_PERCENT),
+            patience: left.percent(100 - DEADLINE_MARGIN_PERCENT),
             leader: leader.map(|leader| leader.term),
             body: request.body.clone(),
         };
@@ -126,7 +127,7 @@
     }
 }
 
-/// A request's place among other work.
+/// The priority class of a request.
 fn class(turn: &Turn, request: &Request) -> Class {
     if turn.world.pool(&request.pool).is_some_and(|pool| pool.long) {
         return Class::Long;
--- a/src/core/entry/floor.rs
+++ b/src/core/entry/floor.rs
@@ -1,6 +1,7 @@
-//! Floors at the entry: what a session has to see, and the leases that vouch for it.
+//! Session floors at the entry, and the leases that guarantee them. A floor is the lowest log
+//! position that a session's reads must see.
 
-use super::{Asking, Entry, Lease, Pending};
+use super::{Entry, Lease, LeaseRequest, Pending};
 use crate::clock::{Span, Time};
 use crate::core::lineage::Standing;
 use crate::core::message::{Ask, Grant, Leased, Message, Revoke};
@@ -9,7 +10,7 @@
 use crate::types::{GroupId, Position, SessionId, VmId};
 
 impl Entry {
-    /// The floor of a connection that is a session of its own, and of what it showed.
+    /// The floor of a connection that is a session of its own, including the position in its token.
     pub(super) fn own_floor(&self, request: &Request) -> Option<Position> {
         let caller = self.links.get(&request.link)?;
         let own = caller
@@ -19,8 +20,8 @@
         highest(own.map(|(_, floor)| *floor), request.shown)
     }
 
-    /// The floor that a caller is shown with its answer.
-    pub(super) fn shown_floor(&self, request: &Request) -> Option<Position> {
+    /// The floor sent to a caller with its answer.
+    pub(super) fn reported_floor(&self, request: &Request) -> Option<Position> {
         let Some(session) = &request.session else {
             return self.own_floor(request);
         };
@@ -28,7 +29,8 @@
         self.leases.get(&key).map(|lease| lease.floor)
     }
 
-    /// The session of `request` wrote up to `position`; its lease was renewed until `until`.
+    /// Raises the floor of the session of `request` to `position`, up to which it wrote; its lease
+    /// was extended until `until`.
     pub(super) fn raise_floor(&mut self, request: &Request, position: Position, until: Time) {
         let Some(session) = &request.session else {
             return self.set_own_floor(request, position);
@@ -42,8 +44,7 @@
         lease.until = lease.until.max(until);
     }
 
-    /// The highest floor known of the session of `request`, whether or not anybody vouches for
-    /// it now.
+    /// The highest known floor of the session of `request`, whether or not a lease on it is valid.
     pub(super) fn known_floor(&self, request: &Request) -> Option<Position> {
         let Some(session) = &request.session else {
             return self.own_floor(request);
@@ -53,8 +54,9 @@
         highest(lease, request.shown)
     }
 
-    /// A write of the session of `request` is not in the log any more. That is told once; the
-    /// floor goes on from what the database that noticed has applied, which is never too low.
+    /// Resets the floor of the session of `request` after a write of it was lost from the log. The
+    /// loss is reported once. The new floor is the position that the database which detected the
+    /// loss has applied, which is never too low.
     pub(super) fn forget_floor(&mut self, request: &Request, applied: Position) {
         let Some(session) = &request.session else {
             return self.set_own_floor(request, applied);
@@ -84,13 +86,12 @@
         self.leases.touch(key, make).0
     }
 
-    /// Sends a named session's read under a lease on its floor, which is asked for first where
-    /// there is none.
+    /// Sends a named session's read under a lease on its floor, and requests a lease first if none
+    /// is valid.
     ///
-    /// Failure: the session also writes by way of another proxy. Symptom: it reads here what
-    /// was before its write. Enough, because the other write is acknowledged only when this
-    /// lease was given back or has lapsed.
-    pub(super) fn under_lease(
+    /// The session may also write through another proxy, and its reads here would miss that write.
+    /// The other write is therefore acknowledged only after this lease was released or has expired.
+    pub(super) fn send_under_lease(
         &mut self,
         turn: &mut Turn,
         mut pending: Pending,
@@ -111,47 +112,47 @@
             group: key.0,
             session: Some(key.1.clone()),
         };
-        let asking = Asking {
+        let lease_request = LeaseRequest {
             pending,
             session: key.1,
             vm: leader.steward.clone(),
             at: turn.now,
             until: turn.now + turn.timing().probe,
         };
-        self.asks.insert(request, asking);
+        self.asks.insert(request, lease_request);
         turn.send(&leader.steward, Message::Ask(ask));
     }
 
-    /// A steward answered a question for a floor, or told who leads.
+    /// Handles a steward's answer to a request for a floor, or its report of a group's leader.
     pub fn granted(&mut self, turn: &mut Turn, from: &VmId, grant: Grant) {
-        self.learn(turn, &grant.group, grant.primary.as_ref());
+        self.update_leader(turn, &grant.group, grant.primary.as_ref());
         if self
             .asks
             .get(&grant.request)
-            .is_none_or(|asking| asking.vm != *from)
+            .is_none_or(|lease_request| lease_request.vm != *from)
         {
             return;
         }
-        let Some(asking) = self.asks.remove(&grant.request) else {
+        let Some(lease_request) = self.asks.remove(&grant.request) else {
             return;
         };
         match grant.floor {
-            Some(leased) => self.use_lease(turn, asking, leased),
-            // Whoever leads can't vouch for the floor now. The primary's own answer needs no
-            // floor, since it is passed on only while its term is confirmed.
-            None => self.send_to_primary(turn, asking.pending),
+            Some(leased) => self.use_lease(turn, lease_request, leased),
+            // The steward can't guarantee the floor now. The primary's own answer needs no floor,
+            // since it is passed on only while the primary's term is confirmed.
+            None => self.send_to_primary(turn, lease_request.pending),
         }
     }
 
-    fn use_lease(&mut self, turn: &mut Turn, asking: Asking, leased: Leased) {
-        let mut pending = asking.pending;
-        let key = (pending.request.group.clone(), asking.session);
+    fn use_lease(&mut self, turn: &mut Turn, lease_request: LeaseRequest, leased: Leased) {
+        let mut pending = lease_request.pending;
+        let key = (pending.request.group.clone(), lease_request.session);
         let shown = pending.request.shown;
         let lease = self.lease(&key);
         let known = highest(Some(lease.floor), shown);
         let lost = known.is_some_and(|floor| leased.lineage.standing(floor) == Standing::Lost);
         lease.floor = leased.floor;
-        lease.until = asking.at + leased.span;
+        lease.until = lease_request.at + leased.span;
         if lost {
             return self.not_run(turn, pending, Cause::Lost, Span::ZERO);
         }
@@ -159,26 +160,30 @@
         self.send_to_replica(turn, pending);
     }
 
-    /// A steward takes a lease back: the session wrote elsewhere.
+    /// Revokes a lease because the session wrote through another proxy.
     pub fn revoked(&mut self, turn: &mut Turn, from: &VmId, revoke: Revoke) {
         let key = (revoke.group.clone(), revoke.session.clone());
         if let Some(lease) = self.leases.get_mut(&key) {
             lease.until = Time::default();
         }
-        // A grant that is still under way was given before the write and must not be used.
-        let same = |asking: &Asking| {
-            asking.session == revoke.session && asking.pending.request.group == revoke.group
+        // A grant still in flight was issued before the write and must not be used.
+        let same = |lease_request: &LeaseRequest| {
+            lease_request.session == revoke.session
+                && lease_request.pending.request.group == revoke.group
         };
-        let mut stale: Vec<_> = self.asks.extract_if(|_, asking| same(asking)).collect();
+        let mut stale: Vec<_> = self
+            .asks
+            .extract_if(|_, lease_request| same(lease_request))
+            .collect();
         stale.sort_unstable_by_key(|(id, _)| *id);
         turn.send(from, Message::Revoked(revoke));
-        for (_, asking) in stale {
-            self.dispatch(turn, asking.pending);
+        for (_, lease_request) in stale {
+            self.dispatch(turn, lease_request.pending);
         }
     }
 }
 
-/// The floor that goes further. A floor that a caller showed only ever raises.
+/// The higher of two floors. A floor from a caller's token can only raise the known one.
 fn highest(known: Option<Position>, shown: Option<Position>) -> Option<Position> {
     match (known, shown) {
         (Some(known), Some(shown)) if shown.offset > known.offset => Some(shown),
--- a/src/core/entry/leader.rs
+++ b/src/core/entry/leader.rs
@@ -1,6 +1,6 @@
-//! Finding a group's leader, and the requests that wait for one.
+//! Tracks each group's leader, and queues requests while a group has none.
 
-use super::{Asking, Entry, Pending};
+use super::{Entry, LeaseRequest, Pending};
 use crate::clock::{Span, Time};
 use crate::core::message::{Ask, Message, Primary};
 use crate::core::request::{Cause, Kind, Unknown};
@@ -8,24 +8,27 @@
 use crate::types::{GroupId, Link, RequestId, Term, VmId};
 use std::collections::VecDeque;
 
-/// Requests of one group that may wait for a leader at one entry: the statements that an
-/// entry's share of a busy group brings in a second. Those beyond are told to come back.
-const WAITING_LIMIT: usize = 1_024;
+/// Maximum number of requests of one group that wait for a leader at one entry: the statements that
+/// reach one entry for a busy group in a second. Further requests are rejected with a time to
+/// retry.
+const MAX_WAITING: usize = 1_024;
 
-/// A group without a leader for this many times the usual length of a failover gives no hope:
-/// its requests are turned away at once.
-const HOPE_GAPS: u64 = 3;
+/// After this many typical failover durations without a leader the failover has failed, and the
+/// group's requests are rejected at once.
+const FAILOVER_TIMEOUT_FACTOR: u64 = 3;
 
-/// Requests that wait for a group's leader.
+/// The requests that wait for a group's leader.
 #[derive(Debug, Default)]
 pub(super) struct Wait {
     requests: VecDeque<Pending>,
-    /// The leader of this term did not serve; it is not used until it is heard of again.
-    doubted: Option<Term>,
-    /// When the leader was missed first.
+    /// The leader of this term did not serve. It is not used until it is reported again.
+    suspected: Option<Term>,
+    /// When the leader was first found missing.
     since: Option<Time>,
+    /// When a holder may be asked again.
     ask_at: Time,
-    turn: usize,
+    /// How many times a holder was asked; selects the next one.
+    asked: usize,
 }
 
 impl Wait {
@@ -33,7 +36,7 @@
         self.requests.len()
     }
 
-    /// Takes out what `link` has waiting.
+    /// Removes and returns the request of `link`.
     pub fn forget(&mut self, link: Link) -> Option<Pending> {
         let mine = |pending: &Pending| pending.request.link == link;
         let index = self.requests.iter().position(mine)?;
@@ -42,61 +45,62 @@
 }
 
 impl Entry {
-    /// The group's leader, unless it is in doubt.
+    /// The group's leader, unless it is suspected.
     pub(super) fn leader(&self, turn: &Turn, group: &GroupId) -> Option<Primary> {
         let leader = turn.world.leaders.get(group)?;
-        let doubted = self.groups.get(group).and_then(|view| view.wait.doubted);
-        if doubted.is_some_and(|term| term >= leader.term) {
+        let suspected = self.groups.get(group).and_then(|view| view.wait.suspected);
+        if suspected.is_some_and(|term| term >= leader.term) {
             return None;
         }
         Some(leader.clone())
     }
 
-    /// Sends a request to the group's primary, by way of its steward.
+    /// Sends a request to the group's primary through its steward.
     pub(super) fn send_to_primary(&mut self, turn: &mut Turn, mut pending: Pending) {
         match self.leader(turn, &pending.request.group) {
             Some(leader) => {
-                // Reads come back here when the primary is in doubt, and choose again then.
-                pending.left = None;
+                // A read that returns here because the primary is suspected chooses among the
+                // databases again.
+                pending.untried = None;
                 self.send(turn, pending, leader.steward, leader.database, true);
             }
             None => self.wait_for_leader(turn, pending),
         }
     }
 
-    /// The leader known did not serve: another is looked for.
-    pub(super) fn doubt(&mut self, turn: &mut Turn, group: &GroupId) {
+    /// Marks the known leader as suspected, so that another one is looked for.
+    pub(super) fn suspect_leader(&mut self, turn: &mut Turn, group: &GroupId) {
         let Some(leader) = turn.world.leaders.get(group) else {
             return;
         };
         let term = leader.term;
         let view = self.groups.entry(group.clone()).or_default();
-        view.wait.doubted = Some(term);
+        view.wait.suspected = Some(term);
         view.wait.since.get_or_insert(turn.now);
     }
 
-    /// Lets a request wait for a leader while there is hope of one before its deadline.
+    /// Queues a request until the group has a leader.
     ///
-    /// Failure: a primary is lost and all callers come at once. Symptom: they are turned away
-    /// for a gap that is over in a moment, or held for a leader that never comes. Enough,
-    /// because the queue is bounded by number, by each caller's deadline, and by the time after
-    /// which a failover has failed.
+    /// When a primary is lost, all its callers arrive at once. They should neither be rejected
+    /// during a short failover nor wait for a leader that never comes. The queue is therefore
+    /// bounded by length, by each request's deadline, and by the time after which a failover counts
+    /// as failed.
     pub(super) fn wait_for_leader(&mut self, turn: &mut Turn, pending: Pending) {
-        let gap = usual_gap(turn);
+        let failover_time = typical_failover(turn);
         let group = pending.request.group.clone();
         let view = self.groups.entry(group.clone()).or_default();
         let wait = &mut view.wait;
         let since = *wait.since.get_or_insert(turn.now);
-        let hopeless = turn.now >= since + Span(gap.0 * HOPE_GAPS);
-        if hopeless || wait.len() >= WAITING_LIMIT {
+        let failover_failed = turn.now >= since + Span(failover_time.0 * FAILOVER_TIMEOUT_FACTOR);
+        if failover_failed || wait.len() >= MAX_WAITING {
             self.ask_leader(turn, &group);
-            return self.not_run(turn, pending, Cause::NoPrimary, gap);
+            return self.not_run(turn, pending, Cause::NoPrimary, failover_time);
         }
         wait.requests.push_back(pending);
         self.ask_leader(turn, &group);
     }
 
-    /// Asks a holder of the group who leads it; another holder the next time.
+    /// Asks one holder of the group's databases for the leader, and another one the next time.
     fn ask_leader(&mut self, turn: &mut Turn, group: &GroupId) {
         let now = turn.now;
         let Some(view) = self.groups.get_mut(group) else {
@@ -107,12 +111,12 @@
         }
         let wait = &mut view.wait;
         wait.ask_at = now + turn.timing().probe;
-        wait.turn = wait.turn.wrapping_add(1);
+        wait.asked = wait.asked.wrapping_add(1);
         let databases = turn.world.group(group).map(|found| &found.databases);
         let Some(databases) = databases.filter(|databases| !databases.is_empty()) else {
             return;
         };
-        let index = wait.turn % databases.len();
+        let index = wait.asked % databases.len();
         let Some(database) = databases.keys().nth(index).cloned() else {
             return;
         };
@@ -126,9 +130,14 @@
         turn.send(&vm, Message::Ask(ask));
     }
 
-    /// Somebody told who leads a group. A leader in doubt counts again once it is told anew by
-    /// one that hears it.
-    pub(super) fn learn(&mut self, turn: &mut Turn, group: &GroupId, primary: Option<&Primary>) {
+    /// Handles a report of a group's leader. A suspected leader is used again once a VM that is in
+    /// contact with it reports it.
+    pub(super) fn update_leader(
+        &mut self,
+        turn: &mut Turn,
+        group: &GroupId,
+        primary: Option<&Primary>,
+    ) {
         let Some(primary) = primary else {
             return;
         };
@@ -140,24 +149,24 @@
         if current.is_some_and(|term| term > primary.term) {
             return;
         }
-        view.wait.doubted = None;
+        view.wait.suspected = None;
         view.wait.since = None;
         for pending in std::mem::take(&mut view.wait.requests) {
             self.dispatch(turn, pending);
         }
     }
 
-    /// Who leads a group was told in passing by one that serves it.
+    /// Handles the leader that a VM serving the group named in another answer.
     pub fn heard_leader(&mut self, turn: &mut Turn, group: &GroupId) {
         let Some(view) = self.groups.get(group) else {
             return;
         };
         let leader = turn.world.leaders.get(group).cloned();
-        let news = leader
+        let is_newer = leader
             .as_ref()
-            .is_some_and(|l| view.wait.doubted < Some(l.term));
-        if news && view.wait.len() > 0 {
-            self.learn(turn, group, leader.as_ref());
+            .is_some_and(|l| view.wait.suspected < Some(l.term));
+        if is_newer && view.wait.len() > 0 {
+            self.update_leader(turn, group, leader.as_ref());
         }
     }
 
@@ -173,57 +182,63 @@
 
     fn expire_waiting(&mut self, turn: &mut Turn, group: &GroupId) {
         let now = turn.now;
-        let gap = usual_gap(turn);
+        let failover_time = typical_failover(turn);
         let Some(view) = self.groups.get_mut(group) else {
             return;
         };
-        let hopeless = view
+        let failover_failed = view
             .wait
             .since
-            .is_some_and(|since| now >= since + Span(gap.0 * HOPE_GAPS));
-        let over = |pending: &Pending| hopeless || pending.request.deadline <= now;
+            .is_some_and(|since| now >= since + Span(failover_time.0 * FAILOVER_TIMEOUT_FACTOR));
+        let over = |pending: &Pending| failover_failed || pending.request.deadline <= now;
         let (late, rest) = view.wait.requests.drain(..).partition(over);
         view.wait.requests = rest;
         for pending in late as VecDeque<Pending> {
-            self.not_run(turn, pending, Cause::NoPrimary, gap);
+            self.not_run(turn, pending, Cause::NoPrimary, failover_time);
         }
     }
 
-    /// Questions that were not answered in time: the steward asked is in doubt.
+    /// Handles lease requests without an answer in time: the steward that was asked becomes
+    /// suspected.
     pub(super) fn tick_asks(&mut self, turn: &mut Turn) {
         let now = turn.now;
-        let late = self.asks.extract_if(|_, asking| asking.until <= now);
-        let mut late: Vec<(RequestId, Asking)> = late.collect();
+        let late = self
+            .asks
+            .extract_if(|_, lease_request| lease_request.until <= now);
+        let mut late: Vec<(RequestId, LeaseRequest)> = late.collect();
         late.sort_unstable_by_key(|(id, _)| *id);
-        for (_, asking) in late {
-            self.ask_failed(turn, asking);
+        for (_, lease_request) in late {
+            self.ask_failed(turn, lease_request);
         }
     }
 
-    pub(super) fn ask_failed(&mut self, turn: &mut Turn, asking: Asking) {
-        let group = asking.pending.request.group.clone();
+    pub(super) fn ask_failed(&mut self, turn: &mut Turn, lease_request: LeaseRequest) {
+        let group = lease_request.pending.request.group.clone();
         let still = turn.world.leaders.get(&group).map(|leader| &leader.steward);
-        if still == Some(&asking.vm) {
-            self.doubt(turn, &group);
+        if still == Some(&lease_request.vm) {
+            self.suspect_leader(turn, &group);
         }
-        self.dispatch(turn, asking.pending);
+        self.dispatch(turn, lease_request.pending);
     }
 
-    /// A stream broke.
+    /// Handles a broken stream to another VM. If it never was open (`was_open` is false), nothing
+    /// sent on it has left this VM.
     ///
-    /// Failure: the VM that ran the work is lost. Symptom: a booking is made twice, or its
-    /// caller hangs. Enough, because only reads, writes under a key, and what never left this
-    /// VM are sent again; the rest is told as unknown at once.
-    pub fn peer_down(&mut self, turn: &mut Turn, vm: &VmId, left: bool) {
-        let asks = self.asks.extract_if(|_, asking| asking.vm == *vm);
-        let mut asks: Vec<(RequestId, Asking)> = asks.collect();
+    /// If the VM that ran the work is lost, a write must neither run twice nor leave its caller
+    /// waiting. Only reads, keyed writes and requests that never left this VM are sent again; the
+    /// others end as unknown at once.
+    pub fn peer_down(&mut self, turn: &mut Turn, vm: &VmId, was_open: bool) {
+        let asks = self
+            .asks
+            .extract_if(|_, lease_request| lease_request.vm == *vm);
+        let mut asks: Vec<(RequestId, LeaseRequest)> = asks.collect();
         asks.sort_unstable_by_key(|(id, _)| *id);
-        for (_, asking) in asks {
-            self.ask_failed(turn, asking);
+        for (_, lease_request) in asks {
+            self.ask_failed(turn, lease_request);
         }
         for caller in self.links.values_mut() {
             let gone = caller.transaction.as_ref().is_some_and(|b| b.vm == *vm);
-            if gone && !caller.under_way {
+            if gone && !caller.in_flight {
                 caller.transaction = None;
             }
         }
@@ -233,18 +248,18 @@
         for (_, sent) in sent {
             if sent.primary {
                 let group = sent.pending.request.group.clone();
-                self.doubt(turn, &group);
+                self.suspect_leader(turn, &group);
             }
-            self.lost(turn, sent, left);
+            self.resend_or_end(turn, sent, was_open);
         }
     }
 
-    fn lost(&mut self, turn: &mut Turn, sent: super::Sent, left: bool) {
+    fn resend_or_end(&mut self, turn: &mut Turn, sent: super::Sent, was_open: bool) {
         let continues = sent.pending.request.kind == Kind::Continue;
         if continues {
             self.release(turn, &sent.pending.request, &sent.vm);
         }
-        match (left, continues) {
+        match (was_open, continues) {
             (true, _) => self.unknown(turn, sent, Unknown::PeerLost),
             (false, true) => self.not_run(turn, sent.pending, Cause::RolledBack, Span::ZERO),
             (false, false) => self.dispatch(turn, sent.pending),
@@ -252,9 +267,9 @@
     }
 }
 
-/// How long a change of primary takes as a rule: detection, the acknowledgement window, and a
-/// round of probes.
-fn usual_gap(turn: &Turn) -> Span {
+/// The typical duration of a change of primary: detection, the acknowledgement window, and a round
+/// of probes.
+fn typical_failover(turn: &Turn) -> Span {
     let timing = turn.timing();
     timing.suspicion + timing.window + timing.probe
 }
