--- a/src/core/gate.rs
+++ b/src/core/gate.rs
@@ -1,8 +1,8 @@
-//! What one database lets in: admission, the queue, and its slots.
+//! The gate of one database: admission control, the queue, and the slots for running work.
 //!
-//! The parts answer one pattern of load each: [`admit`] bursts and saturation, [`queue`] work of
-//! different urgency, [`fair`] callers that take most of the load, [`slot`] long work among
-//! short. `core::limit` answers a database that is used by others too.
+//! Each part handles one pattern of load: [`admit`] bursts and saturation, [`queue`] long work
+//! beside short work, [`fair`] callers that take most of the load and classes of different urgency,
+//! [`slot`] long work that takes all slots. `core::limit` handles a database that others use too.
 
 pub mod admit;
 pub mod cost;
@@ -25,28 +25,28 @@
 pub struct Item {
     /// The holder's own number for the work.
     pub request: RequestId,
-    /// Whose it is.
+    /// The caller that the work belongs to.
     pub caller: CallerId,
-    /// Its place among other work.
+    /// Its priority class.
     pub class: Class,
-    /// When its caller has no more use for it.
+    /// The time after which its caller does not use the result.
     pub deadline: Time,
 }
 
-/// Which rules a gate follows. Each can be set back to its naive form for a measurement.
+/// The rules of a gate. Each can be set to its naive form for a measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Policy {
-    /// Whether work that can't be served in time is turned away when it is offered, and waiting
-    /// work is given up as soon as it can't end in time any more.
+    /// Whether work that can't be served in time is rejected when it is offered, and waiting work
+    /// is dropped as soon as it can't end in time.
     pub bounded: bool,
-    /// Whether a queue that does not empty is kept short.
+    /// Whether a queue under sustained load is kept short.
     pub short: bool,
-    /// Whether urgent classes go first and callers get equal shares; else first come, first
+    /// Whether urgent classes go first and callers get equal shares; otherwise first come, first
     /// served.
     pub fair: bool,
-    /// Whether long work leaves slots to short work.
+    /// Whether some slots are reserved for short work.
     pub reserve: bool,
-    /// Whether the limit of work in flight adapts to the database.
+    /// Whether the limit on running work adapts to the database's response times.
     pub adaptive: bool,
 }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /// First come, first served, whatever the wait: the baseline of measurements.
+    /// First come, first served, whatever the wait. This is the baseline of measurements.
     pub fn naive() -> Self {
         Self {
             bounded: false,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Work that waits.
+/// Work in the queue.
 #[derive(Debug, Clone, Serialize)]
 struct Waiting {
     item: Item,
@@ -119,15 +119,18 @@
         self.slots.resize(slots);
     }
 
-    /// Lets `item` wait, or turns it away at once and says when to come back.
+    /// Queues `item`, or rejects it at once with a time to retry.
     ///
-    /// An item whose request already waits or runs is refused as `Cause::Refused`.
+    /// # Errors
+    ///
+    /// `Cause::Expired` if its deadline has passed, `Cause::Busy` if it would wait too long or the
+    /// queue is full, and `Cause::Refused` if its request already waits or runs.
     pub fn offer(&mut self, now: Time, item: Item) -> Result<(), NotRun> {
         let request = item.request;
         if self.waiting.contains_key(&request) || self.slots.contains(request) {
             return Err(NotRun {
                 cause: Cause::Refused,
-                retry_after: admit::LEAST_RETRY,
+                retry_after: admit::MIN_RETRY_DELAY,
             });
         }
         let start_by = self.admit(now, &item)?;
@@ -153,10 +156,10 @@
         }
         let left = item.deadline.since(now);
         let start_by = now + admit::latest_start(left, self.costs.mean(item.class));
-        let standing = self.policy.short && admit::is_standing(now, self.idle_at);
-        let bound = admit::bound(start_by.since(now), standing);
+        let sustained = self.policy.short && admit::is_sustained(now, self.idle_at);
+        let max_wait = admit::max_wait(start_by.since(now), sustained);
         let wait = self.wait_of(item.class, &item.caller);
-        if wait > bound || self.queue.len() >= admit::MOST_WAITING {
+        if wait > max_wait || self.queue.len() >= admit::MAX_WAITING {
             return Err(NotRun {
                 cause: Cause::Busy,
                 retry_after: admit::retry_after(wait, item.request),
@@ -165,9 +168,9 @@
         Ok(start_by)
     }
 
-    /// Takes the work that is to run next, if a slot is free for it; it then counts as running.
+    /// Takes the next work to run, if a slot is free for it; it then counts as running.
     ///
-    /// Work past its latest start is passed over; the next [`Gate::expire`] returns it.
+    /// Work past its latest start is skipped; the next [`Gate::expire`] returns it.
     pub fn next(&mut self, now: Time) -> Option<Item> {
         while self.slots.free() {
             let long = self.slots.free_for_long();
@@ -175,11 +178,11 @@
             let waiting = self.waiting.remove(&request)?;
             self.expiry.remove(&(waiting.start_by, request));
             if waiting.start_by <= now {
-                let unrun = Charge {
+                let not_run = Charge {
                     took: Span::ZERO,
                     paid,
                 };
-                self.charge(&waiting.item, unrun);
+                self.charge(&waiting.item, not_run);
                 self.lapsed.push(waiting.item);
                 continue;
             }
@@ -189,7 +192,7 @@
         None
     }
 
-    /// `request` left its slot at `now`, with or without an answer.
+    /// Frees the slot of `request` at `now`, with or without an answer.
     pub fn finish(&mut self, now: Time, request: RequestId) {
         let Some(ended) = self.slots.finish(now, request) else {
             return;
@@ -206,7 +209,7 @@
             .charge(item.class, &item.caller, charge, &self.costs);
     }
 
-    /// Takes out waiting work whose deadline has passed, or that will not be served in time.
+    /// Removes and returns waiting work whose deadline has passed, or that can't be served in time.
     pub fn expire(&mut self, now: Time) -> Vec<Item> {
         let mut late = std::mem::take(&mut self.lapsed);
         while let Some(&(start_by, request)) = self.expiry.first() {
@@ -223,7 +226,7 @@
         late
     }
 
-    /// Takes out waiting work that nobody wants any more.
+    /// Removes and returns waiting work that is no longer wanted.
     pub fn remove(&mut self, request: RequestId) -> Option<Item> {
         let Some(waiting) = self.waiting.remove(&request) else {
             let index = self
@@ -245,7 +248,7 @@
         self.slots.wait(ahead, Class::Session, &self.costs)
     }
 
-    /// What short work takes of late, once it has a slot.
+    /// The recent mean time that short work runs, without its wait for a slot.
     pub fn run(&self) -> Span {
         self.costs.short()
     }
@@ -263,12 +266,12 @@
         self.expiry.first().map(|(start_by, _)| *start_by)
     }
 
-    /// How many wait.
+    /// The number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// How many run.
+    /// The number of running requests.
     pub fn running(&self) -> usize {
         self.slots.running()
     }
--- a/src/core/gate/cost.rs
+++ b/src/core/gate/cost.rs
@@ -1,23 +1,24 @@
-//! How long statements of each class take at one database.
+//! Mean run times of statements by class at one database.
 
 use crate::clock::Span;
 use crate::core::request::Class;
 use serde::Serialize;
 
-/// Taken for a class before its first statement ended: what an index read and a commit take
-/// within a failure domain, on the safe side.
-const UNKNOWN: Span = Span::from_millis(5);
+/// The assumed mean of a class before its first statement ended: a safe estimate for an index read
+/// and a commit within a failure domain.
+const INITIAL_MEAN: Span = Span::from_millis(5);
 
-/// Taken for long work before the first of it ended. Too low a guess lets in more than can be
-/// served only until then.
-const UNKNOWN_LONG: Span = Span::from_millis(200);
+/// The assumed mean of long work before its first statement ended. If it is too low, more work is
+/// accepted than can be served, but only until then.
+const INITIAL_LONG_MEAN: Span = Span::from_millis(200);
 
-/// Inverse weight of a new time in the mean: some tens of statements, a fraction of a second of a
-/// busy slot, so that a database that slows down is known as slow within its queue's length.
-const MEMORY: u64 = 32;
+/// Inverse weight of a new sample in the mean: a few tens of statements, a fraction of a second of
+/// a busy slot, so that a database that slows down is measured as slow within the length of its
+/// queue.
+const MEAN_DIVISOR: u64 = 32;
 
-/// Times are kept with this many parts of a microsecond, so that small changes add up.
-const PARTS: u64 = 256;
+/// Fractions of a microsecond in which means are kept, so that small changes add up.
+const PARTS_PER_MICROSECOND: u64 = 256;
 
 /// The mean time of statements by class.
 #[derive(Debug, Clone, Serialize)]
@@ -26,7 +27,7 @@
     short: u64,
 }
 
-/// How many classes there are.
+/// The number of classes.
 pub const CLASSES: usize = 4;
 
 /// The classes, most urgent first.
@@ -35,12 +36,12 @@
 impl Default for Costs {
     fn default() -> Self {
         let parts = BY_URGENCY.map(|class| match class {
-            Class::Long => UNKNOWN_LONG.0 * PARTS,
-            _ => UNKNOWN.0 * PARTS,
+            Class::Long => INITIAL_LONG_MEAN.0 * PARTS_PER_MICROSECOND,
+            _ => INITIAL_MEAN.0 * PARTS_PER_MICROSECOND,
         });
         Self {
             parts,
-            short: UNKNOWN.0 * PARTS,
+            short: INITIAL_MEAN.0 * PARTS_PER_MICROSECOND,
         }
     }
 }
@@ -48,24 +49,24 @@
 impl Costs {
     /// The mean time of `class`.
     pub fn mean(&self, class: Class) -> Span {
-        Span(self.parts[class as usize] / PARTS)
+        Span(self.parts[class as usize] / PARTS_PER_MICROSECOND)
     }
 
     /// The mean time of all classes but long work.
     pub fn short(&self) -> Span {
-        Span(self.short / PARTS)
+        Span(self.short / PARTS_PER_MICROSECOND)
     }
 
-    /// A statement of `class` took `took`.
+    /// Records that a statement of `class` took `took`.
     pub fn record(&mut self, class: Class, took: Span) {
-        follow(&mut self.parts[class as usize], took);
+        update_mean(&mut self.parts[class as usize], took);
         if class != Class::Long {
-            follow(&mut self.short, took);
+            update_mean(&mut self.short, took);
         }
     }
 }
 
-fn follow(mean: &mut u64, took: Span) {
-    let sample = took.0.saturating_mul(PARTS);
-    *mean = *mean - *mean / MEMORY + sample / MEMORY;
+fn update_mean(mean: &mut u64, took: Span) {
+    let sample = took.0.saturating_mul(PARTS_PER_MICROSECOND);
+    *mean = *mean - *mean / MEAN_DIVISOR + sample / MEAN_DIVISOR;
 }
--- a/src/core/gate/fair.rs
+++ b/src/core/gate/fair.rs
@@ -1,20 +1,22 @@
-//! Equal shares of slot time by caller, and the order of classes within.
+//! Fair queueing: equal shares of slot time by caller, and the order of classes within a caller's
+//! work.
 //!
-//! **Pattern answered.** A few callers that take most of the load: a broker's program that
-//! fans out, an authority's script in a loop; and confirmations that arrive among reads.
-//! **Without it** each caller's wait is that of the whole queue, and the queue belongs to
-//! whoever sends most; a clerk with one request waits behind a thousand of a script. With classes
-//! in strict order above the callers' shares, a script that sends confirmations stops all reads of
-//! everyone else: measured, a quiet caller's aged reads took 37 times as long beside it.
+//! This handles a few callers that take most of the load, such as a broker's program that fans out
+//! or an authority's script in a loop, and confirmations that arrive among reads. Without it each
+//! caller waits for the whole queue, which belongs to the caller that sends most: a clerk with one
+//! request waits behind a thousand of a script. With classes in strict order above the callers'
+//! shares, a script that sends confirmations stops all reads of the other callers: measured, a
+//! quiet caller's aged reads took 37 times as long beside it.
 //!
-//! This is start-time fair queueing: each caller has a tag, the slot time that it has been given,
-//! and the one with the least tag goes next. Shares are by time, not by count, as a caller
-//! with slow statements takes more of the slots than its count tells. A caller that comes back
-//! from idleness starts at the clock, so that it can't save up a share and then take all slots.
-//! Urgency is a head start: less urgent work stands as if its caller had been given a little
-//! more. So a confirmation passes the reads that came shortly before it, but nobody's flood
-//! of confirmations passes what others have waited with for long. Within one caller's work the
-//! most urgent goes first, but for what the others are owed. A choice costs O(log callers).
+//! This is start-time fair queueing: each caller has a tag, the slot time that it was given, and
+//! the caller with the lowest tag goes next. Shares are by time, not by count, as a caller with
+//! slow statements takes more of the slots than its count shows. A caller that returns from
+//! idleness starts at the current virtual time, so it can't save up a share and then take all
+//! slots. Urgency is a head start: less urgent work is ordered as if its caller had been given a
+//! little more time. So a confirmation passes the reads that came shortly before it, but a flood of
+//! confirmations does not pass work that has waited for long. Within one caller's work the most
+//! urgent class goes first, except for the starts guaranteed to the other classes. A choice costs
+//! O(log callers).
 
 use crate::clock::Span;
 use crate::core::gate::cost::{BY_URGENCY, CLASSES, Costs};
@@ -23,29 +25,29 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Of how many starts of one caller each of its classes is owed one while it waits, by
-/// urgency. Sessions have people who look at a screen; aged reads were promised only an age.
-/// The shares owed add up to 7/16: confirmations keep more than half in any case.
-const OWED_ONE_IN: [u32; CLASSES] = [1, 4, 8, 16];
+/// By class, most urgent first: while work of the class waits, it gets at least one of this many
+/// starts of its caller. Session reads have a user waiting at a screen; aged reads were promised
+/// only an age. The guaranteed shares add up to 7/16, so confirmations always keep more than half.
+const GUARANTEED_ONE_IN: [u32; CLASSES] = [1, 4, 8, 16];
 
-/// The head start of a class before the next less urgent one, in statements of the latter.
-/// Each active caller can pass with so many, so it has to stay a few; two are what a
-/// caller with a page to fill has in its queue.
-const HEAD_START: u64 = 2;
+/// The head start of a class over the next less urgent one, in statements of the latter. Each
+/// active caller can pass with that many, so it has to stay small; two are what a caller with a
+/// page to fill has in its queue.
+const HEAD_START_STATEMENTS: u64 = 2;
 
-/// The most callers that are remembered while they have nothing waiting. A forgotten one starts at
-/// the clock again, which at the most gives it the share that it had used up before.
-const MOST_IDLE: usize = 4_096;
+/// Maximum number of callers kept while they have no work waiting. An evicted caller starts at the
+/// current virtual time again, which at most returns the share that it had used up.
+const MAX_IDLE: usize = 4_096;
 
-/// Where a caller stands in the order: slot time given, in microseconds, with the head starts
-/// of others counted in; then who came first.
+/// A caller's sort key: the slot time that it was given, in microseconds, plus the head start of
+/// more urgent classes; ties are broken by insertion order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 struct Key {
     at: u64,
     order: u64,
 }
 
-/// A caller's waiting requests, and the time that it has been given.
+/// A caller's waiting requests, and the slot time that it was given.
 #[derive(Debug, Clone, Serialize)]
 struct Lane {
     queues: [VecDeque<RequestId>; CLASSES],
@@ -69,14 +71,14 @@
         }
     }
 
-    /// The class that was passed over as often as it may be, the most urgent of several; else the
-    /// most urgent that waits.
+    /// The next class to serve: the most urgent one that has been passed over up to its guarantee,
+    /// or else the most urgent one that waits.
     fn choose(&self) -> Option<Class> {
         let waits = |class: &Class| !self.queues[*class as usize].is_empty();
         let mut waiting = BY_URGENCY.into_iter().filter(waits);
         let first = waiting.next();
         waiting
-            .find(|&class| self.passed[class as usize] + 1 >= OWED_ONE_IN[class as usize])
+            .find(|&class| self.passed[class as usize] + 1 >= GUARANTEED_ONE_IN[class as usize])
             .or(first)
     }
 
@@ -105,7 +107,7 @@
     waiting: usize,
 }
 
-/// A request that was taken, and what its caller was charged for it.
+/// A request taken from the queue, and the time that its caller was charged for it.
 #[derive(Debug, Clone, Copy)]
 pub struct Taken {
     /// The request.
@@ -115,17 +117,17 @@
 }
 
 impl Fair {
-    /// How many requests wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting
     }
 
-    /// Whether none wait.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting == 0
     }
 
-    /// How many requests are served before the next one of `caller` in `class`, by fair shares.
+    /// The number of requests served before the next one of `caller` in `class`, by fair shares.
     pub fn ahead(&self, class: Class, caller: &CallerId) -> usize {
         let Some(lane) = self.lanes.get(caller) else {
             return self.ahead_of_newcomer(class);
@@ -133,16 +135,16 @@
         let urgent = BY_URGENCY.into_iter().filter(|&other| other <= class);
         let own: usize = urgent.map(|other| lane.queues[other as usize].len()).sum();
         let others = self.active.len() - usize::from(lane.waiting > 0);
-        let most = self.waiting - lane.waiting;
-        own + (others * (own + passing(class))).min(most)
+        let max_others = self.waiting - lane.waiting;
+        own + (others * (own + statements_passing(class))).min(max_others)
     }
 
-    /// How many requests are served before one of a caller that has none waiting.
+    /// The number of requests served before one of a caller that has none waiting.
     pub fn ahead_of_newcomer(&self, class: Class) -> usize {
-        (self.active.len() * passing(class)).min(self.waiting)
+        (self.active.len() * statements_passing(class)).min(self.waiting)
     }
 
-    /// Adds a request to the end of its caller's.
+    /// Adds a request to the end of its caller's queue.
     pub fn push(&mut self, class: Class, caller: &CallerId, request: RequestId, costs: &Costs) {
         self.waiting += 1;
         let clock = self.clock;
@@ -158,13 +160,13 @@
         if lane.waiting == 1 {
             lane.given = lane.given.max(clock);
         }
-        let most_urgent = lane.waiting == 1 || lane.queues[class as usize].len() == 1;
-        if most_urgent {
-            self.place(caller, costs);
+        let first_of_class = lane.waiting == 1 || lane.queues[class as usize].len() == 1;
+        if first_of_class {
+            self.reposition(caller, costs);
         }
     }
 
-    /// Takes the request that is to be served next, and charges its caller for it.
+    /// Takes the next request, and charges its caller the mean time of its class.
     pub fn pop(&mut self, costs: &Costs) -> Option<Taken> {
         let (_, caller) = self.active.first()?.clone();
         let lane = self.lanes.get_mut(&caller)?;
@@ -174,11 +176,11 @@
         self.waiting -= 1;
         self.clock = self.clock.max(lane.given);
         lane.given = lane.given.saturating_add(paid.0);
-        self.place(&caller, costs);
+        self.reposition(&caller, costs);
         Some(Taken { request, paid })
     }
 
-    /// Takes out one request of `caller`.
+    /// Removes one request of `caller`.
     pub fn remove(&mut self, class: Class, caller: &CallerId, request: RequestId, costs: &Costs) {
         let Some(lane) = self.lanes.get_mut(caller) else {
             return;
@@ -190,10 +192,10 @@
         queue.remove(index);
         lane.waiting -= 1;
         self.waiting -= 1;
-        self.place(caller, costs);
+        self.reposition(caller, costs);
     }
 
-    /// Corrects what `caller` was charged: its work took `took`, and it had paid `paid`.
+    /// Corrects the charge of `caller` from the expected time `paid` to the actual time `took`.
     pub fn charge(&mut self, caller: &CallerId, took: Span, paid: Span, costs: &Costs) {
         if !self.lanes.contains_key(caller) {
             if took <= paid {
@@ -204,11 +206,11 @@
         if let Some(lane) = self.lanes.get_mut(caller) {
             lane.given = lane.given.saturating_add(took.0).saturating_sub(paid.0);
         }
-        self.place(caller, costs);
+        self.reposition(caller, costs);
     }
 
-    /// Puts a caller where it belongs after its requests or its time have changed.
-    fn place(&mut self, caller: &CallerId, costs: &Costs) {
+    /// Updates a caller's position after its requests or its time have changed.
+    fn reposition(&mut self, caller: &CallerId, costs: &Costs) {
         let Some(lane) = self.lanes.get_mut(caller) else {
             return;
         };
@@ -219,7 +221,7 @@
         self.order += 1;
         let class = lane.choose();
         lane.key = Key {
-            at: lane.given + class.map_or(0, |class| behind(class, costs)),
+            at: lane.given + class.map_or(0, |class| head_start_over(class, costs)),
             order: self.order,
         };
         entry.0 = lane.key;
@@ -227,14 +229,15 @@
             self.active.insert(entry);
         } else {
             self.idle.insert(entry);
-            self.forget();
+            self.evict_idle();
         }
     }
 
-    /// Forgets idle callers that have no more than their share, and the least charged of too many.
-    fn forget(&mut self) {
+    /// Evicts idle callers that have used no more than their share, and, above the maximum, the
+    /// least charged ones.
+    fn evict_idle(&mut self) {
         while let Some((key, _)) = self.idle.first() {
-            if key.at > self.clock && self.idle.len() <= MOST_IDLE {
+            if key.at > self.clock && self.idle.len() <= MAX_IDLE {
                 return;
             }
             if let Some((_, caller)) = self.idle.pop_first() {
@@ -244,12 +247,13 @@
     }
 }
 
-/// How many statements of another caller pass a request of `class` that is first of its caller.
-fn passing(class: Class) -> usize {
-    1 + HEAD_START as usize * class as usize
+/// The number of statements by which another caller can pass the first request of a caller in
+/// `class`.
+fn statements_passing(class: Class) -> usize {
+    1 + HEAD_START_STATEMENTS as usize * class as usize
 }
 
-/// By how much work of `class` stands behind the most urgent.
-fn behind(class: Class, costs: &Costs) -> u64 {
-    HEAD_START * class as u64 * costs.mean(class).0
+/// The head start of the most urgent class over `class`, in microseconds.
+fn head_start_over(class: Class, costs: &Costs) -> u64 {
+    HEAD_START_STATEMENTS * class as u64 * costs.mean(class).0
 }
--- a/src/core/gate/queue.rs
+++ b/src/core/gate/queue.rs
@@ -1,12 +1,12 @@
-//! Which waiting request is next: short work by fair shares, and long work beside it.
+//! The order of waiting requests: short work by fair shares, and long work beside it.
 //!
-//! **Pattern answered.** Long work that waits beside short work at a busy database.
-//! **Without it** either long work takes its slot all the time, and a saturated database serves
-//! half as much short work, or it never gets one and a night's reconciliation has no end.
+//! This handles long work that waits beside short work at a busy database. Without it either long
+//! work occupies its slot all the time, and a saturated database serves half as much short work, or
+//! it never gets a slot and a nightly reconciliation does not end.
 //!
-//! Short and long work are weighed against each other by slot time, three parts to one; what one
-//! of them leaves, the other takes. Long work has shares by caller of its own, so that a firm's
-//! report does not delay its confirmations.
+//! Short and long work are weighted by slot time, three to one; time that one of them does not use
+//! goes to the other. Long work has fair shares of its own by caller, so that a firm's report does
+//! not delay its confirmations.
 
 use crate::clock::Span;
 use crate::core::gate::cost::Costs;
@@ -16,9 +16,9 @@
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// Short work gets this many parts of the slot time for one of long work, while both wait. Half
-/// of a slot of two is enough for a night's work to be done by the morning.
-const SHORT_PARTS: u64 = 3;
+/// The slot time of short work for each unit of long work, while both wait. A quarter of the time,
+/// which is half of one slot where there are two, is enough to finish nightly work by the morning.
+const SHORT_WEIGHT: u64 = 3;
 
 /// The waiting requests of one database.
 #[derive(Debug, Clone, Serialize)]
@@ -29,12 +29,12 @@
     long: Fair,
     /// Slot time given to short work, in microseconds.
     short_given: u64,
-    /// Slot time given to long work, times [`SHORT_PARTS`].
+    /// Slot time given to long work, in microseconds, times `SHORT_WEIGHT`.
     long_given: u64,
 }
 
 impl Queue {
-    /// An empty queue; without `fair`, first come is first served.
+    /// An empty queue; without `fair` it serves requests in order of arrival.
     pub fn new(fair: bool) -> Self {
         Self {
             fair,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// How many wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
         self.arrivals.len() + self.short.len() + self.long.len()
     }
 
-    /// Whether none wait.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -69,7 +69,7 @@
             self.arrivals.push_back(request);
             return;
         }
-        // What had nothing waiting can't have saved up time meanwhile.
+        // A kind of work that had nothing waiting must not have saved up time meanwhile.
         if class == Class::Long && self.long.is_empty() {
             self.long_given = self.long_given.max(self.short_given);
         }
@@ -79,7 +79,7 @@
         self.fair(class).push(class, caller, request, costs);
     }
 
-    /// Takes the request that is to be served next; long work only if `long`.
+    /// Takes the next request to serve; long work only if `long`.
     pub fn pop(&mut self, long: bool, costs: &Costs) -> Option<Taken> {
         if !self.fair {
             let request = self.arrivals.pop_front()?;
@@ -95,13 +95,13 @@
             Class::Confirm
         };
         let taken = self.fair(class).pop(costs)?;
-        self.give(class, taken.paid, Span::ZERO);
+        self.account(class, taken.paid, Span::ZERO);
         Some(taken)
     }
 
-    fn give(&mut self, class: Class, more: Span, less: Span) {
+    fn account(&mut self, class: Class, more: Span, less: Span) {
         let (given, parts) = match class {
-            Class::Long => (&mut self.long_given, SHORT_PARTS),
+            Class::Long => (&mut self.long_given, SHORT_WEIGHT),
             _ => (&mut self.short_given, 1),
         };
         *given = given
@@ -109,7 +109,7 @@
             .saturating_sub(less.0 * parts);
     }
 
-    /// Takes out one request.
+    /// Removes one request.
     pub fn remove(&mut self, class: Class, caller: &CallerId, request: RequestId, costs: &Costs) {
         if self.fair {
             self.fair(class).remove(class, caller, request, costs);
@@ -120,15 +120,15 @@
         }
     }
 
-    /// Corrects what `caller` was charged: its work took `took`, and it had paid `paid`.
+    /// Corrects the charge of `caller` from the expected to the actual time.
     pub fn charge(&mut self, class: Class, caller: &CallerId, end: Charge, costs: &Costs) {
         if self.fair {
-            self.give(class, end.took, end.paid);
+            self.account(class, end.took, end.paid);
             self.fair(class).charge(caller, end.took, end.paid, costs);
         }
     }
 
-    /// The slot time of what is served before the next request of `caller`.
+    /// The slot time of the work served before the next request of `caller`.
     pub fn ahead(&self, class: Class, caller: &CallerId, costs: &Costs) -> Span {
         let count = match class {
             _ if !self.fair => self.arrivals.len(),
@@ -138,7 +138,7 @@
         Span(count as u64 * costs.mean(class).0)
     }
 
-    /// The slot time of what is served before a read of a caller that has none waiting.
+    /// The slot time of the work served before a read of a caller that has none waiting.
     pub fn ahead_of_newcomer(&self, class: Class, costs: &Costs) -> Span {
         let count = match class {
             _ if !self.fair => self.arrivals.len(),
@@ -149,7 +149,7 @@
     }
 }
 
-/// What work took, and what its caller had paid when it started.
+/// The time that work took, and the time that its caller was charged when it started.
 #[derive(Debug, Clone, Copy)]
 pub struct Charge {
     /// The time in its slot.
--- a/src/core/gate/slot.rs
+++ b/src/core/gate/slot.rs
@@ -1,12 +1,12 @@
-//! Which slots are taken, and by what.
+//! The slots of one database, and the work that runs in them.
 //!
-//! **Pattern answered.** Long work among short: a night's reconciliation, a report.
-//! **Without it** two or three long statements take all slots of a database, and every short one
-//! waits for as long as the long ones run, a thousand times its own time.
+//! This handles long work among short work, such as a nightly reconciliation or a report. Without
+//! it two or three long statements take all slots of a database, and every short statement waits
+//! for as long as the long ones run, a thousand times its own time.
 //!
-//! Long work may take half of the slots, rounded down, and at least one where there is only one.
-//! With the 2 or 3 slots of today that is one, and short work keeps the rest. When long work may
-//! take its slot while short work waits is weighed in [`super::queue`].
+//! Long work may take half of the slots, rounded down, but always at least one. With the usual 2 or
+//! 3 slots that is one, and short work keeps the rest. [`super::queue`] decides when long work may
+//! take its slot while short work waits.
 
 use crate::clock::{Span, Time};
 use crate::core::gate::cost::Costs;
@@ -18,10 +18,10 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The slots of a database are divided by this for long work.
+/// Long work gets the number of slots divided by this.
 const LONG_DIVISOR: usize = 2;
 
-/// Work in a slot.
+/// Work that runs in a slot.
 #[derive(Debug, Clone, Serialize)]
 struct Running {
     item: Item,
@@ -34,7 +34,7 @@
 pub struct Ended {
     /// The work.
     pub item: Item,
-    /// How long it held the slot, and what was charged for that.
+    /// How long it held the slot, and the time charged for it at its start.
     pub charge: Charge,
 }
 
@@ -68,8 +68,8 @@
         self.limit.resize(count);
     }
 
-    /// Whether work that is not long may start. Where the adaptive limit has fallen to what
-    /// long work holds, one more slot still is free: short work must not wait for long work.
+    /// Whether work that is not long may start. If long work holds all that the adaptive limit
+    /// allows, one more slot is free: short work must not wait for long work.
     pub fn free(&self) -> bool {
         let running = self.running.len();
         let all_long = running == self.long && running < self.count as usize;
@@ -100,12 +100,12 @@
         self.running.contains_key(&request)
     }
 
-    /// How many run.
+    /// The number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Puts work into a slot, for which its caller was charged `paid`.
+    /// Starts work in a slot; its caller was charged `paid` for it.
     pub fn start(&mut self, now: Time, item: Item, paid: Span) {
         self.long += usize::from(item.class == Class::Long);
         let running = Running {
@@ -116,7 +116,7 @@
         self.running.insert(running.item.request, running);
     }
 
-    /// Takes work out of its slot.
+    /// Ends work and frees its slot.
     pub fn finish(&mut self, now: Time, request: RequestId) -> Option<Ended> {
         let full = self.running.len() >= self.allowed();
         let running = self.running.remove(&request)?;
@@ -135,7 +135,7 @@
         })
     }
 
-    /// How long work of `class` waits that has slot time `ahead` before it.
+    /// How long work of `class` waits behind work of `ahead` slot time.
     pub fn wait(&self, ahead: Span, class: Class, costs: &Costs) -> Span {
         let open = match class {
             Class::Long => self.free_for_long(),
