--- a/src/core/holder.rs
+++ b/src/core/holder.rs
@@ -1,4 +1,5 @@
-//! The holder of one database: its queue, its connections, and what is known of its log.
+//! The holder of one database: the VM that owns the database's queue and connections, and tracks
+//! how far its log is applied.
 
 mod connection;
 mod queue;
@@ -21,10 +22,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// How often a replica is asked for its state while reads wait for it to catch up.
-const REFRESH: Span = Span::from_millis(10);
+/// Interval at which a replica's state is read while reads wait for it to catch up.
+const REFRESH_INTERVAL: Span = Span::from_millis(10);
 
-/// One database as its holder has it.
+/// The holder's state of one database.
 #[derive(Debug)]
 pub(crate) struct Holder {
     pub database: DatabaseId,
@@ -47,24 +48,24 @@
     ended: Vec<Ended>,
 }
 
-/// A read that waits for its replica.
+/// A read that waits for its replica to catch up.
 #[derive(Debug)]
 struct Lagging {
     job: Job,
     until: Time,
 }
 
-/// Whether a database may serve a read now.
+/// Whether a database can serve work now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fit {
     Ready,
-    /// It may be soon.
+    /// Not yet, but probably soon.
     Soon,
     Behind,
     Lost,
 }
 
-/// A holder's state for `dump`.
+/// The state of a holder for `dump`.
 #[derive(Debug, Serialize)]
 pub(crate) struct Dump<'a> {
     group: &'a GroupId,
@@ -121,33 +122,33 @@
         }
     }
 
-    /// The configuration changed.
+    /// Applies a changed configuration.
     pub fn configure(&mut self, settings: &Database) {
         self.address = settings.address;
         self.gate.resize(settings.slots);
     }
 
-    /// Takes the jobs that have left since the last call.
+    /// Returns the jobs that have ended since the last call.
     pub fn take_ended(&mut self) -> Vec<Ended> {
         std::mem::take(&mut self.ended)
     }
 
-    /// Nothing waits, runs or holds a transaction.
+    /// Whether no job waits or runs and no transaction is open.
     pub fn is_quiet(&self) -> bool {
         self.jobs.is_empty() && self.lagging.is_empty() && self.transactions.is_empty()
     }
 
-    /// No transaction is open.
+    /// Whether no transaction is open.
     pub fn has_no_transaction(&self) -> bool {
         self.transactions.is_empty()
     }
 
-    /// Nothing waits or runs.
+    /// Whether no job waits or runs.
     pub fn has_no_job(&self) -> bool {
         self.jobs.is_empty() && self.lagging.is_empty()
     }
 
-    /// Nothing is left of it.
+    /// Whether no job, transaction or connection is left.
     pub fn is_empty(&self) -> bool {
         self.is_quiet() && self.connections.is_empty()
     }
@@ -157,20 +158,21 @@
         !self.is_quiet() || !self.connections.is_empty() && self.pool.wake().is_some()
     }
 
-    /// Changes what the database is to this VM. Work that the new role forbids ends.
+    /// Changes the role of the database on this VM. Work that the new role forbids ends.
     pub fn become_role(&mut self, turn: &mut Turn, role: Role) {
         if self.role == role {
             return;
         }
-        let was = std::mem::replace(&mut self.role, role);
+        let previous = std::mem::replace(&mut self.role, role);
         self.refresh_at = Time::default();
-        if was != Role::Replica && role.term() != was.term() {
-            self.depose(turn);
+        if previous != Role::Replica && role.term() != previous.term() {
+            self.end_primary_role(turn);
         }
         self.refresh(turn);
     }
 
-    /// What is known of the database, for an entry that knows of the leader of term `known`.
+    /// The database's state for an entry that knows the leader of term `known`; the leader is
+    /// included only if it is newer.
     pub fn hint(&self, now: Time, leader: Option<&Primary>, known: Option<Term>) -> Hint {
         let primary = leader.filter(|leader| known.is_none_or(|known| leader.term > known));
         Hint {
@@ -182,13 +184,13 @@
         }
     }
 
-    /// The database's state was read.
+    /// Handles the result of reading the database's state.
     pub fn observe(&mut self, turn: &mut Turn, state: Option<State>) {
         if state.is_some() {
             self.state = state;
         }
         self.refreshing = false;
-        self.refresh_at = turn.now + REFRESH;
+        self.refresh_at = turn.now + REFRESH_INTERVAL;
         self.recheck(turn);
         self.pump(turn);
     }
@@ -202,7 +204,8 @@
         self.proofs.age(now, &state.lineage, state.applied)
     }
 
-    /// An answer told how far the database had applied its log.
+    /// Updates the applied position from an answer. An answer from a later term than the known
+    /// lineage makes the state unknown.
     fn advance(&mut self, applied: Position) {
         let Some(state) = &mut self.state else {
             return;
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Whether the database may serve `work` as far as it has shown.
+    /// Whether the database can serve `work`, by its last known state.
     fn fit(&self, now: Time, work: &Work) -> Fit {
         if matches!(work.kind, Kind::Write | Kind::Begin) {
             return self.fit_write(work);
@@ -233,7 +236,7 @@
                 Standing::Kept => {}
             }
         }
-        // A primary's answer is passed on only under confirmations, so its data has no age.
+        // A primary's answer is passed on only while its term is confirmed, so its data has no age.
         let Some(max_age) = work.max_age.filter(|_| self.role == Role::Replica) else {
             return Fit::Ready;
         };
@@ -244,9 +247,11 @@
         }
     }
 
-    /// Failure: a session's write was lost in a failover, and the session writes on. Symptom:
-    /// its floor is overwritten and it never hears of the loss. Enough, because the lineage of
-    /// the term that runs the write is looked at first.
+    /// Whether the database can run a session's write.
+    ///
+    /// If an earlier write of the session was lost in a failover, this write would overwrite the
+    /// session's floor and the loss would never be reported. The floor is therefore first checked
+    /// against the lineage of the term that runs the write.
     fn fit_write(&self, work: &Work) -> Fit {
         let Some(floor) = work
             .floor
@@ -262,7 +267,7 @@
         }
     }
 
-    /// Asks the database for its state, unless that is under way or was done just now.
+    /// Reads the database's state, unless a read is in flight or was done a moment ago.
     fn refresh(&mut self, turn: &mut Turn) {
         if self.refreshing || turn.now < self.refresh_at {
             return;
--- a/src/core/holder/connection.rs
+++ b/src/core/holder/connection.rs
@@ -1,4 +1,4 @@
-//! A holder's connections: opened, used, kept by a transaction, and closed in doubt.
+//! A holder's connections to its database: opening, use, assignment to transactions, and closing.
 
 use super::{Holder, close};
 use crate::clock::Time;
@@ -16,7 +16,7 @@
 #[derive(Debug, Serialize)]
 pub(super) struct Connection {
     usage: Usage,
-    /// Asked to cancel what it runs.
+    /// Whether a cancel request was sent for its work.
     cancelled: bool,
 }
 
@@ -32,9 +32,9 @@
 #[derive(Debug, Serialize)]
 pub(super) struct Transaction {
     pub conn: ConnId,
-    /// A statement of it is queued or runs.
+    /// Whether a statement of it is queued or runs.
     pub running: bool,
-    /// When it is rolled back if nothing more comes.
+    /// When it is rolled back if no statement follows.
     until: Time,
 }
 
@@ -49,7 +49,7 @@
         found.map(|(conn, _)| *conn)
     }
 
-    /// Opens connections as the pool's growth says.
+    /// Opens as many connections as the pool's policy allows.
     pub(super) fn grow(&mut self, turn: &mut Turn) {
         if self.starved.is_empty() {
             return;
@@ -62,7 +62,7 @@
             turn.connect(conn, &self.database, self.address);
         }
         if self.connections.is_empty() {
-            self.give_up_starved(turn);
+            self.fail_starved(turn);
         }
     }
 
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Hands a job to a connection that is idle or belongs to its transaction.
+    /// Runs a job on a connection that is idle or belongs to the job's transaction.
     pub(super) fn run(&mut self, turn: &mut Turn, id: RequestId, conn: ConnId) {
         let timing = turn.timing();
         let (Some(job), Some(connection)) = (self.jobs.get(&id), self.connections.get_mut(&conn))
@@ -99,7 +99,7 @@
         turn.database(Command::Run { conn, run });
     }
 
-    /// A connection of this database did something.
+    /// Handles an event on a connection to this database.
     pub fn event(&mut self, turn: &mut Turn, event: Event) {
         match event {
             Event::Connected { conn } => self.connected(turn, conn),
@@ -125,7 +125,7 @@
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        // A cancel request may still be on its way and would hit the next caller's work.
+        // A cancel request may still be in flight and would cancel the next caller's work.
         if connection.cancelled {
             return self.close(turn, conn);
         }
@@ -135,14 +135,13 @@
 
     fn connect_failed(&mut self, turn: &mut Turn, conn: ConnId) {
         self.connections.remove(&conn);
-        // A database that is down is not to be asked in a tight loop either.
+        // A database that is down must not be asked in a tight loop either.
         self.pool.refused(turn.now);
     }
 
-    /// Failure: no connection can be opened. Symptom: work waits for one until its deadline and
-    /// its caller is told late. Enough, because without any connection open or opening nothing
-    /// has been run, so all that waits ends at once and can be tried elsewhere.
-    fn give_up_starved(&mut self, turn: &mut Turn) {
+    /// Ends all jobs that wait for a connection while none is open or opening. They have not been
+    /// run, so their callers can try another database now instead of waiting until their deadlines.
+    fn fail_starved(&mut self, turn: &mut Turn) {
         let cause = match self.role {
             Role::Replica => Cause::Refused,
             _ => Cause::NoPrimary,
@@ -152,9 +151,9 @@
         }
     }
 
-    /// Failure: an answer arrives for other work than the connection runs. Symptom: a caller
-    /// gets another's rows. Enough, because the connection is closed and the answer dropped.
-    fn running(&mut self, turn: &mut Turn, conn: ConnId, request: RequestId) -> bool {
+    /// Whether `conn` runs `request`. If it runs something else, the answer would reach another
+    /// caller, so the connection is closed and the answer dropped.
+    fn verify_running(&mut self, turn: &mut Turn, conn: ConnId, request: RequestId) -> bool {
         match self.connections.get(&conn).map(|c| &c.usage) {
             Some(Usage::Running { job, .. }) if *job == request => true,
             Some(_) => {
@@ -168,7 +167,7 @@
     }
 
     fn answered(&mut self, turn: &mut Turn, conn: ConnId, reply: Reply) {
-        if !self.running(turn, conn, reply.request) {
+        if !self.verify_running(turn, conn, reply.request) {
             return;
         }
         let Some(job) = self.release(turn.now, reply.request) else {
@@ -186,17 +185,19 @@
         } else {
             self.hold(turn, owner, conn);
         }
-        if self.shows_too_little(job.work.floor, &reply) {
+        if self.is_below_floor(job.work.floor, &reply) {
             self.roll_back(turn, &job.owner());
             return self.end(turn, job, End::Unknown(Unknown::Unconfirmed));
         }
         self.end(turn, job, End::Answered(reply));
     }
 
-    /// Failure: a replica was restarted or replaced since it showed its position. Symptom: a
-    /// session does not see its own write. Enough, because the answer itself tells how far the
-    /// log was applied, and one that tells less than the floor is not passed on.
-    fn shows_too_little(&self, floor: Option<Position>, reply: &Reply) -> bool {
+    /// Whether an answer comes from a log that does not include the session's floor.
+    ///
+    /// A replica may have been restarted or replaced since its position was read, and the session
+    /// would not see its own write. Each answer therefore carries the applied position, and an
+    /// answer below the floor is not passed on.
+    fn is_below_floor(&self, floor: Option<Position>, reply: &Reply) -> bool {
         let Some(floor) = floor else {
             return false;
         };
@@ -220,7 +221,7 @@
     }
 
     fn refused(&mut self, turn: &mut Turn, conn: ConnId, request: RequestId, refusal: Refusal) {
-        if !self.running(turn, conn, request) {
+        if !self.verify_running(turn, conn, request) {
             return;
         }
         let Some(job) = self.release(turn.now, request) else {
@@ -237,7 +238,7 @@
         self.end_not_run(turn, job, cause, Some(refusal));
     }
 
-    /// A connection is gone by itself.
+    /// Handles a connection that closed by itself.
     fn closed(&mut self, turn: &mut Turn, conn: ConnId) {
         let Some(connection) = self.connections.remove(&conn) else {
             return;
@@ -245,7 +246,7 @@
         self.idle.retain(|idle| *idle != conn);
         self.transactions.retain(|_, t| t.conn != conn);
         if let Usage::Running { job, .. } = connection.usage {
-            self.lose(turn, job);
+            self.end_unknown(turn, job);
         }
     }
 
@@ -256,8 +257,12 @@
         }
     }
 
-    /// Failure: something between the two ends has lost a connection; new ones work. Symptom:
-    /// a caller hangs. Enough, because each wait for a connection has its own deadline.
+    /// Closes connections that stopped answering, rolls back transactions whose idle time is over,
+    /// and closes surplus idle connections.
+    ///
+    /// The network between proxy and database can lose an open connection silently while new ones
+    /// work, and a caller would wait for ever. Each wait for a connection therefore has its own
+    /// deadline.
     pub(super) fn tick_connections(&mut self, turn: &mut Turn) {
         let now = turn.now;
         let silent = |usage: &Usage| match usage {
@@ -266,8 +271,8 @@
         };
         let silent = self.connections.iter().filter(|(_, c)| silent(&c.usage));
         let silent: Vec<ConnId> = silent.map(|(conn, _)| *conn).collect();
-        // Whatever lost track of one has as likely lost track of those that were idle beside it;
-        // each would cost the next caller its whole patience.
+        // What lost this connection has probably lost those that were idle at the same time; each
+        // of them would cost the next caller its whole timeout.
         if !silent.is_empty() {
             self.close_idle(turn);
         }
@@ -293,16 +298,19 @@
         }
     }
 
-    /// Closes every idle connection: another VM holds the database, or it is leaving.
+    /// Closes every idle connection. Used when another VM holds the database, or it is being
+    /// removed.
     pub fn close_idle(&mut self, turn: &mut Turn) {
         while !self.idle.is_empty() {
             self.close_one_idle(turn);
         }
     }
 
-    /// Failure: a caller, its entry or its patience is gone in the middle of a transaction.
-    /// Symptom: locks stay, or the next caller's work joins the transaction. Enough, because
-    /// the connection is closed, which ends the database's session, and never used again.
+    /// Rolls back an open transaction by closing its connection.
+    ///
+    /// When a caller or its entry is gone or its time is over, locks must not stay held and the
+    /// next caller's work must not join the transaction. Closing the connection ends the database
+    /// session, and the connection is never used again.
     pub(super) fn roll_back(&mut self, turn: &mut Turn, owner: &(VmId, Link)) {
         if let Some(transaction) = self.transactions.remove(owner) {
             turn.world.counters.rollbacks += 1;
@@ -310,7 +318,7 @@
         }
     }
 
-    /// Rolls back the transactions that run nothing just now.
+    /// Rolls back the transactions that have no statement queued or running.
     pub(super) fn roll_back_idle(&mut self, turn: &mut Turn) {
         let idle = self.transactions.iter().filter(|(_, t)| !t.running);
         let idle: Vec<(VmId, Link)> = idle.map(|(owner, _)| owner.clone()).collect();
--- a/src/core/holder/queue.rs
+++ b/src/core/holder/queue.rs
@@ -1,5 +1,5 @@
-//! Work on its way to a connection: checks, the queue, and the ends that it can come to
-//! without having been run.
+//! The path of work to a connection: checks, the queue, and the ways in which it can end without
+//! having been run.
 
 use super::{Fit, Holder, Lagging};
 use crate::clock::{Span, Time};
@@ -12,12 +12,12 @@
 use crate::core::world::Turn;
 use crate::types::{Link, RequestId, VmId};
 
-/// Reads that may wait for one replica to catch up. More would wait for the primary in the end
-/// and reach it all at once.
-const LAGGING_LIMIT: usize = 256;
+/// Maximum number of reads that wait for one replica to catch up. More would end up waiting for the
+/// primary and reach it all at once.
+const MAX_LAGGING: usize = 256;
 
 impl Holder {
-    /// An entry sends work.
+    /// Accepts work from an entry.
     pub fn offer(&mut self, turn: &mut Turn, origin: VmId, work: Work) {
         let job = Job {
             id: turn.id(),
@@ -30,7 +30,7 @@
         if job.continues() {
             return self.offer_continued(turn, job);
         }
-        if let Some(cause) = self.refuses(turn, &job) {
+        if let Some(cause) = self.rejection(turn, &job) {
             return self.end_not_run(turn, job, cause, None);
         }
         match self.fit(turn.now, &job.work) {
@@ -42,10 +42,12 @@
         self.pump(turn);
     }
 
-    /// Failure: a database is being taken away, or its primary's role has moved. Symptom: work
-    /// is cut, or written where it will be lost. Enough, because nothing starts here any more
-    /// and what did start keeps its connection to its end.
-    fn refuses(&self, turn: &Turn, job: &Job) -> Option<Cause> {
+    /// Why `job` may not start here, if so.
+    ///
+    /// When a database is being removed or its primary role has moved, work must not be cut off or
+    /// written where it would be lost. No new work starts then, and running work keeps its
+    /// connection until it ends.
+    fn rejection(&self, turn: &Turn, job: &Job) -> Option<Cause> {
         if let Some(cause) = self.role.forbids(&job.work) {
             return Some(cause);
         }
@@ -71,7 +73,7 @@
 
     fn wait_for_log(&mut self, turn: &mut Turn, job: Job) {
         let catch_up = turn.timing().catch_up;
-        if self.lagging.len() >= LAGGING_LIMIT {
+        if self.lagging.len() >= MAX_LAGGING {
             return self.end_behind(turn, job);
         }
         let until = job.deadline.min(turn.now + catch_up);
@@ -79,7 +81,8 @@
         self.refresh(turn);
     }
 
-    /// Reads that wait for the log may go on now, or have waited long enough.
+    /// Checks the reads that wait for the log: runs those that the replica can serve now, and ends
+    /// those that have waited too long.
     pub(super) fn recheck(&mut self, turn: &mut Turn) {
         if self.lagging.is_empty() {
             return;
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Gives slots and connections to what waits, as far as there are any.
+    /// Gives free slots and connections to waiting jobs.
     pub(super) fn pump(&mut self, turn: &mut Turn) {
         while let Some(&id) = self.starved.front() {
             let Some(conn) = self.idle.pop() else { break };
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Takes a job out of the queue and its slot.
+    /// Removes a job from the queue and its slot.
     pub(super) fn release(&mut self, now: Time, id: RequestId) -> Option<Job> {
         self.gate.remove(id);
         self.gate.finish(now, id);
@@ -183,8 +186,8 @@
         self.end(turn, job, End::NotRun(not_run, refused));
     }
 
-    /// Failure: one statement of a transaction is not run, and its caller goes on to commit.
-    /// Symptom: half a booking. Enough, because the whole transaction is rolled back with it.
+    /// Ends a job. If a statement of a transaction was not run and its caller went on to commit,
+    /// half of a booking would be stored; so the whole transaction is rolled back.
     pub(super) fn end(&mut self, turn: &mut Turn, job: Job, mut end: End) {
         if job.continues() && !matches!(end, End::Answered(_)) {
             self.roll_back(turn, &job.owner());
@@ -206,7 +209,7 @@
         }
     }
 
-    /// Ends what waited too long, and connections that fell silent.
+    /// Ends jobs that waited too long, and closes connections that stopped answering.
     pub fn tick(&mut self, turn: &mut Turn) {
         for item in self.gate.expire(turn.now) {
             if let Some(job) = self.jobs.remove(&item.request) {
@@ -224,9 +227,9 @@
         self.pump(turn);
     }
 
-    /// The role of primary is over: what has not started will not, and open transactions, whose
-    /// commits the database now refuses, are rolled back.
-    pub(super) fn depose(&mut self, turn: &mut Turn) {
+    /// Handles the end of the primary role: jobs that have not started end, and open transactions,
+    /// whose commits the database now refuses, are rolled back.
+    pub(super) fn end_primary_role(&mut self, turn: &mut Turn) {
         let waiting = |id: &RequestId| !self.is_running(*id);
         let waiting: Vec<RequestId> = self.jobs.keys().copied().filter(waiting).collect();
         for id in waiting {
@@ -238,14 +241,23 @@
         self.roll_back_idle(turn);
     }
 
-    /// An entry's caller cancels its request.
+    /// Cancels a request for an entry's caller.
     pub fn cancel(&mut self, turn: &mut Turn, origin: &VmId, request: RequestId) {
-        let asked = |job: &Job| job.work.request == request && job.origin == *origin;
-        if let Some(index) = self.lagging.iter().position(|lagging| asked(&lagging.job)) {
+        let is_requested = |job: &Job| job.work.request == request && job.origin == *origin;
+        if let Some(index) = self
+            .lagging
+            .iter()
+            .position(|lagging| is_requested(&lagging.job))
+        {
             let job = self.lagging.swap_remove(index).job;
             return self.end_not_run(turn, job, Cause::Expired, None);
         }
-        let Some(id) = self.jobs.values().find(|job| asked(job)).map(|job| job.id) else {
+        let Some(id) = self
+            .jobs
+            .values()
+            .find(|job| is_requested(job))
+            .map(|job| job.id)
+        else {
             return;
         };
         if self.is_running(id) {
@@ -256,13 +268,13 @@
         self.pump(turn);
     }
 
-    /// A caller's connection is gone, or with no `link` a whole VM.
+    /// Handles the end of a caller's connection, or without `link` the loss of a whole VM.
     pub fn depart(&mut self, turn: &mut Turn, vm: &VmId, link: Option<Link>) {
         let gone = |job: &Job| job.origin == *vm && link.is_none_or(|link| link == job.work.link);
         self.lagging.retain(|lagging| !gone(&lagging.job));
-        let theirs = self.jobs.values().filter(|job| gone(job));
-        let theirs: Vec<RequestId> = theirs.map(|job| job.id).collect();
-        for id in theirs {
+        let departed = self.jobs.values().filter(|job| gone(job));
+        let departed: Vec<RequestId> = departed.map(|job| job.id).collect();
+        for id in departed {
             self.abandon(turn, id);
         }
         self.roll_back_departed(turn, vm, link);
@@ -286,8 +298,8 @@
         }
     }
 
-    /// A running job's connection broke or fell silent.
-    pub(super) fn lose(&mut self, turn: &mut Turn, id: RequestId) {
+    /// Ends a running job whose connection broke or stopped answering.
+    pub(super) fn end_unknown(&mut self, turn: &mut Turn, id: RequestId) {
         if let Some(job) = self.release(turn.now, id) {
             self.end(turn, job, End::Unknown(Unknown::Broken));
         }
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -1,4 +1,4 @@
-//! Work at its database's holder, and what came of it.
+//! Jobs: work at its database's holder, and its result.
 
 use crate::clock::Time;
 use crate::config::Timing;
@@ -10,19 +10,19 @@
 /// Work at its database's holder.
 #[derive(Debug, Clone)]
 pub(crate) struct Job {
-    /// The holder's own number for it.
+    /// The holder's own number for the job.
     pub id: RequestId,
-    /// The entry's VM.
+    /// The VM of the entry that sent it.
     pub origin: VmId,
     pub work: Work,
     pub deadline: Time,
-    /// The term under which it runs, on a primary.
+    /// The term in which it runs, on a primary.
     pub term: Option<Term>,
-    /// The entry or its caller is gone: nobody is told.
+    /// Whether the entry or its caller is gone, so that no answer is sent.
     pub abandoned: bool,
 }
 
-/// What came of a job at its database.
+/// The result of a job at its database.
 #[derive(Debug)]
 pub(crate) enum End {
     Answered(Reply),
@@ -30,7 +30,7 @@
     Unknown(Unknown),
 }
 
-/// A job that has left the holder.
+/// A job that has ended, with its result.
 #[derive(Debug)]
 pub(crate) struct Ended {
     pub job: Job,
@@ -47,7 +47,7 @@
         (self.origin.clone(), self.work.link)
     }
 
-    /// When its connection counts as silent, if it is run at `now`.
+    /// When its connection counts as silent, if the job starts at `now`.
     pub fn silent_at(&self, now: Time, timing: Timing) -> Time {
         let answer = now + timing.answer;
         if self.work.class == Class::Long {
--- a/src/core/role.rs
+++ b/src/core/role.rs
@@ -1,21 +1,21 @@
-//! What a database is to this VM, and what that forbids.
+//! The role of a database on this VM, and the work that it forbids.
 
 use crate::core::message::Work;
 use crate::core::request::{Cause, Kind};
 use crate::types::Term;
 use serde::Serialize;
 
-/// What the database is to this VM.
+/// The role of a database on this VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Role {
-    /// It serves reads that it is new enough for.
+    /// It serves the reads for which it is new enough.
     Replica,
-    /// This VM is the steward and it is the primary of this term.
+    /// This VM is the group's steward, and the database is its primary in this term.
     Primary(Term),
-    /// As before, but the group is about to be handed over: no transaction starts.
+    /// As `Primary`, but the group is about to be handed over: no transaction starts.
     Draining(Term),
-    /// As before, and nothing starts.
+    /// As `Draining`, and no work starts.
     Frozen(Term),
 }
 
@@ -30,9 +30,9 @@
 
     /// Why `work` may not start, if so.
     ///
-    /// Failure: a read without a floor is sent to a steward that was replaced meanwhile.
-    /// Symptom: it is answered from an old primary as if from a replica, and its session does
-    /// not see its write. Enough, because work for a primary is refused by every other role.
+    /// A read without a floor may be sent to a steward that was replaced meanwhile. An old primary
+    /// would answer it as if it were a replica, and the session would not see its own write. Work
+    /// for a primary is therefore refused in every other role.
     pub fn forbids(self, work: &Work) -> Option<Cause> {
         let begins = matches!(work.kind, Kind::Begin | Kind::BeginRead);
         match self {
