--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -1,34 +1,34 @@
-//! How many connections a holder keeps to a database, and when it opens more.
+//! The size of a holder's connection pool to a database.
 //!
-//! **Pattern answered.** A burst after quiet (a new connection takes about 10 ms, longer than
-//! most statements), transactions that hold connections, and a second holder that uses the same
-//! database's connection limit while the list of VMs lags.
-//! **Without it** the first statements of each burst wait for connections, a holder that lost its
-//! database leaves no room for the next one, and one that is refused asks again in a tight loop,
-//! which costs the database more than the statements would.
+//! This handles a burst after quiet (a new connection takes about 10 ms, longer than most
+//! statements), transactions that hold connections, and a second holder that uses the same
+//! database's connection limit while the list of VMs lags. Without it the first statements of each
+//! burst wait for connections, a holder that lost its database leaves no connections for the next
+//! one, and a holder that is refused asks again in a tight loop, which costs the database more than
+//! the statements would.
 
 use crate::clock::{Span, Time};
 use serde::Serialize;
 
-/// How long an idle connection above the spare ones is kept: bursts of callers' working hours
-/// are seconds apart, and an unused connection costs the database memory.
-const KEEP: Span = Span::from_secs(30);
+/// How long an idle connection above the spare ones is kept: in working hours bursts are seconds
+/// apart, and an unused connection costs the database memory.
+const IDLE_TIMEOUT: Span = Span::from_secs(30);
 
-/// The first pause after a refusal: a few times what opening takes.
-const FIRST_PAUSE: Span = Span::from_millis(50);
+/// The first pause after a refusal: a few times as long as opening a connection takes.
+const MIN_PAUSE: Span = Span::from_millis(50);
 
-/// The longest pause after refusals in a row: the other holder learns within seconds that it
-/// holds the database no more, and its room should be found soon after.
-const LONGEST_PAUSE: Span = Span::from_secs(1);
+/// The longest pause after repeated refusals: the other holder learns within seconds that it no
+/// longer holds the database, and its connections should be available soon after.
+const MAX_PAUSE: Span = Span::from_secs(1);
 
-/// What a holder has and wants of a database's connections.
+/// A holder's open connections, and its waiting work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Demand {
-    /// Work that waits for a connection although it has a slot.
+    /// Work that has a slot and waits for a connection.
     pub waiting: u32,
     /// Connections that are open and idle.
     pub idle: u32,
-    /// Connections that run something or hold a transaction.
+    /// Connections that run a statement or hold a transaction.
     pub busy: u32,
     /// Connections being opened.
     pub opening: u32,
@@ -40,12 +40,12 @@
     }
 }
 
-/// How a pool behaves; [`Policy::naive`] is the baseline of measurements.
+/// The rules of a pool; [`Policy::naive`] is the baseline of measurements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Policy {
-    /// Connections kept open and idle for the next burst.
+    /// Idle connections kept open for the next burst.
     pub spare: u32,
-    /// Connections of the database's limit that are left to another holder.
+    /// Connections of the database's limit that are left for another holder.
     pub left: u32,
     /// Whether a refusal is followed by a pause.
     pub pauses: bool,
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Keeps as many connections spare as the database runs statements, and leaves as many to the
-    /// next holder, so that it can run a full load from its first moment.
+    /// Keeps as many spare connections as the database runs statements, and leaves as many to the
+    /// next holder, so that it can run a full load at once.
     pub fn for_slots(slots: u32) -> Self {
         Self {
             spare: slots,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The growth of one pool.
+/// The growth and shrinking of one pool.
 #[derive(Debug, Clone, Serialize)]
 pub struct Pool {
     limit: u32,
@@ -84,7 +84,8 @@
 }
 
 impl Pool {
-    /// A pool to a database that accepts `limit` connections in all and runs `slots` at once.
+    /// A pool for a database that accepts `limit` connections in all and runs `slots` statements at
+    /// once.
     pub fn new(limit: u32, slots: u32) -> Self {
         Self::with(limit, Policy::for_slots(slots))
     }
@@ -101,18 +102,18 @@
         }
     }
 
-    /// How many connections to open now.
+    /// The number of connections to open now.
     pub fn grow(&mut self, now: Time, demand: Demand) -> u32 {
         if self.opens_at.is_some_and(|opens| now < opens) {
             return 0;
         }
         self.opens_at = None;
         let free = demand.idle + demand.opening;
-        let want = (demand.waiting + self.policy.spare).saturating_sub(free);
-        want.min(self.cap().saturating_sub(demand.held()))
+        let wanted = (demand.waiting + self.policy.spare).saturating_sub(free);
+        wanted.min(self.cap().saturating_sub(demand.held()))
     }
 
-    /// How many idle connections to close now.
+    /// The number of idle connections to close now.
     pub fn shrink(&mut self, now: Time, demand: Demand) -> u32 {
         let surplus = demand.idle.saturating_sub(self.policy.spare);
         if surplus == 0 || demand.waiting > 0 || self.policy.spare == 0 {
@@ -120,7 +121,7 @@
             self.shrinks_at = None;
             return 0;
         }
-        let due = self.needed_at + KEEP;
+        let due = self.needed_at + IDLE_TIMEOUT;
         if now < due {
             self.shrinks_at = Some(due);
             return 0;
@@ -130,22 +131,22 @@
         surplus
     }
 
-    /// The database refused a connection for want of room, because another holder has it, or
+    /// Records that the database refused a connection because another holder uses its limit, or
     /// could not be reached.
     pub fn refused(&mut self, now: Time) {
         if !self.policy.pauses {
             return;
         }
-        self.pause = Span((self.pause.0 * 2).clamp(FIRST_PAUSE.0, LONGEST_PAUSE.0));
+        self.pause = Span((self.pause.0 * 2).clamp(MIN_PAUSE.0, MAX_PAUSE.0));
         self.opens_at = Some(now + self.pause);
     }
 
-    /// A connection was opened.
+    /// Records that a connection was opened.
     pub fn opened(&mut self, _now: Time) {
         self.pause = Span::ZERO;
     }
 
-    /// When `grow` or `shrink` may give another answer without anything having happened.
+    /// When `grow` or `shrink` may return another number without any event.
     pub fn wake(&self) -> Option<Time> {
         [self.opens_at, self.shrinks_at].into_iter().flatten().min()
     }
--- a/src/core/recent.rs
+++ b/src/core/recent.rs
@@ -1,10 +1,10 @@
-//! A map that holds so many entries and forgets the one used longest ago.
+//! A least-recently-used map with a maximum number of entries.
 
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 use std::hash::Hash;
 
-/// A bounded map in order of use.
+/// A bounded map that evicts the entry used longest ago.
 #[derive(Debug)]
 pub(crate) struct Recent<K, V> {
     limit: usize,
@@ -46,8 +46,8 @@
         self.entries.iter().map(|(key, entry)| (key, &entry.value))
     }
 
-    /// The entry of `key`, made by `make` if there is none, as the one used last; and the
-    /// entry that had to go for it.
+    /// Returns the entry of `key`, inserting one from `make` if there is none, and marks it as used
+    /// last; also returns the entry that was evicted for it.
     pub fn touch(&mut self, key: &K, make: impl FnOnce() -> V) -> (&mut V, Option<(K, V)>) {
         self.clock += 1;
         let evicted = match self.entries.get_mut(key) {
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -1,4 +1,4 @@
-//! What callers ask for, and the three things that they can be told.
+//! Callers' requests, and their three possible outcomes.
 
 use crate::clock::{Span, Time};
 use crate::types::{CallerId, GroupId, Link, PoolId, Position, RequestKey, SessionId};
@@ -8,37 +8,37 @@
 /// A batch of protocol messages from one caller, up to the point where it waits for an answer.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The caller's connection; it has one request under way at a time.
+    /// The caller's connection; it has at most one request in flight.
     pub link: Link,
-    /// The session whose writes its reads must see; absent if the connection is a session of
-    /// its own, which no other proxy can meet.
+    /// The session whose writes its reads must see; `None` if the connection is a session of its
+    /// own, which no other proxy serves.
     pub session: Option<SessionId>,
-    /// Who asks.
+    /// The caller that sent it.
     pub caller: CallerId,
-    /// The pool that its user name and group select.
+    /// The pool selected by its user name and group.
     pub pool: PoolId,
     /// The group addressed.
     pub group: GroupId,
     /// What the batch does.
     pub kind: Kind,
-    /// The age that the caller accepts for this read, or its pool's where the caller does not
-    /// say; absent: its session's floor decides.
+    /// The age that the caller accepts for this read, or its pool's if the caller sets none; `None`
+    /// if its session's floor decides.
     pub max_age: Option<Span>,
-    /// A key under which a write's outcome can be asked again.
+    /// A key with which the outcome of a write can be queried again.
     pub key: Option<RequestKey>,
-    /// A floor that the caller showed in a valid token.
+    /// A floor from a valid token that the caller sent.
     pub shown: Option<Position>,
-    /// When the caller has no more use for an answer.
+    /// The time after which the caller does not use an answer.
     pub deadline: Time,
-    /// The frontend messages as the database is to get them.
+    /// The frontend messages to send to the database.
     pub body: Bytes,
 }
 
-/// What a batch does, as far as its text tells.
+/// What a batch does, as far as its text shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// It only reads; any database that is new enough will do.
+    /// It only reads; any database that is new enough can run it.
     Read,
     /// It may write; the primary runs it.
     Write,
@@ -46,11 +46,11 @@
     BeginRead,
     /// It opens a transaction that may write.
     Begin,
-    /// It belongs to the transaction that the link has open.
+    /// It belongs to the transaction that the connection has open.
     Continue,
 }
 
-/// The order in which kinds of work are served when a database is busy.
+/// Priority classes, in the order in which they are served when a database is busy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
@@ -60,11 +60,11 @@
     Session,
     /// Reads of a stated age.
     Aged,
-    /// Work that runs long.
+    /// Long-running work.
     Long,
 }
 
-/// What a caller is told about a request, once.
+/// The outcome that a caller gets for a request, exactly once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
@@ -82,9 +82,9 @@
 pub struct Done {
     /// The backend messages, without the closing ReadyForQuery.
     pub body: Bytes,
-    /// What ReadyForQuery said.
+    /// The transaction status from ReadyForQuery.
     pub status: Status,
-    /// Where the session's own write ended, if it wrote.
+    /// The log position at the end of the session's own write, if it wrote.
     pub wrote: Option<Position>,
     /// Whether a replica answered.
     pub replica: bool,
@@ -102,24 +102,24 @@
     Failed,
 }
 
-/// Why a request was not run, and when to come back.
+/// Why a request was not run, and when to retry it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct NotRun {
     /// The cause.
     pub cause: Cause,
-    /// When it is worth sending again.
+    /// The delay before a retry is useful.
     pub retry_after: Span,
 }
 
-/// Causes of "not run". The message names the remedy.
+/// Causes of "not run". The message states the remedy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
     /// The queue's wait would be longer than the caller's deadline.
     #[error("the database is busy: send the request again after the stated time")]
     Busy,
-    /// The group has no primary open for writes just now.
+    /// The group has no primary open for writes at the moment.
     #[error("the group is changing its primary: send the request again after the stated time")]
     NoPrimary,
     /// No database that is new enough could be reached.
@@ -137,10 +137,10 @@
     /// The database refused it before running it.
     #[error("the database refused the statement unrun: send it again")]
     Refused,
-    /// The transaction's connection or primary went away; the transaction is rolled back.
+    /// The transaction's connection or primary was lost; the transaction is rolled back.
     #[error("the transaction was rolled back: run it again from its start")]
     RolledBack,
-    /// A write of this session was lost in a failover. Told once.
+    /// A write of this session was lost in a failover. Reported once.
     #[error(
         "a write of this session was lost when the primary was replaced: check what the session wrote and write it again"
     )]
@@ -151,7 +151,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum Unknown {
-    /// The connection broke or fell silent after the work was sent.
+    /// The connection broke or stopped answering after the work was sent.
     #[error(
         "the connection to the database broke while the work ran: read back, or ask with the request key"
     )]
@@ -161,7 +161,7 @@
         "the primary may have been replaced when it answered: read back, or ask with the request key"
     )]
     Unconfirmed,
-    /// Too few databases had the write in time.
+    /// Too few databases received the write in time.
     #[error("too few replicas had the write in time: read back, or ask with the request key")]
     Unreplicated,
     /// The proxy that ran it could not be reached any more.
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -1,32 +1,31 @@
-//! How many retries a proxy may add to its callers' load.
+//! A budget for the retries that a proxy adds to its callers' load.
 //!
-//! **Pattern answered.** A database or a domain is lost, or everything is saturated, and many
-//! requests fail at once.
-//! **Without it** each failed request is sent again while what caused the failure lasts: the load
-//! doubles or trebles exactly where it can't be served, and stays so after the cause is gone.
+//! This handles a database or a domain that is lost, or saturation, where many requests fail at
+//! once. Without it each failed request is sent again while the cause of the failure lasts: the
+//! load doubles or triples exactly where it can't be served, and stays so after the cause is gone.
 //!
-//! First tries pay a tenth of a retry each, so retries add at most a tenth to the load for
-//! longer than a moment. A full budget covers the requests that one lost connection or holder
-//! takes along. A trickle lets a proxy with hardly any callers retry too.
+//! Each first attempt deposits a tenth of a retry, so over time retries add at most a tenth to the
+//! load. A full budget covers the requests that are lost with one connection or holder. A slow
+//! refill by time lets a proxy with few callers retry too.
 
 use crate::clock::{Span, Time};
 use serde::Serialize;
 
-/// A tenth of a retry for each first try: an overload grows by 10% at most, which
-/// admission turns away without harm.
-const PAID_BY_TRY: u64 = 100;
+/// Deposit of a first attempt in thousandths: a tenth of a retry. Retries then increase an overload
+/// by at most 10%, which admission control rejects without harm.
+const DEPOSIT_PER_TRY: u64 = 100;
 
-/// What one retry costs, in thousandths.
-const PRICE: u64 = 1_000;
+/// Cost of one retry in thousandths.
+const RETRY_COST: u64 = 1_000;
 
-/// A hundred retries at most are saved up: about the reads that one entry has under way to a
-/// domain in the second until its loss is noticed.
-const MOST: u64 = 100 * PRICE;
+/// Maximum balance in thousandths: a hundred retries, about the reads that one entry has in flight
+/// to a domain in the second until its loss is detected.
+const MAX_BALANCE: u64 = 100 * RETRY_COST;
 
-/// Time that pays for one retry: an idle proxy can afford one a second.
-const TRICKLE: Span = Span::from_secs(1);
+/// Time in which the balance grows by one retry: an idle proxy can make one a second.
+const REFILL_INTERVAL: Span = Span::from_secs(1);
 
-/// A budget of retries, paid in by first tries.
+/// A budget of retries, filled by first attempts.
 #[derive(Debug, Clone, Serialize)]
 pub struct Budget {
     limited: bool,
@@ -38,14 +37,14 @@
     fn default() -> Self {
         Self {
             limited: true,
-            thousandths: MOST,
+            thousandths: MAX_BALANCE,
             paid_until: Time::default(),
         }
     }
 }
 
 impl Budget {
-    /// No limit on retries: the baseline of measurements.
+    /// No limit on retries. This is the baseline of measurements.
     pub fn naive() -> Self {
         Self {
             limited: false,
@@ -53,18 +52,18 @@
         }
     }
 
-    /// A first try was made.
+    /// Records a first attempt.
     pub fn deposit(&mut self, _now: Time) {
-        self.pay(PAID_BY_TRY);
+        self.credit(DEPOSIT_PER_TRY);
     }
 
-    /// Whether one retry may be made now; it is paid for if so.
+    /// Whether one retry may be made now; its cost is deducted if so.
     pub fn withdraw(&mut self, now: Time) -> bool {
-        self.trickle(now);
+        self.refill(now);
         if !self.limited {
             return true;
         }
-        match self.thousandths.checked_sub(PRICE) {
+        match self.thousandths.checked_sub(RETRY_COST) {
             Some(rest) => {
                 self.thousandths = rest;
                 true
@@ -73,13 +72,16 @@
         }
     }
 
-    fn trickle(&mut self, now: Time) {
+    fn refill(&mut self, now: Time) {
         let passed = now.since(self.paid_until).0;
         self.paid_until = now.max(self.paid_until);
-        self.pay(passed.saturating_mul(PRICE) / TRICKLE.0);
+        self.credit(passed.saturating_mul(RETRY_COST) / REFILL_INTERVAL.0);
     }
 
-    fn pay(&mut self, thousandths: u64) {
-        self.thousandths = self.thousandths.saturating_add(thousandths).min(MOST);
+    fn credit(&mut self, thousandths: u64) {
+        self.thousandths = self
+            .thousandths
+            .saturating_add(thousandths)
+            .min(MAX_BALANCE);
     }
 }
