--- a/tests/decisions_gate.rs
+++ b/tests/decisions_gate.rs
@@ -1,4 +1,4 @@
-//! What a gate lets in, in which order, and what it turns away.
+//! Admission, order and rejection at a gate.
 
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::core::gate::{Gate, Item, Policy};
@@ -22,7 +22,7 @@
     Time::default() + Span::from_millis(millis)
 }
 
-/// Runs everything that waits, one statement of [`RUN`] after the other; tells the order.
+/// Runs all waiting work one by one, [`RUN`] each, and returns the order.
 fn drain(gate: &mut Gate, mut now: Time) -> Vec<Item> {
     let mut order = Vec::new();
     while let Some(next) = gate.next(now) {
@@ -33,8 +33,9 @@
     order
 }
 
-// A script has a hundred requests waiting when a clerk sends one. The clerk's is served next,
-// since the script has had its share; first come first served would make it wait for the hundred.
+// A script has a hundred requests waiting when a clerk sends one. The clerk's request is served
+// next, since the script has used its share; first come, first served makes it wait for the
+// hundred.
 #[test]
 fn a_quiet_caller_passes_a_greedy_one() {
     let place = |policy| {
@@ -57,8 +58,8 @@
     assert!(place(Policy::full()) <= 1);
 }
 
-// Two callers whose requests wait all the time get the same slot time, although the
-// statements of one take four times as long: it gets a fourth as many.
+// Two callers always have requests waiting and get the same slot time. The statements of one take
+// four times as long, so it gets a quarter as many.
 #[test]
 fn shares_are_of_time() {
     let mut gate = Gate::with(1, Policy::full());
@@ -80,8 +81,9 @@
     assert!((3.5..4.5).contains(&ratio), "{counts:?}");
 }
 
-// One caller's confirmations go before its reads, but while they flood in each class of reads
-// still gets what it is owed: a session read in four starts, an aged one in eight.
+// One caller's confirmations go before its reads, but under a flood of confirmations each class of
+// reads still gets its guaranteed part: one start in four for session reads, one in eight for aged
+// reads.
 #[test]
 fn confirmations_first_and_no_class_starves() {
     let mut gate = Gate::with(1, Policy::full());
@@ -106,7 +108,7 @@
     assert!(count(Class::Aged) >= 6, "{}", count(Class::Aged));
 }
 
-// Reports that run for seconds arrive before a clerk's reads. Of two slots they get one, and the
+// Reports that run for seconds arrive before a clerk's reads. They get one of two slots, and the
 // clerk's reads are served at once; without the rule both slots are taken for seconds.
 #[test]
 fn long_work_leaves_a_slot() {
@@ -122,29 +124,28 @@
     assert_eq!(gate.next(at(1)).unwrap().request, RequestId(9));
 }
 
-// A burst of ten thousand requests hits a database with one slot. Those that can be served in
-// their time are let in, the others hear at once that they were not run, and when to come back:
-// not all in the same instant.
+// A burst of ten thousand requests reaches a database with one slot. Requests that can be served in
+// time are accepted. The others are rejected at once, with retry times that are spread out.
 #[test]
 fn a_burst_is_let_in_as_far_as_it_can_be_served() {
     let mut gate = Gate::with(1, Policy::full());
-    let mut back = BTreeSet::new();
+    let mut retries = BTreeSet::new();
     for request in 0..10_000 {
         let offered = item(request, "crowd", Class::Aged, at(1_000));
-        if let Err(told) = gate.offer(at(0), offered) {
-            assert_eq!(told.cause, Cause::Busy);
-            assert!(told.retry_after >= Span::from_millis(900));
-            back.insert(told.retry_after);
+        if let Err(rejected) = gate.offer(at(0), offered) {
+            assert_eq!(rejected.cause, Cause::Busy);
+            assert!(rejected.retry_after >= Span::from_millis(900));
+            retries.insert(rejected.retry_after);
         }
     }
     assert!((150..=200).contains(&gate.waiting()), "{}", gate.waiting());
-    assert!(back.len() > 5_000);
+    assert!(retries.len() > 5_000);
     let waiting = gate.waiting();
     let served = drain(&mut gate, at(0)).len();
     assert_eq!(served, waiting);
 }
 
-// A queue that has not been empty for over a second is kept to a quarter of its callers' time.
+// A queue that has not been empty for over a second is limited to a quarter of its callers' time.
 #[test]
 fn a_load_that_lasts_keeps_a_short_queue() {
     let mut gate = Gate::with(1, Policy::full());
@@ -186,13 +187,13 @@
     );
 }
 
-/// One thing that happens to a gate.
+/// One operation on a gate.
 #[derive(Debug, Clone)]
 enum Step {
     Offer {
         caller: u8,
         class: Class,
-        patience: u16,
+        timeout: u16,
     },
     Next,
     Finish(u8),
@@ -208,7 +209,7 @@
             0..=2 => Step::Offer {
                 caller: u8::arbitrary(g) % 5,
                 class: *g.choose(&classes).unwrap_or(&Class::Aged),
-                patience: u16::arbitrary(g) % 500,
+                timeout: u16::arbitrary(g) % 500,
             },
             3 => Step::Next,
             4 => Step::Finish(u8::arbitrary(g)),
@@ -219,7 +220,7 @@
     }
 }
 
-/// A gate and what should be in it.
+/// A gate and its expected contents.
 struct Model {
     gate: Gate,
     slots: usize,
@@ -242,9 +243,9 @@
             Step::Offer {
                 caller,
                 class,
-                patience,
+                timeout,
             } => {
-                let deadline = self.now + Span::from_millis(patience.into());
+                let deadline = self.now + Span::from_millis(timeout.into());
                 let item = item(number, &format!("c{caller}"), class, deadline);
                 if self.gate.offer(self.now, item.clone()).is_ok() {
                     self.waiting.insert(item.request, item);
@@ -274,7 +275,7 @@
                         return false;
                     }
                 }
-                // What is past its deadline is out, and nothing else is due.
+                // All work past its deadline was returned, and nothing else is due.
                 let late = self.waiting.values().any(|item| item.deadline <= self.now);
                 return !late && self.gate.wake().is_none_or(|wake| wake > self.now);
             }
@@ -291,7 +292,8 @@
 }
 
 quickcheck! {
-    /// Slots are never exceeded, and what was let in is returned once: to run, expired or removed.
+    /// Slots are never exceeded, and accepted work is returned exactly once: to run, expired or
+    /// removed.
     fn nothing_is_lost_or_doubled(slots: u8, steps: Vec<Step>) -> bool {
         let slots = 1 + u32::from(slots % 4);
         let mut model = Model {
@@ -304,7 +306,7 @@
         steps.iter().zip(0..).all(|(step, number)| model.step(number, step) && model.holds())
     }
 
-    /// Callers with work waiting all the time are served equally, to within a statement.
+    /// Callers that always have work waiting are served equally, to within one statement.
     fn equal_callers_get_equal_shares(callers: u8, each: u8) -> TestResult {
         let (callers, each) = (2 + u64::from(callers % 6), 4 + u64::from(each % 30));
         let mut gate = Gate::with(1, Policy::full());
--- a/tests/decisions_pool.rs
+++ b/tests/decisions_pool.rs
@@ -1,4 +1,4 @@
-//! Connections, retries, the adaptive limit, shares and damping, on virtual time.
+//! Connection pools, retry budgets, the adaptive limit, load shares and damping, on virtual time.
 
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::core::detect::Damper;
@@ -23,8 +23,8 @@
     }
 }
 
-// After quiet, a burst finds as many open connections as there are slots, where the naive pool
-// makes the first statements wait for the 10 ms of opening.
+// After quiet, a burst finds as many open connections as there are slots. With the naive pool the
+// first statements wait 10 ms for connections to open.
 #[test]
 fn a_burst_finds_open_connections() {
     assert_eq!(Pool::new(25, 3).grow(at(0), demand(0, 0, 0)), 3);
@@ -34,9 +34,9 @@
     );
 }
 
-// The list of VMs lags and two holders share 25 connections. The old one never held the last
-// three, so the new one can run a full load at once; when it is refused more, it pauses, for
-// longer each time, instead of asking in a loop.
+// The list of VMs lags and two holders share 25 connections. The old holder leaves three
+// connections unused, so the new one can run a full load at once. When it is refused more, it
+// pauses for longer each time instead of asking in a loop.
 #[test]
 fn two_holders_share_a_connection_limit() {
     let mut old = Pool::new(25, 3);
@@ -65,8 +65,8 @@
     assert_eq!(pool.wake(), None);
 }
 
-// Everything fails for a minute at a hundred requests a second. Retries add a tenth to the load,
-// and a hundred at its beginning; the naive budget doubles the load.
+// All requests fail for a minute, at a hundred a second. Retries add a tenth to the load, and a
+// hundred more at the beginning; the naive budget doubles the load.
 #[test]
 fn retries_add_a_tenth() {
     let retries = |mut budget: Budget| {
@@ -83,7 +83,7 @@
     assert!((690..=760).contains(&paid), "{paid}");
 }
 
-/// Runs a gate at full load for `seconds`, where a statement takes `factor` times its usual time.
+/// Records `seconds` of full load in which a statement takes `factor` times its usual time.
 fn load(limit: &mut Limit, random: &mut ChaCha8Rng, from: u64, seconds: u64, factor: f64) {
     for millis in (from * 1_000)..((from + seconds) * 1_000) {
         let uniform: f64 = random.random();
@@ -92,9 +92,9 @@
     }
 }
 
-// Another holder uses the same database for a few seconds, so that statements take more than
-// twice as long: the limit falls to half of the slots and comes back after. Scatter alone
-// moves it never, in a minute of full load.
+// Another holder uses the same database for a few seconds, so that statements take more than twice
+// as long: the limit falls to half of the slots and recovers afterwards. Random scatter alone does
+// not change it in a minute of full load.
 #[test]
 fn the_limit_yields_to_another_holder() {
     let mut random = ChaCha8Rng::seed_from_u64(7);
@@ -107,7 +107,8 @@
     assert_eq!(limit.get(), 4);
 }
 
-// The first statement is a hundred times shorter than the others: it doesn't pass for the best time.
+// The first statement is a hundred times shorter than the others and must not count as the best
+// time.
 #[test]
 fn the_limit_is_not_misled_by_a_first_statement() {
     let mut random = ChaCha8Rng::seed_from_u64(7);
@@ -119,9 +120,10 @@
     }
 }
 
-// A database that is slow for good, not crowded, has all of its slots back after two windows.
+// A database that has become slow permanently, but is not crowded, has all of its slots back after
+// two windows.
 #[test]
-fn the_limit_learns_a_new_normal() {
+fn the_limit_adapts_to_a_slower_database() {
     let mut random = ChaCha8Rng::seed_from_u64(7);
     let mut limit = Limit::new(4);
     load(&mut limit, &mut random, 0, 20, 1.0);
@@ -129,7 +131,7 @@
     assert_eq!(limit.get(), 4);
 }
 
-// A slow replica loses its share within half a second and gets it back over eight.
+// A slow replica loses its share within half a second and regains it over eight seconds.
 #[test]
 fn shares_fall_fast_and_rise_slowly() {
     let mut share = Share::full(at(0));
@@ -142,8 +144,8 @@
     assert!(Share::returned(at(0)).get() < 0.1);
 }
 
-// A primary and its successor may be lost in one damping span each; a group that goes on
-// changing waits for longer each time, and is forgiven after a calm minute.
+// A primary and its successor may be lost in one damping period each. A group that keeps changing
+// its primary waits for longer each time, and the wait is reset after a calm minute.
 #[test]
 fn flapping_is_damped_more_each_time() {
     let damping = Span::from_secs(10);
@@ -161,7 +163,8 @@
 }
 
 quickcheck! {
-    /// A pool never holds more than the database's limit, and opens something if it has nothing.
+    /// A pool never exceeds the database's limit, and opens a connection if work waits and it has
+    /// none.
     fn pools_keep_the_limit(limit: u8, slots: u8, waiting: u8, idle: u8, busy: u8) -> bool {
         let (limit, slots) = (1 + u32::from(limit % 40), 1 + u32::from(slots % 8));
         let (idle, busy) = (u32::from(idle) % limit, u32::from(busy) % limit);
--- a/tests/decisions_route.rs
+++ b/tests/decisions_route.rs
@@ -1,4 +1,4 @@
-//! Which database a read goes to, as replicas slow down, lag, fail and return.
+//! The choice of the database for a read, while replicas slow down, lag, fail and return.
 
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::core::message::Hint;
@@ -41,8 +41,8 @@
     }
 }
 
-/// Sends a read a millisecond from `from` to `to`, answered at once with each one's hint; counts
-/// the reads that went to each of primary and replicas.
+/// Sends one read per millisecond from `from` to `to`, each answered at once with its database's
+/// hint, and counts the reads sent to the primary and to each replica.
 fn drive(router: &mut Router, from: u64, to: u64, hints: &[Hint; 3]) -> [u64; 3] {
     let mut counts = [0; 3];
     for millis in from..to {
@@ -63,7 +63,7 @@
 
 // Reads go to both replicas and none to the primary, whose slots are for writes.
 #[test]
-fn the_primary_is_spared() {
+fn reads_avoid_the_primary() {
     let mut router = Router::default();
     let counts = drive(
         &mut router,
@@ -75,11 +75,10 @@
     assert!(counts[1].abs_diff(counts[2]) < 200, "{counts:?}");
 }
 
-// One replica becomes ten times slower: its reads fall to a few per cent within a second, and
-// after it has recovered it gets its part back over seconds, not at once. Round robin goes on
-// sending it half.
+// One replica becomes ten times slower: its reads fall to a few per cent within a second. After it
+// has recovered, it regains its part over seconds, not at once. Round robin keeps sending it half.
 #[test]
-fn a_slow_replica_is_left_fast_and_met_again_slowly() {
+fn a_slow_replica_loses_reads_fast_and_regains_them_slowly() {
     let fast = [hint(9, 4, 0), hint(9, 4, 0), hint(9, 4, 0)];
     let slow = [hint(9, 4, 0), hint(9, 4, 0), hint(9, 40, 0)];
     let mut router = Router::default();
@@ -95,8 +94,9 @@
     assert_eq!(drive(&mut naive, 1, 1_001, &slow)[2], 500);
 }
 
-// A session wrote entry 50. Replica b is known to hold 60, c only 10: the read goes to b; where
-// neither holds it, to the primary; one that a replica moves fast enough to hold soon is tried there.
+// A session wrote log entry 50. Replica b is known to have 60 and c only 10, so the read goes to b.
+// If neither has it, the read goes to the primary. If a replica advances fast enough to have it
+// soon, the read is tried there.
 #[test]
 fn a_session_reads_where_its_write_is() {
     let need = Need {
@@ -124,7 +124,8 @@
     assert_eq!(behind.order(at(2_000), &soon, &candidates())[0], id("b"));
 }
 
-// Reads of a stated age avoid a replica that is proven older, and use the primary if both are.
+// Reads of a stated age avoid a replica whose proven age is greater, and use the primary if both
+// are too old.
 #[test]
 fn an_aged_read_avoids_what_is_too_old() {
     let need = Need {
@@ -138,7 +139,8 @@
     assert_eq!(router.order(at(3), &need, &candidates())[0], id(PRIMARY));
 }
 
-// Both replicas' queues are long and the primary's is empty: reads spill to it.
+// Both replicas' queues are long and the primary's is empty: reads spill to the primary. They stop
+// when the primary's queue is half as long as theirs.
 #[test]
 fn reads_spill_to_an_idle_primary() {
     let mut router = Router::default();
@@ -158,8 +160,8 @@
     assert!(counts[0] < 100, "{counts:?}");
 }
 
-// A replica answers nothing, and its broken stream has not been noticed: after a quarter of a second
-// no more callers are sent there.
+// A replica answers nothing, and its broken stream has not been detected: after a quarter of a
+// second no more reads are sent to it.
 #[test]
 fn a_silent_replica_is_passed_over() {
     let mut router = Router::default();
@@ -174,8 +176,8 @@
     }
 }
 
-// A replica fails three times: the other one is first until it is worth another try; refusals
-// of a greedy caller's reads don't count as failures.
+// A replica that failed three times is ranked after the other one until it is tried again.
+// Rejections of a greedy caller's reads don't count as failures.
 #[test]
 fn a_failing_replica_comes_last_but_a_refusing_one_does_not() {
     let mut router = Router::default();
@@ -193,9 +195,9 @@
     assert!(refused.share(&id("c")) > 0.9);
 }
 
-/// Both replicas fell behind for a while. A caller with few reads hears of them once, never sees
-/// how fast they move, and sends all that follows to the primary, for as long as that leads. A
-/// second later a read is tried at a replica again.
+/// Both replicas were behind when a caller with few reads got its only hints from them. Their speed
+/// is not known, so its reads go to the primary; a second later a replica is tried again instead of
+/// staying excluded until the next change of primary.
 #[test]
 fn a_replica_that_was_behind_is_asked_again() {
     let mut router = Router::default();
@@ -213,10 +215,11 @@
     );
 }
 
-/// A replica fails some of what it runs, and answers the rest as fast as ever. Its share falls with
-/// each error below what a copy near by needs to go first, and is back after some seconds without.
+/// A replica returns errors for some reads and answers the others as fast as ever. An error cuts
+/// its share below what a replica near by needs to go first; the share is back after some seconds
+/// without errors.
 #[test]
-fn a_replica_that_errs_is_left_and_returned_to() {
+fn a_replica_with_errors_loses_and_regains_its_share() {
     let mut router = Router::default();
     let need = Need::default();
     for replica in REPLICAS {
--- a/tests/node_outcome.rs
+++ b/tests/node_outcome.rs
@@ -1,5 +1,5 @@
-//! What callers are told: the answer to their own request, "not run" only if it was not, and
-//! "unknown" at once where nobody can know.
+//! The outcomes that callers get: the answer to their own request, "not run" only if it was not
+//! run, and "unknown" at once if the outcome can't be known.
 
 mod support;
 
@@ -10,13 +10,13 @@
 use lentilspoke::types::{RequestId, VmId};
 use support::{World, id};
 
-/// A holder answers a request twice, and another VM answers one that it was not asked. The
-/// caller hears the first answer of the VM that was asked, and nothing more.
+/// A holder answers a request twice, and another VM answers a request that it was not sent. The
+/// caller gets only the first answer of the VM that was asked.
 #[test]
-fn answers_that_nobody_waits_for_are_dropped() {
+fn unexpected_answers_are_dropped() {
     let mut world = World::ready(4);
     let (steward, entry) = world.steward_and_other();
-    let stranger = if steward == "vm3" { "vm0" } else { "vm3" };
+    let other = if steward == "vm3" { "vm0" } else { "vm3" };
     world.write(entry, 1, "lot-1");
     let stray = |request| Answer {
         request: RequestId(request),
@@ -31,7 +31,7 @@
         hint: Hint::default(),
     };
     for request in 0..200 {
-        let (from, message) = (id(stranger), Message::Answer(stray(request)));
+        let (from, message) = (id(other), Message::Answer(stray(request)));
         world.input(&id(entry), Input::Message { from, message });
     }
     world.wait(1, 1);
@@ -40,8 +40,8 @@
     assert_eq!(world.counter(entry, "dropped_answers"), 200);
 }
 
-/// The VM that runs a booking is lost. Without a request key the outcome is unknown, at once,
-/// and the booking is not sent again. With a key it is, and happens once.
+/// The VM that runs a booking is lost. Without a request key the outcome is unknown at once, and
+/// the booking is not sent again. With a key it is sent again and runs once.
 #[test]
 fn a_write_at_a_lost_vm_is_sent_again_only_under_a_key() {
     for key in [None, Some("key-1")] {
@@ -67,8 +67,9 @@
     }
 }
 
-/// One VM, whose connection to the primary falls silent after `lot-1`; `lot-2` is sent on it.
-fn write_on_silence() -> World {
+/// Starts one VM whose connection to the primary stops answering after `lot-1`, and sends `lot-2`
+/// on it.
+fn write_on_silent_connection() -> World {
     let mut world = World::ready(1);
     world.write("vm0", 1, "lot-1");
     world.wait(1, 1);
@@ -79,12 +80,12 @@
     world
 }
 
-/// A database's connections fall silent: what is sent on them gets no answer, for good. A read
-/// is tried at another database once its connection's time is over; a booking's outcome is
-/// unknown then, and the connection is not used again.
+/// A database stops answering on its open connections. When the time for an answer is over, a read
+/// would be tried at another database, but the outcome of a booking is unknown, and the connection
+/// is not used again.
 #[test]
-fn a_silent_connection_is_given_up() {
-    let mut world = write_on_silence();
+fn a_silent_connection_is_closed() {
+    let mut world = write_on_silent_connection();
     let asked = world.now;
     world.wait(1, 2);
     assert_eq!(world.told(1)[1], "unknown: Broken");
@@ -96,8 +97,8 @@
     assert_eq!(world.counter("vm0", "silent_connections"), 1);
 }
 
-/// A statement that looks like a read writes. The replica refuses it unrun, and the primary
-/// runs it, once.
+/// A statement that looks like a read writes. The replica refuses it unrun, and the primary runs it
+/// once.
 #[test]
 fn a_read_that_writes_goes_to_the_primary() {
     let mut world = World::ready(3);
@@ -108,8 +109,8 @@
     assert_eq!(world.database("a").texts(), ["lot-1"]);
 }
 
-/// The primary can't be connected to. A booking that waits for a connection was not run, is
-/// told so when its time is over at the latest, and is in no log.
+/// No connection to the primary can be opened. A booking that waits for one was not run; its caller
+/// gets "not run" by the deadline at the latest, and the booking is in no log.
 #[test]
 fn work_that_got_no_connection_was_not_run() {
     let mut world = World::ready(1);
@@ -124,8 +125,8 @@
     assert!(world.database("a").texts().is_empty());
 }
 
-/// The answer of a booking under a key is lost with its connection, after the booking was
-/// made. It is sent again under the key and gets the first result.
+/// The answer to a keyed booking is lost with its connection after the booking was stored. The
+/// booking is sent again with the key and gets the first result.
 #[test]
 fn a_keyed_write_whose_answer_was_lost_happens_once() {
     let mut world = World::ready(3);
@@ -140,7 +141,7 @@
     assert_eq!(world.database("a").texts(), ["lot-0", "lot-1"]);
 }
 
-/// A caller cancels a request that waits for a leader, and one that runs.
+/// A caller cancels a request that waits for a leader.
 #[test]
 fn a_cancelled_request_that_waits_was_not_run() {
     let mut world = World::new(1);
@@ -151,11 +152,11 @@
     assert_eq!(world.told(1), ["not run: Expired"]);
 }
 
-/// A proxy has so much to do that something comes to it each millisecond. Deadlines are still
-/// looked at: the next tick counts from the last one, not from the last input.
+/// A proxy receives an input every millisecond. Deadlines are still checked: the next tick counts
+/// from the last tick, not from the last input.
 #[test]
 fn a_busy_proxy_keeps_deadlines() {
-    let mut world = write_on_silence();
+    let mut world = write_on_silent_connection();
     for link in 10_000..16_000 {
         world.read("vm0", link);
         world.run(Span::from_millis(1));
@@ -163,9 +164,9 @@
     assert_eq!(world.told(1)[1], "unknown: Broken");
 }
 
-/// An entry dies while its bookings wait for a majority, and is replaced under its name. The
-/// newcomer counts its requests from elsewhere, and nothing of the old ones is sent to it, so
-/// no caller of its hears an answer to another's request.
+/// An entry dies while its bookings wait for a majority, and is replaced under its name. The new
+/// process starts its request numbers elsewhere, and no answer to an old request is sent to it, so
+/// none of its callers gets the answer to another's request.
 #[test]
 fn a_replaced_entry_gets_no_answer_of_its_predecessor() {
     let mut world = World::ready(4);
@@ -197,9 +198,9 @@
     assert!(old.abs_diff(new) > 1 << 19, "{old} and {new}");
 }
 
-/// A caller asks again under its key while its first request still runs. The second one is not
-/// run, but the first may yet commit: "not run" could turn out false, so the caller hears
-/// "outcome unknown", and to ask again with the key.
+/// A caller repeats a keyed request while the first one still runs. The second one is not run, but
+/// the first may still commit and "not run" could turn out false, so the outcome is unknown and the
+/// caller can ask again with the key.
 #[test]
 fn a_key_in_use_is_an_unknown_outcome() {
     let mut world = World::ready(1);
--- a/tests/node_traffic.rs
+++ b/tests/node_traffic.rs
@@ -1,12 +1,12 @@
-//! What the proxies tell each other when nothing happens.
+//! Control traffic between idle proxies.
 
 mod support;
 
 use lentilspoke::clock::Span;
 use support::World;
 
-/// Ten quiet seconds of one group on three VMs. The group costs its steward and its replicas'
-/// holders a fixed number of messages a second, and sessions cost nothing.
+/// One group on three VMs is idle for ten seconds. The group costs its steward and its replicas'
+/// holders a fixed number of messages a second, and sessions cost none.
 #[test]
 fn a_quiet_group_costs_a_few_messages_a_second() {
     let mut world = World::ready(3);
