--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -88,7 +88,7 @@
 
 impl Counters {
     /// Counts the outcome sent to a caller by its cause. Answers are not counted here.
-    pub(crate) fn told(&mut self, outcome: &Outcome) {
+    pub(crate) fn record(&mut self, outcome: &Outcome) {
         match outcome {
             Outcome::Done(_) => {}
             Outcome::NotRun(not_run) => *self.not_run.counter_mut(not_run.cause) += 1,
--- a/src/core/world.rs
+++ b/src/core/world.rs
@@ -375,7 +375,7 @@
     }
 
     pub fn reply(&mut self, link: Link, outcome: Outcome, floor: Option<Position>) {
-        self.world.counters.told(&outcome);
+        self.world.counters.record(&outcome);
         self.out.push(Output::Reply {
             link,
             outcome,
