--- a/src/core/entry/answer.rs
+++ b/src/core/entry/answer.rs
@@ -30,7 +30,7 @@
         if let Some(primary) = &answer.hint.primary {
             let group = sent.pending.request.group.clone();
             turn.world.learn(&group, primary);
-            self.heard_leader(turn, &group);
+            self.leader_reported(turn, &group);
         }
         match answer.outcome {
             Outcome::Done(done) => self.done(turn, sent, done, answer.lease, &answer.hint),
--- a/src/core/entry/leader.rs
+++ b/src/core/entry/leader.rs
@@ -157,7 +157,7 @@
     }
 
     /// Handles the leader that a VM serving the group named in another answer.
-    pub fn heard_leader(&mut self, turn: &mut Turn, group: &GroupId) {
+    pub fn leader_reported(&mut self, turn: &mut Turn, group: &GroupId) {
         let Some(view) = self.groups.get(group) else {
             return;
         };
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -153,7 +153,7 @@
         let news = turn.world.learn(&probe.group, &probe.primary);
         let (group, database) = (probe.group.clone(), probe.database.clone());
         if news {
-            parts.entry.heard_leader(&mut turn, &group);
+            parts.entry.leader_reported(&mut turn, &group);
         }
         let current = turn.world.leaders.get(&group) == Some(&probe.primary);
         self.join_steward(&group, out, |steward, turn| steward.probed(turn, &probe));
