--- a/src/core/holder.rs
+++ b/src/core/holder.rs
@@ -159,7 +159,7 @@
     }
 
     /// Changes the role of the database on this VM. Work that the new role forbids ends.
-    pub fn become_role(&mut self, turn: &mut Turn, role: Role) {
+    pub fn set_role(&mut self, turn: &mut Turn, role: Role) {
         if self.role == role {
             return;
         }
--- a/src/core/node/settle.rs
+++ b/src/core/node/settle.rs
@@ -94,7 +94,7 @@
             let former = former.clone();
             self.led.remove(group);
             self.with_holder(&former, out, |holder, turn| {
-                holder.become_role(turn, Role::Replica);
+                holder.set_role(turn, Role::Replica);
             });
         }
         let Some((database, role)) = role else {
@@ -109,7 +109,7 @@
             .is_none_or(|holder| holder.role != role)
         {
             self.with_holder(&database, out, |holder, turn| {
-                holder.become_role(turn, role);
+                holder.set_role(turn, role);
             });
         }
     }
