--- a/src/core/age.rs
+++ b/src/core/age.rs
@@ -38,7 +38,7 @@
 
 impl Proofs {
     /// Records that a report was sent to the steward at `now`.
-    pub fn reported(&mut self, round: RequestId, now: Time) {
+    pub fn report_sent(&mut self, round: RequestId, now: Time) {
         if self.reports.len() == MAX_REPORTS {
             self.reports.pop_front();
         }
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -255,7 +255,7 @@
         });
         self.with_holder(&probe.database, out, |holder, turn| {
             holder.observe(turn, state);
-            holder.proofs.reported(probe.round, turn.now);
+            holder.proofs.report_sent(probe.round, turn.now);
         });
         let (mut turn, _) = self.turn(out);
         let report = Report {
