--- a/src/core/age.rs
+++ b/src/core/age.rs
@@ -47,7 +47,7 @@
 
     /// Adds a proof from the primary's log position that the steward sent. Ignores it if the report
     /// that it refers to is not known, or if it is no newer than the last proof.
-    pub fn learn(&mut self, fresh: &Fresh) {
+    pub fn add(&mut self, fresh: &Fresh) {
         let Some((_, sent)) = self.reports.iter().find(|(round, _)| *round == fresh.round) else {
             return;
         };
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -162,7 +162,7 @@
                 holder.proofs.clear();
             }
             if let Some(fresh) = probe.fresh.as_ref().filter(|_| current) {
-                holder.proofs.learn(fresh);
+                holder.proofs.add(fresh);
             }
             turn.order(&database, Order::Report, Errand::Probe { from, probe });
         });
