--- a/benches/node.rs
+++ b/benches/node.rs
@@ -279,7 +279,7 @@
             kind,
             max_age: None,
             key: None,
-            shown: None,
+            token_floor: None,
             deadline: self.now + Span::from_secs(5),
             body: if kind == Kind::Write {
                 "w".into()
--- a/src/core/entry/floor.rs
+++ b/src/core/entry/floor.rs
@@ -17,7 +17,7 @@
             .floors
             .iter()
             .find(|(group, _)| *group == request.group);
-        highest(own.map(|(_, floor)| *floor), request.shown)
+        highest(own.map(|(_, floor)| *floor), request.token_floor)
     }
 
     /// The floor sent to a caller with its answer.
@@ -51,7 +51,7 @@
         };
         let key = (request.group.clone(), session.clone());
         let lease = self.leases.get(&key).map(|lease| lease.floor);
-        highest(lease, request.shown)
+        highest(lease, request.token_floor)
     }
 
     /// Resets the floor of the session of `request` after a write of it was lost from the log. The
@@ -100,7 +100,7 @@
         let key = (pending.request.group.clone(), session);
         let live = self.leases.get(&key).filter(|lease| lease.until > turn.now);
         if let Some(lease) = live {
-            pending.floor = highest(Some(lease.floor), pending.request.shown);
+            pending.floor = highest(Some(lease.floor), pending.request.token_floor);
             return self.send_to_replica(turn, pending);
         }
         let Some(leader) = self.leader(turn, &pending.request.group) else {
@@ -147,16 +147,16 @@
     fn use_lease(&mut self, turn: &mut Turn, lease_request: LeaseRequest, leased: Leased) {
         let mut pending = lease_request.pending;
         let key = (pending.request.group.clone(), lease_request.session);
-        let shown = pending.request.shown;
+        let token_floor = pending.request.token_floor;
         let lease = self.lease(&key);
-        let known = highest(Some(lease.floor), shown);
+        let known = highest(Some(lease.floor), token_floor);
         let lost = known.is_some_and(|floor| leased.lineage.standing(floor) == Standing::Lost);
         lease.floor = leased.floor;
         lease.until = lease_request.at + leased.span;
         if lost {
             return self.not_run(turn, pending, Cause::Lost, Span::ZERO);
         }
-        pending.floor = highest(Some(leased.floor), shown);
+        pending.floor = highest(Some(leased.floor), token_floor);
         self.send_to_replica(turn, pending);
     }
 
@@ -184,10 +184,10 @@
 }
 
 /// The higher of two floors. A floor from a caller's token can only raise the known one.
-fn highest(known: Option<Position>, shown: Option<Position>) -> Option<Position> {
-    match (known, shown) {
-        (Some(known), Some(shown)) if shown.offset > known.offset => Some(shown),
-        (None, shown) => shown,
+fn highest(known: Option<Position>, token_floor: Option<Position>) -> Option<Position> {
+    match (known, token_floor) {
+        (Some(known), Some(token_floor)) if token_floor.offset > known.offset => Some(token_floor),
+        (None, token_floor) => token_floor,
         (known, _) => known,
     }
 }
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -27,7 +27,7 @@
     /// A key with which the outcome of a write can be queried again.
     pub key: Option<RequestKey>,
     /// A floor from a valid token that the caller sent.
-    pub shown: Option<Position>,
+    pub token_floor: Option<Position>,
     /// The time after which the caller does not use an answer.
     pub deadline: Time,
     /// The frontend messages to send to the database.
--- a/src/net/pg/caller.rs
+++ b/src/net/pg/caller.rs
@@ -284,7 +284,7 @@
             kind,
             max_age: max_age.filter(|age| *age > Span::ZERO),
             key,
-            shown: settings.shown(&self.login.group),
+            token_floor: settings.shown(&self.login.group),
             deadline: (core.now)() + pool.patience,
             body,
         })
--- a/src/slopes/state.rs
+++ b/src/slopes/state.rs
@@ -177,7 +177,7 @@
             kind: Kind::Write,
             max_age: None,
             key: None,
-            shown: None,
+            token_floor: None,
             deadline: self.now + Span::from_secs(5),
             body: Bytes::from_static(b"x"),
         };
--- a/src/standin/fake/caller.rs
+++ b/src/standin/fake/caller.rs
@@ -64,7 +64,7 @@
             .iter()
             .rev()
             .filter(|t| t.session == ask.session);
-        let shown = last.filter(|_| ask.fast).find_map(|ticket| ticket.floor);
+        let token_floor = last.filter(|_| ask.fast).find_map(|ticket| ticket.floor);
         let number = self.tickets.len();
         let gone = !self.machines.contains_key(&ask.vm);
         self.tickets.push(Ticket {
@@ -91,7 +91,7 @@
             kind: ask.kind,
             max_age: ask.max_age,
             key: ask.key,
-            shown,
+            token_floor,
             deadline: self.now + PATIENCE,
             body: ask.body.to_string().into(),
         };
--- a/tests/pg.rs
+++ b/tests/pg.rs
@@ -272,8 +272,8 @@
         .await
         .unwrap();
     first(&other, "SELECT 1").await;
-    let shown = world.requests.borrow()[1].shown;
-    assert_eq!(shown, Some(Position::new(Term(1), Offset(7))));
+    let token_floor = world.requests.borrow()[1].token_floor;
+    assert_eq!(token_floor, Some(Position::new(Term(1), Offset(7))));
     let forged = format!(
         "-c lentilspoke.token={}",
         token.replace(&token[9..12], "AAA")
--- a/tests/support/caller.rs
+++ b/tests/support/caller.rs
@@ -22,7 +22,7 @@
             kind,
             max_age: None,
             key: None::<RequestKey>,
-            shown: None,
+            token_floor: None,
             deadline: self.now + Span::from_secs(5),
             body: body.to_owned().into(),
         }
