--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -166,8 +166,8 @@
 
     /// Records that `database` ran a read and failed: some of its answers are errors although it
     /// works otherwise. Its share falls at once and rises again as slowly as a slow database's.
-    pub fn erred(&mut self, now: Time, database: &DatabaseId) {
-        self.entry(now, database).erred(now);
+    pub fn returned_error(&mut self, now: Time, database: &DatabaseId) {
+        self.entry(now, database).returned_error(now);
     }
 
     /// Records that the holder of `database` refused a read because the database was not new
--- a/src/core/route/seen.rs
+++ b/src/core/route/seen.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    pub fn erred(&mut self, now: Time) {
+    pub fn returned_error(&mut self, now: Time) {
         self.unseen = 0;
         self.share.scale(now, ERROR_SHARE_FACTOR);
     }
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -441,7 +441,7 @@
     /// A database ran a read of this VM's caller and failed.
     pub fn erred(&self, database: &Database) {
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
-            router.erred(self.now(), &database.id);
+            router.returned_error(self.now(), &database.id);
         }
     }
 
--- a/tests/decisions_route.rs
+++ b/tests/decisions_route.rs
@@ -226,7 +226,7 @@
         router.answered(at(1), &id(replica), Span(1), &hint(10, 4, 0));
     }
     router.order(at(2), &need, &candidates());
-    router.erred(at(3), &id("b"));
+    router.returned_error(at(3), &id("b"));
     assert!(router.share(&id("b")) < 0.3, "{}", router.share(&id("b")));
     for millis in (1_000..8_000).step_by(500) {
         for replica in REPLICAS {
