--- a/src/core/gate.rs
+++ b/src/core/gate.rs
@@ -249,7 +249,7 @@
     }
 
     /// The recent mean time that short work runs, without its wait for a slot.
-    pub fn run(&self) -> Span {
+    pub fn run_time(&self) -> Span {
         self.costs.short()
     }
 
--- a/src/core/holder.rs
+++ b/src/core/holder.rs
@@ -179,7 +179,7 @@
             position: self.applied().unwrap_or_default(),
             age: self.age(now),
             wait: self.gate.wait(now),
-            run: self.gate.run(),
+            run: self.gate.run_time(),
             primary: primary.cloned(),
         }
     }
--- a/src/experiment/engine/serve.rs
+++ b/src/experiment/engine/serve.rs
@@ -148,7 +148,7 @@
             position,
             age: Some(age),
             wait: holder.gate.wait(now),
-            run: holder.gate.run(),
+            run: holder.gate.run_time(),
             primary: None,
         }
     }
