--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -153,7 +153,7 @@
         let news = turn.world.learn(&probe.group, &probe.primary);
         let (group, database) = (probe.group.clone(), probe.database.clone());
         if news {
-            parts.entry.heard_leader(&mut turn, &group);
+            parts.entry.leader_reported(&mut turn, &group);
         }
         let current = turn.world.leaders.get(&group) == Some(&probe.primary);
         self.join_steward(&group, out, |steward, turn| steward.probed(turn, &probe));
@@ -162,7 +162,7 @@
                 holder.proofs.clear();
             }
             if let Some(fresh) = probe.fresh.as_ref().filter(|_| current) {
-                holder.proofs.learn(fresh);
+                holder.proofs.add(fresh);
             }
             turn.order(&database, Order::Report, Errand::Probe { from, probe });
         });
@@ -255,7 +255,7 @@
         });
         self.with_holder(&probe.database, out, |holder, turn| {
             holder.observe(turn, state);
-            holder.proofs.reported(probe.round, turn.now);
+            holder.proofs.report_sent(probe.round, turn.now);
         });
         let (mut turn, _) = self.turn(out);
         let report = Report {
