--- a/src/direct/control/backoff.rs
+++ b/src/direct/control/backoff.rs
@@ -1,44 +1,47 @@
-//! How long to wait after a call of the store that brought nothing.
+//! Delays between retries of failed store calls.
 
 use crate::clock::Span;
 use std::time::Duration;
 
-const FIRST: Span = Span::from_millis(100);
-const LAST: Span = Span::from_millis(800);
+const MIN_DELAY: Span = Span::from_millis(100);
+const MAX_DELAY: Span = Span::from_millis(800);
 
-/// Waits that double from 100 ms to 800 ms, each up to a quarter longer or shorter by chance, so
-/// that VMs which lost the store at one moment do not come back at one moment.
+/// A delay that doubles from 100 ms to 800 ms, each time up to a quarter longer or shorter at
+/// random, so that VMs which lost the store at the same moment do not retry at the same moment.
 #[derive(Debug, Clone, Copy)]
 pub struct Backoff {
     next: Span,
-    last: Span,
+    max: Span,
 }
 
 impl Default for Backoff {
     fn default() -> Self {
-        Self::up_to(LAST)
+        Self::up_to(MAX_DELAY)
     }
 }
 
 impl Backoff {
-    /// Waits that double to `last`.
-    pub fn up_to(last: Span) -> Self {
-        Self { next: FIRST, last }
+    /// Makes delays that double up to `last`.
+    pub fn up_to(max: Span) -> Self {
+        Self {
+            next: MIN_DELAY,
+            max,
+        }
     }
 
-    /// A call was answered.
+    /// Resets the delay after an answered call.
     pub fn reset(&mut self) {
-        self.next = FIRST;
+        self.next = MIN_DELAY;
     }
 
-    /// How long to wait now; `chance` lies between 0 and 1.
+    /// Returns the next delay; `chance` is a random number from 0 to below 1.
     pub fn step(&mut self, chance: f64) -> Span {
         let wait = self.next;
-        self.next = self.last.min(wait.percent(200));
+        self.next = self.max.min(wait.percent(200));
         wait.percent(75 + (chance * 50.0) as u64)
     }
 
-    /// Waits; `chance` lies between 0 and 1.
+    /// Sleeps for the next delay; `chance` is a random number from 0 to below 1.
     pub async fn wait(&mut self, chance: f64) {
         let wait = self.step(chance);
         tokio::time::sleep(Duration::from(wait)).await;
--- a/src/direct/control/detour.rs
+++ b/src/direct/control/detour.rs
@@ -1,13 +1,13 @@
-//! Calls of the store by way of other VMs, while the store turns this one away.
+//! Store calls through other VMs, while the store refuses this VM's own.
 //!
-//! **Pattern answered.** The store serves most VMs and turns some away for many seconds; one of those
-//! starts anew, or is the steward. **Without it** a VM that starts can't register, so it holds no lease
-//! and refuses all its callers until the store takes its calls: 3 of 7 VMs for 5 s on one day, and 456
-//! of 22,000 requests. **Why it is safe.** Another VM passes a call on and decides nothing. The moment at
-//! which a reading was asked is taken here, before it leaves, so the way there and back shortens the
-//! lease; every write is under a condition, and may be done late or twice to no effect.
-//! **Thresholds.** [`Route`] avoids the store's own way for longer with each failure in a row, since
-//! a try that is not answered at all costs [`super::store`]'s whole patience.
+//! The store at times serves most VMs and refuses the calls of some for many seconds, such as of a
+//! VM that starts, or of the steward. A VM that starts then could not register, would hold no lease
+//! and would refuse all its callers: on one day 3 of 7 VMs did so for 5 s, which failed 456 of
+//! 22,000 requests. Forwarding is safe: the other VM passes a call on and decides nothing. The time
+//! at which a reading was requested is taken here, before the call is sent, so the longer way only
+//! shortens the lease; every write is conditional, and has no further effect if it is done late or
+//! twice. [`Route`] avoids direct calls for longer with each failure in a row, since an unanswered
+//! one costs the whole timeout of [`super::store`].
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::Later;
@@ -19,28 +19,29 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How long another VM may take: two round trips between regions and a write of the store.
-const WITHIN: Span = Span::from_millis(300);
+/// The timeout of the forwarding VM's call: two round trips between regions and a write of the
+/// store.
+const CALL_TIMEOUT: Span = Span::from_millis(300);
 
-/// How much longer its word is waited for.
-const MARGIN: Span = Span::from_millis(100);
+/// How much longer to wait for the forwarding VM's answer.
+const ANSWER_MARGIN: Span = Span::from_millis(100);
 
-/// How many other VMs are asked for one call. Of seven VMs a third may be turned away as well.
-const ASKED: usize = 3;
+/// How many VMs are asked to forward one call. Of seven VMs a third may be refused as well.
+const MAX_ASKED: usize = 3;
 
-/// After how many that the store does not answer either it counts as away for all: each one more
-/// asked in vain delays the next try by the own way.
-const REFUSALS: u32 = 2;
+/// After this many VMs that get no answer either, the store counts as down for all. Each further
+/// attempt would delay the next direct call.
+const MAX_REFUSALS: u32 = 2;
 
-/// How long the own way is avoided after a first failure, and at most: the store's troubles last
-/// 4 to 9 s, and its own way is a round trip shorter.
-const FIRST: Span = Span::from_secs(2);
-const LONGEST: Span = Span::from_secs(8);
+/// How long direct calls are avoided after the first failure, and at most. The store's faults last
+/// 4 to 9 s, and a direct call is a round trip shorter.
+const FIRST_AVOIDANCE: Span = Span::from_secs(2);
+const MAX_AVOIDANCE: Span = Span::from_secs(8);
 
-/// Makes a call by way of other VMs; none if none of them was answered.
+/// Makes a call through other VMs; `None` if the store answered none of them.
 pub type Detour = Rc<dyn Fn(Ask) -> Later<Option<Told>>>;
 
-/// Which way calls go first.
+/// Whether calls are first made directly or through other VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Route {
     avoided_until: Time,
@@ -51,67 +52,68 @@
     fn default() -> Self {
         Self {
             avoided_until: Time::default(),
-            avoid: FIRST,
+            avoid: FIRST_AVOIDANCE,
         }
     }
 }
 
 impl Route {
-    /// Whether the own way is avoided now.
+    /// Returns whether direct calls are avoided now.
     pub fn avoids_own(&self, now: Time) -> bool {
         now < self.avoided_until
     }
 
-    /// The own way failed, and another VM's did not.
+    /// Records that a direct call failed, while one through another VM succeeded.
     pub fn failed(&mut self, now: Time) {
         self.avoided_until = now + self.avoid;
-        self.avoid = LONGEST.min(self.avoid.percent(200));
+        self.avoid = MAX_AVOIDANCE.min(self.avoid.percent(200));
     }
 
-    /// The own way works, or no other does.
+    /// Records that a direct call succeeded, or that none through other VMs did.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
 
-/// The detour of a VM.
+/// Makes the function that forwards a VM's calls.
 pub(super) fn by_others(control: &Rc<Control>) -> Detour {
     let control = Rc::downgrade(control);
     Rc::new(move |ask| {
         let control = control.clone();
-        Box::pin(async move { control.upgrade()?.ask_others(ask).await })
+        Box::pin(async move { control.upgrade()?.forward(ask).await })
     })
 }
 
 impl Control {
-    /// Has other VMs make a call in turn, until the store answers one of them.
-    async fn ask_others(&self, ask: Ask) -> Option<Told> {
+    /// Asks other VMs in turn to make a call, until the store answers one of them.
+    async fn forward(&self, ask: Ask) -> Option<Told> {
         if let Ask::Read(table) = &ask
             && self.is_long(table)
         {
-            // VMs that read for others tell it in parts, or what changed of it.
+            // The VMs that read for others send it in parts, or its changes.
             return None;
         }
         let mut refusals = 0;
-        for address in self.helpers() {
+        for address in self.forwarders() {
             let question = Question::Store {
                 ask: ask.clone(),
-                within: WITHIN,
+                within: CALL_TIMEOUT,
             };
-            let answer = (self.setup.call)(address, question, WITHIN + MARGIN).await;
+            let answer = (self.setup.call)(address, question, CALL_TIMEOUT + ANSWER_MARGIN).await;
             match answer {
                 Some(Answer::Stored(Ok(told))) => return Some(told),
                 Some(Answer::Stored(Err(_))) => refusals += 1,
                 _ => {}
             }
-            if refusals >= REFUSALS {
+            if refusals >= MAX_REFUSALS {
                 break;
             }
         }
         None
     }
 
-    /// Whether a table may be longer than another VM can pass on within [`WITHIN`] over a small link.
+    /// Returns whether a table may be too long for another VM to pass on within [`CALL_TIMEOUT`]
+    /// over a small link.
     fn is_long(&self, table: &str) -> bool {
         if table != TABLE {
             return self.have_readers();
@@ -121,9 +123,10 @@
         state.many_rows || state.reading.as_ref().map_or(0, rows) > FIRST_ROWS as usize
     }
 
-    /// The VMs to ask: first the steward, which the store answered a second ago as a rule, then those that
-    /// read for others: they know by then whether it answers them. The steward of many VMs is left alone.
-    fn helpers(&self) -> Vec<SocketAddr> {
+    /// Returns the VMs to ask: first the steward, whose last answer from the store is usually a
+    /// second old, then the readers, which know by then whether the store answers them. The steward
+    /// of many VMs is not asked.
+    fn forwarders(&self) -> Vec<SocketAddr> {
         let steward = {
             let state = self.state.borrow();
             let post = state.post.as_ref();
@@ -131,8 +134,8 @@
                 .filter(|_| !self.is_large())
                 .map(|post| post.address)
         };
-        let mut helpers: Vec<_> = steward.into_iter().chain(self.other_readers()).collect();
-        helpers.truncate(ASKED);
-        helpers
+        let mut forwarders: Vec<_> = steward.into_iter().chain(self.other_readers()).collect();
+        forwarders.truncate(MAX_ASKED);
+        forwarders
     }
 }
--- a/src/direct/control/era.rs
+++ b/src/direct/control/era.rs
@@ -1,57 +1,59 @@
-//! Which era the store is in, and the row that names it.
+//! The store's present era, and the row that names it.
 //!
-//! **Failure answered.** The store comes back from a copy some seconds old: versions go back and are given out again.
-//! **Symptom without it.** A condition that names a version holds for another value; a write that was asked in one
-//! era lands in the next. **Why it suffices.** The row that names an era is the first that is written in it, and has
-//! another version from then on. Each write of ours is under its condition as well.
+//! When the store is restored from a copy some seconds old, its versions go back and are used
+//! again. A condition on a version could then hold for another value, or a write that was requested
+//! in one era could be done in the next. Therefore the row that names the era is the first one
+//! written in it, which gives that row a new version, and every write of the control path is also
+//! conditional on that version.
 
 use crate::clock::Time;
 use crate::direct::control::promotion::lapsed_at;
 use crate::direct::control::rows::{era_row, named_era, quiet_row};
 use crate::direct::table::{Change, Era, Row, Version};
 
-/// What is known of the store's eras.
+/// What this VM knows of the store's eras.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Eras {
-    /// The newest era that an answer or another VM told.
+    /// The newest era of any answer of the store, or known to another VM.
     newest: Option<Era>,
-    /// Since when that is known.
+    /// Since when it is known.
     since: Option<Time>,
-    /// The version of the row that names it.
+    /// The version of the row that names it, if known.
     settled: Option<Version>,
-    /// Whether a row says that no lease of an earlier era can be left.
+    /// Whether a row records that no lease of an earlier era can be left.
     quiet: bool,
 }
 
 impl Eras {
-    /// The newest era; 0 where the store has no such number, or has not answered yet.
+    /// Returns the newest era; 0 where the store has no such number, or has not answered yet.
     pub fn newest(&self) -> Era {
         self.newest.unwrap_or_default()
     }
 
-    /// The newest era, if any answer or VM has told one.
+    /// Returns the newest era; `None` if neither an answer nor another VM has named one.
     pub fn known(&self) -> Option<Era> {
         self.newest
     }
 
-    /// Since when it is known, here or at a VM that told; none where the store has no eras.
+    /// Returns since when this or another VM has known it; `None` where the store has no eras.
     pub fn since(&self) -> Option<Time> {
         self.since.filter(|_| self.newest() > Era::default())
     }
 
-    /// Until when VMs may hold leases that registered in an earlier era and are in no row of this one. None if that is
-    /// over, as a steward of this era wrote, or the store has no eras.
+    /// Returns until when VMs may hold leases that registered in an earlier era and have no row in
+    /// this one. `None` if a steward of this era recorded that this time is over, or the store has
+    /// no eras.
     pub fn strangers_until(&self) -> Option<Time> {
         let since = self.since().filter(|_| !self.quiet);
         since.map(lapsed_at)
     }
 
-    /// Whether it is over at `now`, and no row says so yet.
+    /// Returns whether that time is over at `now` and no row records it yet.
     pub fn is_quiet_unsaid(&self, now: Time) -> bool {
         self.strangers_until().is_some_and(|until| until <= now)
     }
 
-    /// An answer of an era came at `now`; whether it is of the newest one.
+    /// Records the era of an answer received at `now`; returns whether it is the newest one.
     pub fn told(&mut self, era: Era, now: Time) -> bool {
         if self.newest.is_some_and(|newest| era < newest) {
             return false;
@@ -67,14 +69,15 @@
         true
     }
 
-    /// Another VM has known of an era since a moment.
+    /// Records that another VM has known of an era since `since`.
     pub fn hear(&mut self, era: Era, since: Time) {
         if era > Era::default() && self.told(era, since) {
             self.since = self.since.min(Some(since));
         }
     }
 
-    /// These rows were read in an era: the version of the row that names it, if it is there.
+    /// Records rows that were read in an era; returns the version of the row that names it, if it
+    /// is among them.
     pub fn read(&mut self, rows: &[Row], era: Era) -> Option<Version> {
         if era == Era::default() {
             return Some(Version::NONE);
@@ -89,7 +92,8 @@
         self.settled
     }
 
-    /// The version of the row that names an era, if it is the newest one and that is known.
+    /// Returns the version of the row that names an era, if it is the newest era and the version is
+    /// known.
     pub fn settled(&self, era: Era) -> Option<Version> {
         match era == Era::default() {
             true => Some(Version::NONE),
@@ -97,8 +101,9 @@
         }
     }
 
-    /// The version that the row of the era must have for a change to be made; none if that is not known. A change
-    /// that rests on no era, by a VM that has read nothing, is made as it is.
+    /// Returns the version of the era's row on which a change has to be conditional; `None` if that
+    /// is not known. A change without a condition from any era, by a VM that has read nothing, gets
+    /// no such condition.
     pub fn condition(&self, change: &Change) -> Option<Version> {
         let rests = change.expect.iter().map(|(_, version)| version.era).max();
         let rests = rests.unwrap_or_default();
--- a/src/direct/control/resume.rs
+++ b/src/direct/control/resume.rs
@@ -1,25 +1,28 @@
-//! Who leads a group in a new era of the store, whose rows are hearsay.
+//! The first lead of a group in a new era of the store, whose restored rows are not trusted.
 //!
-//! **Failure answered.** A primary was replaced, or a replacement had begun, and the store came back from a copy of
-//! before. **Symptom without it.** The old primary is written as the one that leads, and acknowledges what the new one
-//! lacks. **Why it suffices.** Whoever replaces a primary waits until no VM holds a lease on it. A VM that holds one
-//! while it has the duty of the new era knows so that nobody replaced it; the steward before can't renew its duty any
-//! more. Without a lease the group is given a replacement, which asks the databases.
+//! A primary may have been replaced, or a replacement begun, after the copy was made from which the
+//! store was restored. If the old primary were written as the lead again, it would acknowledge
+//! writes that the new one lacks. A steward waits until no VM holds a lease on a primary before it
+//! replaces it. So a VM that holds a lease on the primary, together with the duty of the new era,
+//! knows that it was not replaced; the former steward can't renew its duty any more. Without a
+//! lease the group gets a change of primary, which asks the databases for their positions.
 
 use crate::direct::config::Database;
 use crate::direct::lead::{Epoch, Lead};
 use crate::direct::table::Era;
 
-/// The numbers below this one of an era count its own changes.
-const CHANGES: u32 = 32;
+/// The number of low bits of an epoch or token that count the changes within its era.
+const CHANGE_BITS: u32 = 32;
 
-/// What all epochs and tokens of an era are above: those of earlier eras are below it, known or not.
+/// Returns the number that all epochs and tokens of an era exceed; those of earlier eras are below
+/// it.
 pub fn floor(era: Era) -> u64 {
-    era.0 << CHANGES
+    era.0 << CHANGE_BITS
 }
 
-/// The first lead of a group in an era, of which `known` is the newest that this VM or a former row shows, and `held`
-/// the epoch on which it holds a lease. Where nothing is known the database that is `named` leads.
+/// Returns the first lead of a group in an era. `known` is the newest lead that this VM has or an
+/// older row shows, `held` the epoch on which this VM holds a lease. If no lead is known, the
+/// database `named` leads.
 pub fn first(era: Era, known: Option<Lead>, held: Option<Epoch>, named: &Database) -> Lead {
     let Some(known) = known else {
         return Lead {
--- a/src/direct/control/rows.rs
+++ b/src/direct/control/rows.rs
@@ -1,5 +1,5 @@
-//! The rows that the control path keeps in the store, all in one table, so that one call reads
-//! them as of a single moment.
+//! The control path's rows in the store. They are in one table, so that one call reads all of them
+//! as of a single moment.
 
 use crate::clock::Time;
 use crate::direct::lead::Lead;
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 
-/// The table of all rows of ours.
+/// The table of all control rows.
 pub const TABLE: &str = "control";
 
 const DUTY: &str = "duty";
@@ -21,12 +21,13 @@
 const LEAD: &str = "lead.";
 const MEMBER: &str = "vm.";
 
-/// Which VM a row is about: its name and IP, as a new VM may come under an old name.
+/// Identifies the VM that a row describes by its name and IP, since a new VM may have the name of a
+/// former one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(Box<str>);
 
 impl MemberId {
-    /// The id of a VM at an IP.
+    /// Makes the id of a VM from its name and IP.
     pub fn new(vm: &VmId, ip: IpAddr) -> Self {
         Self(format!("{vm}@{ip}").into())
     }
@@ -38,89 +39,95 @@
     }
 }
 
-/// The duty of promotions: who is the steward.
+/// The duty: the steward's lease, which entitles one VM to coordinate promotions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Duty {
-    /// The VM that holds it.
+    /// The VM that holds the duty.
     pub vm: VmId,
-    /// That VM's life.
+    /// The life (process incarnation) of that VM.
     pub life: Life,
     /// Where it listens for other VMs.
     pub address: SocketAddr,
-    /// The fencing token: rises whenever the duty is taken.
+    /// The fencing token, which rises each time that a VM takes the duty.
     pub token: u64,
-    /// Rises with each renewal, so that no two writes are alike.
+    /// Rises with each renewal, so that no two writes have the same value.
     pub number: u64,
 }
 
-/// A VM that may act on leases.
+/// A registered VM: it may act on leases unless it is evicted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The life of its process.
+    /// The life (process incarnation) of the VM.
     pub life: Life,
     /// Where it listens for other VMs.
     pub address: SocketAddr,
-    /// Where it relays other VMs' statements, if it does. A former release wrote nothing here.
+    /// The address on which it relays other VMs' statements, if it does. Absent in rows of older
+    /// releases.
     #[serde(default)]
     pub relay: Option<SocketAddr>,
     /// Its failure domain.
     pub domain: Domain,
-    /// The processor that it has. A former release wrote nothing here.
+    /// Its processor capacity, in cores. Absent in rows of older releases.
     #[serde(default)]
     pub cores: Cores,
-    /// Set by a steward that does not hear it: readings asked after this are no lease for it.
+    /// Set by a steward that receives no heartbeats from it. Readings that were requested after
+    /// this are no lease for the VM.
     pub evicted: bool,
 }
 
-/// The rows as of one moment.
+/// The control rows as of one moment.
 ///
-/// **Failure answered.** The store comes back from an older copy: a VM that is registered, an intent or a change of
-/// primary is gone, and what was changed is as it was. **Symptom without it.** Two VMs hold the duty with one token,
-/// or a VM acts on a primary that was replaced. **Why it suffices.** The first that is written in an era is the row that
-/// names it. Whatever has a lower number is from before, and counts as hearsay: as a VM that is evicted, as no duty and
-/// as no lead. All our writes are under the condition of that row, so none that was asked before lands after it.
+/// When the store is restored from an older copy, rows that were written since are lost: VMs that
+/// registered, intents and changes of primary. If the restored rows were trusted, two VMs could
+/// hold the duty with the same token, or a VM could act on a primary that was replaced. Therefore
+/// the first row that is written in an era is the one that names the era. Rows with a lower version
+/// are from before the restore and are not trusted: their VMs count as evicted, their duty and
+/// leads as absent. Every write is conditional on the era's row, so a write that was requested
+/// earlier cannot succeed after it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reading {
     /// The store's era.
     pub era: Era,
-    /// When they were asked for.
+    /// When the rows were requested.
     pub asked: Time,
-    /// When they were there.
+    /// When the rows were received.
     pub answered: Time,
-    /// The steward, and the version of that row.
+    /// The duty and the version of its row.
     pub duty: Option<(Duty, Version)>,
-    /// Who leads, and the versions of those rows.
+    /// The lead of each group and the version of its row.
     pub leads: BTreeMap<GroupId, (Lead, Version)>,
-    /// The VMs, and the versions of their rows.
+    /// The VMs and the versions of their rows.
     pub members: BTreeMap<MemberId, (Member, Version)>,
-    /// Rows of an earlier era that nothing of this one has replaced.
+    /// Rows of an earlier era that have not been replaced in this one.
     pub former: Former,
 }
 
-/// What an earlier era left: hearsay, and the versions under which it is replaced.
+/// Rows of an earlier era. They are not trusted; their versions are the conditions for replacing
+/// them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Former {
-    /// The duty's row.
+    /// The duty and the version of its row.
     pub duty: Option<(Duty, Version)>,
-    /// Who led.
+    /// The lead of each group and the version of its row.
     pub leads: BTreeMap<GroupId, (Lead, Version)>,
 }
 
 impl Reading {
-    /// Reads the rows that a call asked at `asked` brought at `answered`, in an era that a row of the version
-    /// `settled` names. What can't be read is left out and logged: another release may have written it.
-    pub fn new(rows: &[Row], settled: Version, asked: Time, answered: Time) -> Self {
+    /// Decodes rows that were requested at `asked` and received at `answered`. `era_version` is the
+    /// version of the row that names the era. Rows that can't be decoded are logged and left out:
+    /// another release may have written them.
+    pub fn new(rows: &[Row], era_version: Version, asked: Time, answered: Time) -> Self {
         let mut reading = Self {
-            era: settled.era,
+            era: era_version.era,
             asked,
             answered,
             duty: None,
             leads: BTreeMap::new(),
-            members: members(rows, settled),
+            members: members(rows, era_version),
             former: Former::default(),
         };
         for row in rows {
-            reading.add(row, row.version <= settled);
+            reading.add(row, row.version <= era_version);
         }
         reading
     }
@@ -140,18 +147,18 @@
         }
     }
 
-    /// The duty's row, whether it counts or not.
+    /// Returns the duty's row, whether of this era or an earlier one.
     pub fn last_duty(&self) -> Option<&(Duty, Version)> {
         self.duty.as_ref().or(self.former.duty.as_ref())
     }
 
-    /// The version that the duty's row has, whether it counts or not.
+    /// Returns the version of the duty's row, whether of this era or an earlier one.
     pub fn duty_version(&self) -> Version {
         self.last_duty()
             .map_or(Version::NONE, |(_, version)| *version)
     }
 
-    /// Who leads each group.
+    /// Returns the leads of all groups.
     pub fn rows(&self) -> Vec<(GroupId, Lead)> {
         let leads = self.leads.iter();
         leads
@@ -159,7 +166,7 @@
             .collect()
     }
 
-    /// Who leads these groups.
+    /// Returns the leads of these groups.
     pub fn rows_of(&self, groups: &BTreeSet<GroupId>) -> Vec<(GroupId, Lead)> {
         let leads = groups.iter().filter_map(|group| {
             let (lead, _) = self.leads.get(group)?;
@@ -168,58 +175,58 @@
         leads.collect()
     }
 
-    /// Its VMs, one for each row.
+    /// Returns the VMs, one for each row.
     pub fn fellows(&self) -> Vec<Fellow> {
         fellows(&self.members)
     }
 
-    /// Whether this reading is a lease for a life of a VM.
+    /// Returns whether this reading is a lease for a life of a VM.
     ///
-    /// **Failure answered.** A steward replaces a primary and does not know of a VM that acts on
-    /// a lease. **Symptom without it.** That VM acknowledges a write which the new primary lacks.
-    /// **Why it suffices.** The steward reads the rows after its intent is written. Any reading
-    /// that shows the old lead was asked before; if it showed the VM's row too, then the steward
-    /// finds that row, or one that tells since when the VM is evicted.
+    /// A steward that replaces a primary must know of every VM that acts on a lease. Otherwise such
+    /// a VM could acknowledge a write that the new primary lacks. The steward reads the rows after
+    /// it has written its intent. Any reading that shows the old lead was requested before that; if
+    /// it also showed the VM's row, then the steward finds that row, or a row that marks the VM as
+    /// evicted.
     pub fn is_lease_for(&self, id: &MemberId, life: Life) -> bool {
         let member = self.members.get(id);
         member.is_some_and(|(member, _)| member.life == life && !member.evicted)
     }
 }
 
-/// The VMs among some rows, and the versions of their rows. One of an earlier era than `settled` names counts as
-/// evicted: it has to register again.
-pub fn members(rows: &[Row], settled: Version) -> BTreeMap<MemberId, (Member, Version)> {
+/// Returns the VMs among some rows, and the versions of their rows. A VM whose row is from before
+/// `era_version` counts as evicted: it has to register again.
+pub fn members(rows: &[Row], era_version: Version) -> BTreeMap<MemberId, (Member, Version)> {
     let known = rows.iter().filter_map(member);
     let judged = known.map(|(id, (mut member, version))| {
-        member.evicted |= version <= settled;
+        member.evicted |= version <= era_version;
         (id, (member, version))
     });
     judged.collect()
 }
 
-/// The VM that a row is about, if it is about one.
+/// Decodes the row of a VM; `None` for other rows.
 fn member(row: &Row) -> Option<(MemberId, (Member, Version))> {
     let id = row.id.key.strip_prefix(MEMBER)?;
     Some((MemberId(id.into()), (decode(row)?, row.version)))
 }
 
-/// VMs as others know them.
+/// Converts VMs to the form that is shared with sessions and other VMs.
 pub fn fellows(members: &BTreeMap<MemberId, (Member, Version)>) -> Vec<Fellow> {
-    let fellow = |(member, _): &(Member, Version)| Fellow {
+    let peer = |(member, _): &(Member, Version)| Fellow {
         address: member.address,
         relay: member.relay,
         domain: member.domain.clone(),
         cores: member.cores,
         evicted: member.evicted,
     };
-    members.values().map(fellow).collect()
+    members.values().map(peer).collect()
 }
 
 fn decode<T: DeserializeOwned>(row: &Row) -> Option<T> {
     let value = row.value.as_ref()?;
     let read = serde_json::from_slice(value);
     if let Err(error) = &read {
-        log::warn!(row:% = row.id, error:%; "a row of the control table is not understood");
+        log::warn!(row:% = row.id, error:%; "failed to decode a row of the control table");
     }
     read.ok()
 }
@@ -229,12 +236,12 @@
     RowId::new(TABLE, ERA)
 }
 
-/// The row that says in which era no lease of an earlier one can be left.
+/// The row that names the newest era in which no lease of an earlier one can be left.
 pub fn quiet_row() -> RowId {
     RowId::new(TABLE, QUIET)
 }
 
-/// The era that a row of [`era_row`] or [`quiet_row`] names.
+/// Returns the era that a row of [`era_row`] or [`quiet_row`] names.
 pub fn named_era(row: &Row) -> Option<Era> {
     decode(row)
 }
@@ -244,7 +251,7 @@
     RowId::new(TABLE, DUTY)
 }
 
-/// The row that says who leads a group.
+/// The row of a group's lead.
 pub fn lead_row(group: &GroupId) -> RowId {
     RowId::new(TABLE, format!("{LEAD}{group}"))
 }
@@ -254,9 +261,9 @@
     RowId::new(TABLE, format!("{MEMBER}{id}"))
 }
 
-/// A row's value as the store keeps it: text, so that a person can read it there.
+/// Encodes a row's value as JSON text, so that a person can read it in the store.
 pub fn encode<T: Serialize>(value: &T) -> Bytes {
     let text = serde_json::to_vec(value);
-    // Plain structs of names and numbers always have a text.
+    // Plain structs of names and numbers always serialize.
     Bytes::from(text.unwrap_or_default())
 }
--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -1,4 +1,5 @@
-//! Calls of the store: counted, bounded, and with the times since it answers or does not.
+//! The control path's client of the store: calls have a timeout and are counted, and it records
+//! since when the store has answered or failed.
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::Adapter;
@@ -12,128 +13,129 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How long a write's answer is waited for.
+/// The timeout of writes, adapted to how long recent answers took.
 ///
-/// **Pattern answered.** The store loses one answer in three for some seconds, or is sixty times
-/// as slow as usual: a write takes 16 ms as a rule, 720 ms then. **Without it** each lost answer
-/// adds 1.5 s to the gap in service while a primary is replaced; or no write of a slow store is
-/// ever waited for long enough. **Thresholds.** Some times what the last answers took, from
-/// [`LEAST`] to [`MOST`], and twice as long once [`MISSES`] answers in a row were lost, which a
-/// store that loses one in three seldom does. A write that is asked again is under the condition
-/// of the same version, so only one of both is done.
+/// The store at times loses one answer in three for some seconds, or is sixty times as slow as
+/// usual: a write takes 16 ms normally and 720 ms then. With a fixed long timeout each lost answer
+/// would add 1.5 s to the gap in service while a primary is replaced; with a fixed short one no
+/// write to a slow store would ever succeed. The timeout is a multiple of what the last answer
+/// took, between [`MIN_WRITE_TIMEOUT`] and [`MAX_WRITE_TIMEOUT`], and doubles once [`MAX_MISSES`]
+/// answers in a row were lost, which is rare in a store that loses one in three. A retried write
+/// has the same version as its condition, so only one of the two succeeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Patience {
     span: Span,
     missed: u32,
 }
 
-const LEAST: Span = Span::from_millis(300);
-const MOST: Span = Span::from_millis(1_500);
-const MISSES: u32 = 4;
+const MIN_WRITE_TIMEOUT: Span = Span::from_millis(300);
+const MAX_WRITE_TIMEOUT: Span = Span::from_millis(1_500);
+const MAX_MISSES: u32 = 4;
 
-/// A write takes this many times as long as a reading.
+/// A write takes this many times as long as a read.
 const WRITE_TO_READ: u64 = 3;
 
 impl Default for Patience {
     fn default() -> Self {
         Self {
-            span: LEAST,
+            span: MIN_WRITE_TIMEOUT,
             missed: 0,
         }
     }
 }
 
 impl Patience {
-    /// How long to wait now.
+    /// Returns the current timeout.
     pub fn span(self) -> Span {
         self.span
     }
 
-    /// A write's answer took this long.
+    /// Records how long a write took.
     pub fn written(&mut self, took: Span) {
         self.missed = 0;
-        self.span = Span(took.0.saturating_mul(4)).clamp(LEAST, MOST);
+        self.span = Span(took.0.saturating_mul(4)).clamp(MIN_WRITE_TIMEOUT, MAX_WRITE_TIMEOUT);
     }
 
-    /// A reading took this long.
+    /// Records how long a read took.
     pub fn read(&mut self, took: Span) {
         let write = Span(took.0.saturating_mul(WRITE_TO_READ * 2));
-        self.span = self.span.max(write.min(MOST));
+        self.span = self.span.max(write.min(MAX_WRITE_TIMEOUT));
     }
 
-    /// A write's answer was not there in time.
+    /// Records that a write's answer was lost or late.
     pub fn missed(&mut self) {
         self.missed += 1;
-        if self.missed >= MISSES {
-            self.span = self.span.percent(200).min(MOST);
+        if self.missed >= MAX_MISSES {
+            self.span = self.span.percent(200).min(MAX_WRITE_TIMEOUT);
         }
     }
 }
 
-/// How long it is waited until a table begins to come, which a slow store reads in 240 ms: a steward that is turned away
-/// without an answer notices by this, and offers the duty to others.
-const READ_PATIENCE: Span = Span::from_millis(800);
+/// How long a read may take until its answer begins. A slow store takes 240 ms. A steward whose
+/// calls the store refuses to answer notices after this time, and offers the duty to other VMs.
+const READ_TIMEOUT: Span = Span::from_millis(800);
 
-/// How long it is waited until a page of a long table begins to come.
-const LONG_PATIENCE: Span = Span::from_secs(3);
+/// How long a read of a long table may take until a page of the answer begins.
+const LONG_READ_TIMEOUT: Span = Span::from_secs(3);
 
-/// How long every other reading is waited for once one has brought nothing.
+/// The timeout of every other read after a failure.
 ///
-/// **Pattern answered.** A store that says nothing for 6 s is back. **Without it** whoever asked just before
-/// waits 0.8 s for nothing, asks others in vain, pauses, and the leases of 8 s are over by then. **Why every
-/// other one.** A store that takes between this and [`READ_PATIENCE`] is still heard.
-const AWAY: Span = Span::from_millis(300);
-
-/// What a poll may take beyond its wait: a connection that fell silent for good is noticed only
-/// when this is over, and a configuration has to be in force 3 s after it was accepted.
+/// The store may come back after 6 s without an answer. A read that was sent just before that would
+/// otherwise wait 0.8 s for nothing, then ask other VMs in vain and back off, and leases of 8 s
+/// would expire meanwhile. Only every other read is short, so that a store which takes between this
+/// time and [`READ_TIMEOUT`] is still usable.
+const SHORT_READ_TIMEOUT: Span = Span::from_millis(300);
+
+/// How much longer than its wait a long poll may take. A connection that has silently failed is
+/// noticed only after this time, and a configuration has to be in force 3 s after it was accepted.
 const POLL_MARGIN: Span = Span::from_millis(700);
 
-/// How long after a failed call none is made for other VMs.
-const FAILED: Span = Span::from_secs(1);
+/// How long after a failed call of its own this VM refuses calls for other VMs.
+const FAILURE_COOLDOWN: Span = Span::from_secs(1);
 
-/// How many rows a VM that starts reads of a table of any length, and from its own row on where there
-/// are more.
+/// How many rows a starting VM reads of a table, and how many from its own row on if the table is
+/// longer.
 pub(super) const FIRST_ROWS: u32 = 256;
 const NEAR_ROWS: u32 = 64;
 
-/// What a VM that starts has read.
+/// What a starting VM has read.
 #[derive(Debug)]
 pub(super) enum Opening {
     /// All rows.
     All(Box<Reading>),
-    /// Of a long table the VMs whose rows follow its own, and its own if that is there.
+    /// Of a long table, the VMs whose rows follow this VM's key, and its own row if it exists.
     Near(BTreeMap<MemberId, (Member, Version)>),
 }
 
-/// How often the store was asked.
+/// Counters of store calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Tables read.
+    /// Reads of tables and ranges.
     pub reads: u64,
     /// Long polls.
     pub follows: u64,
-    /// Changes asked for.
+    /// Writes.
     pub writes: u64,
     /// Calls made for other VMs.
     pub relayed: u64,
-    /// Calls that brought no answer.
+    /// Calls that failed or timed out.
     pub faults: u64,
 }
 
-/// Since when the store has answered every call, or none.
+/// Since when the store has answered every call, or failed every call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Health {
     /// The first answer since the last fault.
     pub up: Option<Time>,
     /// The first fault since the last answer.
     pub down: Option<Time>,
-    /// When the last call was asked that was answered.
+    /// When the last answered call was sent.
     pub answered: Option<Time>,
 }
 
 impl Health {
-    /// A call asked at `asked` ended; returns whether this changes what is believed.
-    pub fn note(&mut self, good: bool, asked: Time, now: Time) -> bool {
+    /// Records the result of a call sent at `asked`; returns whether the store's state has changed.
+    pub fn record(&mut self, good: bool, asked: Time, now: Time) -> bool {
         if good {
             self.up.get_or_insert(asked);
             self.answered = self.answered.max(Some(asked));
@@ -146,15 +148,15 @@
     }
 }
 
-/// The store as the control path asks it.
+/// The control path's client of the store.
 pub struct Store {
     adapter: Adapter,
     counts: Cell<Counts>,
     health: RefCell<Health>,
     patience: Cell<Patience>,
     route: Cell<Route>,
-    /// When a call by the own way failed that none succeeded after.
-    failed: Cell<Option<Time>>,
+    /// When a direct call failed, if none has succeeded since.
+    direct_failed: Cell<Option<Time>>,
     detour: OnceCell<Detour>,
     eras: Cell<Eras>,
 }
@@ -169,7 +171,7 @@
 }
 
 impl Store {
-    /// The store of a platform.
+    /// Makes a client of the platform's store.
     pub fn new(adapter: Adapter) -> Self {
         Self {
             adapter,
@@ -177,86 +179,91 @@
             health: RefCell::default(),
             patience: Cell::default(),
             route: Cell::default(),
-            failed: Cell::default(),
+            direct_failed: Cell::default(),
             detour: OnceCell::new(),
             eras: Cell::default(),
         }
     }
 
-    /// Sets the way by other VMs, once.
+    /// Sets how calls are made through other VMs; only the first call has an effect.
     pub(super) fn set_detour(&self, detour: Detour) {
         let _ = self.detour.set(detour);
     }
 
-    /// How often it was asked.
+    /// Returns the counters of calls.
     pub fn counts(&self) -> Counts {
         self.counts.get()
     }
 
-    /// Since when it answers.
+    /// Returns since when the store has answered or failed.
     pub fn health(&self) -> Health {
         *self.health.borrow()
     }
 
-    fn read_patience(&self) -> Span {
-        let away = self.health.borrow().down.is_some();
-        let odd = self.counts.get().faults % 2 == 1;
-        if away && odd { AWAY } else { READ_PATIENCE }
+    fn read_timeout(&self) -> Span {
+        let is_down = self.health.borrow().down.is_some();
+        let is_odd = self.counts.get().faults % 2 == 1;
+        if is_down && is_odd {
+            SHORT_READ_TIMEOUT
+        } else {
+            READ_TIMEOUT
+        }
     }
 
     /// Reads a table.
     pub async fn read(&self, table: &str) -> Result<(Vec<Row>, Version), Fault> {
         self.count(|counts| counts.reads += 1);
         let ask = Ask::Read(table.into());
-        rows_of(self.call(ask, self.read_patience()).await?)
+        rows_of(self.call(ask, self.read_timeout()).await?)
     }
 
-    /// Reads a table that may be long, by the own way only.
+    /// Reads a table that may be long, by a direct call only.
     ///
-    /// **Pattern answered.** A configuration of some hundred KB is half a second on a small VM's link.
-    /// **Without it** a reading that is late is asked for by way of other VMs, each of which reads it
-    /// too: of 300 VMs all ask a few for 700 KB each, which end at their memory's limit.
+    /// A configuration of some hundred KB takes half a second on a small VM's link. If a late read
+    /// were retried through other VMs, each of them would read the table too: in a fleet of 300 all
+    /// VMs would ask the same few for 700 KB each, and these would reach their memory limit.
     pub async fn read_here(&self, table: &str) -> Result<(Vec<Row>, Version), Fault> {
-        self.read_within(table, self.read_patience()).await
+        self.read_within(table, self.read_timeout()).await
     }
 
-    /// The same, where hundreds of VMs may read it at one moment.
+    /// Like [`Store::read_here`], with a timeout for hundreds of VMs that read it at the same
+    /// moment.
     pub async fn read_long(&self, table: &str) -> Result<(Vec<Row>, Version), Fault> {
-        self.read_within(table, LONG_PATIENCE).await
+        self.read_within(table, LONG_READ_TIMEOUT).await
     }
 
-    async fn read_within(&self, table: &str, patience: Span) -> Result<(Vec<Row>, Version), Fault> {
+    async fn read_within(&self, table: &str, timeout: Span) -> Result<(Vec<Row>, Version), Fault> {
         self.count(|counts| counts.reads += 1);
-        rows_of(self.call_here(Ask::Read(table.into()), patience).await?)
+        rows_of(self.call_directly(Ask::Read(table.into()), timeout).await?)
     }
 
-    /// Reads some rows of a table from a key on.
+    /// Reads up to `limit` rows of a table, beginning at a key.
     async fn read_range(
         &self,
         table: &str,
         from: &str,
-        most: u32,
+        limit: u32,
     ) -> Result<(Vec<Row>, Version), Fault> {
         self.count(|counts| counts.reads += 1);
         let ask = Ask::Range {
             table: table.into(),
             from: from.into(),
-            most,
+            most: limit,
         };
-        rows_of(self.call(ask, self.read_patience()).await?)
+        rows_of(self.call(ask, self.read_timeout()).await?)
     }
 
-    /// What a VM reads first: all rows of the control path, or of a long table its own row and those
-    /// that follow it.
+    /// Reads what a starting VM needs first: all control rows, or of a long table its own row and
+    /// those that follow it.
     ///
-    /// Answers a loss of power of all VMs: each needs the version of its own row and some VMs that may
-    /// write it, not the whole table.
+    /// After a loss of power all VMs start at once. Each needs only the version of its own row and
+    /// some VMs that may write it, not the whole table.
     pub(super) async fn opening(&self, id: &MemberId) -> Result<Opening, Fault> {
         let asked = (self.adapter.clock)();
         let (rows, version) = self.read_range(TABLE, "", FIRST_ROWS).await?;
-        let settled = self.settle(&rows, version).await?;
+        let settled = self.ensure_era_row(&rows, version).await?;
         if rows.len() < FIRST_ROWS as usize {
-            let reading = self.take_reading(&rows, settled, asked);
+            let reading = self.decode_reading(&rows, settled, asked);
             return Ok(Opening::All(Box::new(reading)));
         }
         let own = member_row(id);
@@ -264,25 +271,30 @@
         Ok(Opening::Near(rows::members(&rows, settled)))
     }
 
-    /// One VM's row, and its version.
+    /// Reads one VM's row and its version.
     pub(super) async fn member(&self, id: &MemberId) -> Result<Option<(Member, Version)>, Fault> {
         let own = member_row(id);
         let (rows, version) = self.read_range(TABLE, &own.key, 1).await?;
-        let settled = self.eras.get().settled(version.era).ok_or_else(unsettled)?;
+        let settled = self
+            .eras
+            .get()
+            .settled(version.era)
+            .ok_or_else(era_row_missing)?;
         Ok(rows::members(&rows, settled).remove(id))
     }
 
-    /// Reads the rows of the control path.
+    /// Reads the control rows.
     pub async fn reading(&self) -> Result<Reading, Fault> {
         let asked = (self.adapter.clock)();
         let (rows, version) = self.read(TABLE).await?;
-        let settled = self.settle(&rows, version).await?;
-        Ok(self.take_reading(&rows, settled, asked))
+        let settled = self.ensure_era_row(&rows, version).await?;
+        Ok(self.decode_reading(&rows, settled, asked))
     }
 
-    /// The version of the row that names the store's era, if these rows have it. Else it is written, and they can't be
-    /// used: what they show may be gone once it is there.
-    async fn settle(&self, rows: &[Row], version: Version) -> Result<Version, Fault> {
+    /// Returns the version of the row that names the store's era, if these rows contain it.
+    /// Otherwise writes that row and fails: what the rows show may be lost by the time it is
+    /// written.
+    async fn ensure_era_row(&self, rows: &[Row], version: Version) -> Result<Version, Fault> {
         let mut eras = self.eras.get();
         if let Some(settled) = eras.read(rows, version.era) {
             self.eras.set(eras);
@@ -293,25 +305,27 @@
             writes: vec![(era_row(), encode(&version.era))],
             remove: Vec::new(),
         };
-        let patience = self.patience.get().span();
-        let told = self.call(Ask::Write(change), patience).await;
-        let written = matches!(told, Ok(Told::Written(_)));
+        let timeout = self.patience.get().span();
+        let answer = self.call(Ask::Write(change), timeout).await;
+        let written = matches!(answer, Ok(Told::Written(_)));
         log::info!(era:% = version.era, written; "the row of the store's era was missing");
-        Err(unsettled())
+        Err(era_row_missing())
     }
 
-    /// The era that the store is in, and since when that is known here or at another VM.
+    /// Returns the newest known era of the store, and since when this or another VM has known it.
     pub(super) fn era(&self) -> (Era, Option<Time>) {
         let eras = self.eras.get();
         (eras.newest(), eras.since())
     }
 
-    /// Until when VMs may hold leases that registered in an earlier era and are in no row of this one.
+    /// Returns until when VMs may hold leases that registered in an earlier era and have no row in
+    /// this one.
     pub(super) fn strangers_until(&self) -> Option<Time> {
         self.eras.get().strangers_until()
     }
 
-    /// Writes that no lease of an earlier era is left, once that is so, for stewards that start later.
+    /// Once no lease of an earlier era can be left, writes that to the store, for stewards that
+    /// start later.
     pub(super) async fn say_quiet(&self) {
         let now = (self.adapter.clock)();
         if !self.eras.get().is_quiet_unsaid(now) {
@@ -325,43 +339,44 @@
             writes: vec![(quiet_row(), encode(&self.eras.get().newest()))],
             remove: Vec::new(),
         };
-        // The next reading shows it, or it is written then.
+        // If this fails, the next reading shows that the row is missing, and it is written again.
         let _ = self.write(change).await;
     }
 
-    /// Another VM has known since a moment that the store is in this era.
+    /// Records that another VM has known of this era since `since`.
     pub(super) fn hear_era(&self, era: Era, since: Time) {
         let mut eras = self.eras.get();
         eras.hear(era, since);
-        self.note_eras(eras);
+        self.update_eras(eras);
     }
 
-    /// Whether a row was last written before the era that the store is in, as far as is known.
+    /// Returns whether a row was last written before the store's newest known era.
     pub(super) fn is_former(&self, version: Version) -> bool {
         let settled = self.eras.get().settled(version.era);
         settled.is_none_or(|settled| version <= settled)
     }
 
-    /// Notes the era of an answer. One of an earlier era tells nothing of the store as it is.
-    fn accept(&self, told: Result<Told, Fault>) -> Result<Told, Fault> {
-        let era = match &told {
+    /// Records the era of an answer. An answer of an earlier era is an error, as it does not show
+    /// the store's present state.
+    fn check_era(&self, answer: Result<Told, Fault>) -> Result<Told, Fault> {
+        let era = match &answer {
             Ok(Told::Rows { version, .. } | Told::Written(version)) => Some(version.era),
             Ok(Told::Conflict(rows)) => rows.first().map(|row| row.version.era),
             Ok(Told::Forgotten) | Err(_) => None,
         };
-        let Some(era) = era else { return told };
+        let Some(era) = era else { return answer };
         let mut eras = self.eras.get();
-        let is_old = !eras.told(era, (self.adapter.clock)());
-        self.note_eras(eras);
-        if is_old {
+        let is_outdated = !eras.told(era, (self.adapter.clock)());
+        self.update_eras(eras);
+        if is_outdated {
             return Err(Fault::Unknown(
                 "it is of an earlier era of the store".into(),
             ));
         }
-        told
+        answer
     }
 
-    fn note_eras(&self, eras: Eras) {
+    fn update_eras(&self, eras: Eras) {
         let known = self.eras.replace(eras).known();
         if let Some(before) = known
             && before < eras.newest()
@@ -370,22 +385,23 @@
             let age_ms = answered.map(|at| (self.adapter.clock)().since(at).0 / 1_000);
             log::warn!(
                 before:%, era:% = eras.newest(), answered_ms:? = age_ms;
-                "the store came back from an older copy: what was read there before is hearsay"
+                "the store came back from an older copy: earlier readings are not trusted"
             );
         }
     }
 
-    /// The reading that these rows are, which were asked for at `asked` and are there now; how long they took
-    /// tells how long a write may take.
-    fn take_reading(&self, rows: &[Row], settled: Version, asked: Time) -> Reading {
+    /// Decodes rows that were requested at `asked` and have just been received. The time they took
+    /// also adjusts the timeout of writes.
+    fn decode_reading(&self, rows: &[Row], settled: Version, asked: Time) -> Reading {
         let answered = (self.adapter.clock)();
-        let mut patience = self.patience.get();
-        patience.read(answered.since(asked));
-        self.patience.set(patience);
+        let mut timeout = self.patience.get();
+        timeout.read(answered.since(asked));
+        self.patience.set(timeout);
         Reading::new(rows, settled, asked, answered)
     }
 
-    /// Waits for a change of a table after a version; none means that the history is gone.
+    /// Waits for a change of a table after a version. `None` means that the store no longer has the
+    /// history from that version on.
     pub async fn follow(
         &self,
         table: &str,
@@ -399,122 +415,135 @@
             wait,
         };
         match self.call(ask, wait + POLL_MARGIN).await? {
-            // The numbers after this one are given out again, to other content.
+            // A new era reuses the numbers after this one for other content.
             Told::Rows { version, .. } if version.era != after.era => Ok(None),
             Told::Rows { rows, version } => Ok(Some((rows, version))),
             Told::Forgotten => Ok(None),
-            _ => Err(unexpected()),
+            _ => Err(unexpected_kind()),
         }
     }
 
-    /// Changes rows; the rows under condition come back if they are not as expected.
+    /// Writes a change. The inner error holds the rows of the condition, if their versions were not
+    /// as expected.
     pub async fn write(&self, mut change: Change) -> Result<Result<Version, Vec<Row>>, Fault> {
-        let settled = self.eras.get().condition(&change).ok_or_else(unsettled)?;
+        let settled = self
+            .eras
+            .get()
+            .condition(&change)
+            .ok_or_else(era_row_missing)?;
         if !settled.is_none() {
             change.expect.push((era_row(), settled));
         }
         self.count(|counts| counts.writes += 1);
-        let mut patience = self.patience.get();
+        let mut timeout = self.patience.get();
         let asked = (self.adapter.clock)();
-        let told = self.call(Ask::Write(change), patience.span()).await;
-        match &told {
-            Ok(_) => patience.written((self.adapter.clock)().since(asked)),
+        let answer = self.call(Ask::Write(change), timeout.span()).await;
+        match &answer {
+            Ok(_) => timeout.written((self.adapter.clock)().since(asked)),
             Err(fault) => {
                 log::info!(
-                    reason:% = fault, patience_ms = patience.span().0 / 1_000;
-                    "a change of the store's rows brought no answer"
+                    reason:% = fault, patience_ms = timeout.span().0 / 1_000;
+                    "a write to the store failed or timed out"
                 );
-                patience.missed();
+                timeout.missed();
             }
         }
-        self.patience.set(patience);
-        match told? {
-            // The row of the former era was there once more, as no other had taken its place.
+        self.patience.set(timeout);
+        match answer? {
+            // The era's row still had its old version after the restore, as no VM had written it
+            // again.
             Told::Written(version) if version.era > settled.era && !settled.is_none() => Err(
                 Fault::Unknown("it was done in a later era of the store".into()),
             ),
             Told::Written(version) => Ok(Ok(version)),
             Told::Conflict(rows) => {
                 if table::version_in(&rows, &era_row()) != settled {
-                    return Err(unsettled());
+                    return Err(era_row_missing());
                 }
                 Ok(Err(rows))
             }
-            _ => Err(unexpected()),
+            _ => Err(unexpected_kind()),
         }
     }
 
     async fn call(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
         let asked = (self.adapter.clock)();
-        let told = match ask {
-            // Whoever waits for a change may as well hear of it from the steward.
-            Ask::Follow { .. } => self.call_here(ask, span).await,
-            Ask::Read(_) | Ask::Range { .. } | Ask::Write(_) => self.call_somehow(ask, span).await,
+        let answer = match ask {
+            // Long polls are always direct: a VM that can't poll gets the same update from the
+            // steward.
+            Ask::Follow { .. } => self.call_directly(ask, span).await,
+            Ask::Read(_) | Ask::Range { .. } | Ask::Write(_) => {
+                self.call_by_any_route(ask, span).await
+            }
         };
         let now = (self.adapter.clock)();
-        if told.is_err() {
+        if answer.is_err() {
             self.count(|counts| counts.faults += 1);
         }
-        let changed = self.health.borrow_mut().note(told.is_ok(), asked, now);
-        match &told {
+        let changed = self.health.borrow_mut().record(answer.is_ok(), asked, now);
+        match &answer {
             Err(fault) if changed => log::warn!(reason:% = fault; "the store does not answer"),
             Ok(_) if changed => log::info!("the store answers again"),
             _ => {}
         }
-        told
+        answer
     }
 
-    /// Makes a call by the own way, and by way of other VMs if that fails; the other way round
-    /// while the own way is avoided.
-    async fn call_somehow(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
+    /// Makes a call directly, and through other VMs if that fails. While the direct route is
+    /// avoided, it tries the other VMs first.
+    async fn call_by_any_route(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
         let mut route = self.route.get();
         if route.avoids_own((self.adapter.clock)()) {
-            if let Some(told) = self.call_by_others(&ask).await {
-                return self.accept(Ok(told));
+            if let Some(answer) = self.call_indirectly(&ask).await {
+                return self.check_era(Ok(answer));
             }
             route.reset();
             self.route.set(route);
-            return self.call_here(ask, span).await;
+            return self.call_directly(ask, span).await;
         }
-        let told = self.call_here(ask.clone(), span).await;
-        if told.is_ok() {
+        let answer = self.call_directly(ask.clone(), span).await;
+        if answer.is_ok() {
             route.reset();
             self.route.set(route);
-            return told;
+            return answer;
         }
-        let Some(other) = self.call_by_others(&ask).await else {
-            return told;
+        let Some(other) = self.call_indirectly(&ask).await else {
+            return answer;
         };
         if route == Route::default() {
             log::info!("the store turns this VM away: its calls go by way of other VMs");
         }
         route.failed((self.adapter.clock)());
         self.route.set(route);
-        self.accept(Ok(other))
+        self.check_era(Ok(other))
     }
 
-    async fn call_by_others(&self, ask: &Ask) -> Option<Told> {
+    async fn call_indirectly(&self, ask: &Ask) -> Option<Told> {
         let detour = self.detour.get()?;
         detour(ask.clone()).await
     }
 
-    /// Makes a call by the own way.
-    async fn call_here(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
-        let told = (self.adapter.store)(ask, span).await;
+    /// Makes a call directly.
+    async fn call_directly(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
+        let answer = (self.adapter.store)(ask, span).await;
         let now = (self.adapter.clock)();
-        self.failed.set(told.is_err().then_some(now));
-        self.accept(told)
+        self.direct_failed.set(answer.is_err().then_some(now));
+        self.check_era(answer)
     }
 
-    /// Makes a call for another VM, by the own way only. While that fails here too, the call is
-    /// refused at once: in an outage of the store each VM would make the others' calls as well.
+    /// Makes a call for another VM, only directly. Refused at once while direct calls fail here
+    /// too: in an outage of the store each VM would otherwise make the others' calls as well.
     pub(super) async fn call_for_another(&self, ask: Ask, within: Span) -> Result<Told, Fault> {
         let now = (self.adapter.clock)();
-        if self.failed.get().is_some_and(|at| now < at + FAILED) {
-            return Err(Fault::Refused("it does not answer here either".into()));
+        if self
+            .direct_failed
+            .get()
+            .is_some_and(|at| now < at + FAILURE_COOLDOWN)
+        {
+            return Err(Fault::Refused("it does not answer this VM either".into()));
         }
         self.count(|counts| counts.relayed += 1);
-        self.call_here(ask, within).await
+        self.call_directly(ask, within).await
     }
 
     fn count(&self, add: impl FnOnce(&mut Counts)) {
@@ -524,17 +553,19 @@
     }
 }
 
-fn rows_of(told: Told) -> Result<(Vec<Row>, Version), Fault> {
-    match told {
+fn rows_of(answer: Told) -> Result<(Vec<Row>, Version), Fault> {
+    match answer {
         Told::Rows { rows, version } => Ok((rows, version)),
-        _ => Err(unexpected()),
+        _ => Err(unexpected_kind()),
     }
 }
 
-fn unsettled() -> Fault {
-    Fault::Refused("no row names the store's era, or another one does: read the rows first".into())
+fn era_row_missing() -> Fault {
+    Fault::Refused(
+        "the row of the store's era is missing or has changed: read the rows first".into(),
+    )
 }
 
-fn unexpected() -> Fault {
-    Fault::Unknown("the answer is of another kind than the call".into())
+fn unexpected_kind() -> Fault {
+    Fault::Unknown("the answer's kind does not match the call".into())
 }
