--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -1,8 +1,8 @@
-//! How a VM has the register and the configuration where these are too long to be told to all.
+//! Fetches the register and the configuration where they are too long to be sent to every VM.
 //!
-//! A heartbeat's answer says that there is something newer. A VM that reads for others has it from the store;
-//! all others have it from their parent in a tree of their failure domain ([`reader::ancestors`]), and from the store
-//! if that takes too long.
+//! A heartbeat's answer says that there is something newer. A VM that reads for others fetches it
+//! from the store; all others fetch it from their parent in a tree of their failure domain
+//! ([`reader::ancestors`]), or from the store if that takes too long.
 
 use crate::clock::{Span, Time};
 use crate::direct::control::{Control, reader};
@@ -11,29 +11,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a VM waits at most before it asks for a configuration that it knows to be there: by
-/// chance, so that not all ask at once. Those that poll have it by then.
-const SPREAD: Span = Span::from_millis(300);
+/// The maximum random delay before a VM asks for a configuration that it knows to exist, so that
+/// not all VMs ask at once. Those that poll the store have it by then.
+const MAX_SPREAD: Span = Span::from_millis(300);
 
-/// How often a VM reads a long register that it is told to differ. While entries are missing, a VM that started
-/// in between shows fewer than the steward keeps for some seconds, and would read 900 KB with each heartbeat.
-/// A database that leaves goes on for 7 s.
-const REGISTER_EVERY: Span = Span::from_secs(3);
+/// How often a VM fetches a long register that differs from its own. While entries are missing, a
+/// VM that started in between has fewer than the steward keeps for some seconds, and would read 900
+/// KB with each heartbeat. A database that leaves keeps serving for 7 s.
+const REGISTER_INTERVAL: Span = Span::from_secs(3);
 
-/// How long a VM has nothing more of a register, or of a configuration, from its ancestors before it reads the
-/// store; and how long it has it from them at all. A configuration has to be in force within some seconds, half of which
-/// are left then.
-const REGISTER_WITHIN: Span = Span::from_millis(2_500);
-const CONFIG_WITHIN: Span = Span::from_millis(1_500);
-const LONGEST: Span = Span::from_millis(2_500);
+/// How long a VM waits without progress on a register, or on a configuration, from its ancestors
+/// before it reads the store, and how long it may fetch from them in all. A configuration has to be
+/// in force within some seconds, half of which are left then.
+const REGISTER_TIMEOUT: Span = Span::from_millis(2_500);
+const CONFIG_TIMEOUT: Span = Span::from_millis(1_500);
+const TOTAL_TIMEOUT: Span = Span::from_millis(2_500);
 
-/// The pause before a VM that does not have it either is asked again, half by chance.
-const ASK_AGAIN: Span = Span::from_millis(200);
+/// The delay before a VM that lacks it too is asked again; half of it is random.
+const RETRY_DELAY: Span = Span::from_millis(200);
 
-/// How long one answer is waited for: a register of 400 KB over a small link.
-const ANSWER: Span = Span::from_millis(1_500);
+/// The timeout of one answer: a register of 400 KB over a small link.
+const ANSWER_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// Has each register and configuration that is known to be there and was not told.
+/// Fetches each register and configuration that is known to exist but was not received.
 pub(super) async fn run(control: Rc<Control>) {
     loop {
         control.lacking.notified().await;
@@ -43,20 +43,21 @@
 }
 
 impl Control {
-    /// Has the register that another VM has and did not tell in full, being long.
+    /// Fetches a long register, which another VM has and did not send.
     async fn fetch_register(&self) {
         if !self.is_register_due() {
             return;
         }
         let before = self.state.borrow().register.digest();
-        self.pause_of(SPREAD.percent((self.chance() * 100.0) as u64))
+        self.pause_for(MAX_SPREAD.percent((self.chance() * 100.0) as u64))
             .await;
         let lacks = |control: &Self| control.state.borrow().register.digest() == before;
-        if self.ask_ancestors(REGISTER_WITHIN, lacks).await {
+        if self.ask_ancestors(REGISTER_TIMEOUT, lacks).await {
             return;
         }
         if self.read_register().await.is_err() {
-            // The store may turn this VM away: VMs that read for others tell all of it.
+            // The store may refuse this VM's calls: VMs that read for others send the whole
+            // register.
             self.ask_readers(true).await;
         }
     }
@@ -66,7 +67,7 @@
         let mut state = self.state.borrow_mut();
         let due = state
             .register_read
-            .is_none_or(|at| at + REGISTER_EVERY <= now);
+            .is_none_or(|at| at + REGISTER_INTERVAL <= now);
         if !std::mem::take(&mut state.lacks_register) || !due {
             return false;
         }
@@ -74,57 +75,59 @@
         true
     }
 
-    /// Has the configuration that another VM has.
+    /// Fetches the newest configuration that another VM has.
     async fn fetch_config(&self) {
         let mut before = None;
         while self.lacks_config() {
             let gathered = self.state.borrow().gathering.length();
-            // One that is coming in parts goes on to come.
+            // A configuration that arrives in parts is continued without a delay.
             if before.replace(gathered) != Some(gathered) && gathered.1 > 0 {
                 tokio::task::yield_now().await;
             } else {
-                self.pause_up_to(SPREAD).await;
+                self.pause_up_to(MAX_SPREAD).await;
             }
             if !self.lacks_config() {
                 break;
             }
             match self.have_readers() {
-                true => self.have_config_from_above().await,
-                false => self.have_config_from_others().await,
+                true => self.fetch_config_from_ancestors().await,
+                false => self.fetch_config_from_peers().await,
             }
         }
     }
 
-    /// Has it from the ancestors of this VM, else from the store. The store may turn away this VM and all that are
-    /// above it: then from the VM that told of it, else from those that read for others.
-    async fn have_config_from_above(&self) {
-        let above = async {
-            self.ask_ancestors(CONFIG_WITHIN, Self::lacks_config).await;
+    /// Fetches the configuration from the ancestors of this VM, else from the store. The store may
+    /// refuse this VM and all its ancestors: then from the VM that reported the configuration, else
+    /// from the readers.
+    async fn fetch_config_from_ancestors(&self) {
+        let fetch = async {
+            self.ask_ancestors(CONFIG_TIMEOUT, Self::lacks_config).await;
         };
-        let _ = self.try_config("ancestors", above).await
+        let _ = self.try_config("ancestors", fetch).await
             || self.try_config_at_store().await
-            || self.try_config_of_its_teller().await
+            || self.try_config_of_reporter().await
             || self.try_config_of_readers().await;
     }
 
-    /// Has it from other VMs, each of which reads the store, else from the store.
-    async fn have_config_from_others(&self) {
+    /// Fetches the configuration from other VMs, each of which reads the store, else from the
+    /// store.
+    async fn fetch_config_from_peers(&self) {
         let before = self.state.borrow().gathering.length();
         let had = self.try_config_of_readers().await;
         let more = self.state.borrow().gathering.length() > before;
         if had || more {
             return;
         }
-        let _ = self.try_config_at_store().await || self.try_config_of_its_teller().await;
+        let _ = self.try_config_at_store().await || self.try_config_of_reporter().await;
     }
 
-    async fn try_config_of_its_teller(&self) -> bool {
-        let Some(teller) = self.state.borrow().newest_at else {
+    async fn try_config_of_reporter(&self) -> bool {
+        let Some(reporter) = self.state.borrow().newest_at else {
             return false;
         };
         let parts = async {
-            let end = self.now() + LONGEST;
-            self.ask_one(teller, CONFIG_WITHIN, end, &Self::lacks_config)
+            let end = self.now() + TOTAL_TIMEOUT;
+            self.ask_one(reporter, CONFIG_TIMEOUT, end, &Self::lacks_config)
                 .await;
         };
         self.try_config("teller", parts).await
@@ -144,7 +147,7 @@
         self.try_config("store", read).await
     }
 
-    /// Tries to get a newer configuration by one way; whether this VM has it then.
+    /// Tries to fetch a newer configuration from one source; returns whether this VM has it then.
     async fn try_config(&self, way: &'static str, ask: impl Future<Output = ()>) -> bool {
         let began = self.now();
         ask.await;
@@ -156,11 +159,11 @@
         had
     }
 
-    /// Asks the ancestors of this VM for what it lacks, as long as they are reached and have had something to tell
-    /// `within`; whether it lacks nothing then.
+    /// Asks the ancestors of this VM in turn for what it lacks, each as long as it answers and has
+    /// sent something new `within`. Returns whether this VM lacks nothing then.
     async fn ask_ancestors(&self, within: Span, lacks: impl Fn(&Self) -> bool) -> bool {
         let began = self.now();
-        let end = began + LONGEST;
+        let end = began + TOTAL_TIMEOUT;
         let ancestors = {
             let view = self.setup.shared.look();
             reader::ancestors(view.fellows.list(), self.setup.address)
@@ -176,7 +179,8 @@
         !lacks(self)
     }
 
-    /// Asks one VM, as long as it is reached and has had something to tell `within`, until `end` at most.
+    /// Asks one VM for what this VM lacks, as long as it answers and has sent something new
+    /// `within`, until `end` at most. Returns whether this VM lacks nothing then.
     async fn ask_one(
         &self,
         address: SocketAddr,
@@ -189,35 +193,35 @@
         while self.now() < until.min(end) {
             let before = self.state.borrow().gathering.length();
             let question = Question::Beat(self.beat_for(true));
-            let told = self.hear(address, question, ANSWER).await;
+            let answer = self.hear(address, question, ANSWER_TIMEOUT).await;
             if !lacks(self) {
                 let took_ms = self.now().since(began).0 / 1_000;
                 log::info!(from:% = address, took_ms; "a long list was told by another VM");
                 return true;
             }
-            if told.is_none() {
+            if answer.is_none() {
                 break;
             }
             if self.state.borrow().gathering.length() > before {
                 until = self.now() + within;
                 continue;
             }
-            self.pause_up_to(ASK_AGAIN).await;
+            self.pause_up_to(RETRY_DELAY).await;
         }
         false
     }
 
-    /// Pauses for the span, half of it by chance.
+    /// Sleeps for the span, half of which is random.
     async fn pause_up_to(&self, span: Span) {
         let chance = 50 + (self.chance() * 50.0) as u64;
-        self.pause_of(span.percent(chance)).await;
+        self.pause_for(span.percent(chance)).await;
     }
 
-    async fn pause_of(&self, pause: Span) {
+    async fn pause_for(&self, pause: Span) {
         tokio::time::sleep(Duration::from(pause)).await;
     }
 
-    /// Whether some VMs read the store for the others.
+    /// Returns whether some VMs read the store for the others.
     pub(super) fn have_readers(&self) -> bool {
         self.setup.shared.look().fellows.list().len() > reader::FEW
     }
--- a/src/direct/control/enroll.rs
+++ b/src/direct/control/enroll.rs
@@ -1,18 +1,19 @@
 //! Writes the rows of many VMs together.
 //!
-//! **Pattern answered.** All VMs start at one moment, at first or after a loss of power, and each has to
-//! be registered before it may act on a lease. All rows are in one part of the store, which takes
-//! 150 transactions a second, one after another.
-//! **Without it** the last of 195 writes is done after 1.3 s, answers are given up after 0.3 s and asked
-//! for again, and callers are refused for as long; from some 300 VMs on the store refuses the
-//! queue. **Thresholds.** A round gathers for [`GATHER`], less than a write takes. [`MOST`] rows fill
-//! what one call may hold.
+//! All VMs may start at one moment, at first or after a loss of power, and each has to be
+//! registered before it may act on a lease. All rows are in one partition of the store, which does
+//! 150 transactions a second, one after another. If each VM wrote its own row, the last of 195
+//! writes would be done after 1.3 s, while answers time out after 0.3 s and are requested again,
+//! and callers would be refused for that long; from some 300 VMs on the store would refuse the
+//! queue. A round collects requests for [`COLLECT_DELAY`], less than a write takes. [`MAX_ROWS`] rows
+//! fill what one call may hold.
 //!
-//! **Failure answered.** Who writes for another is frozen meanwhile, and that one has started again and
-//! registered its new life. **Symptom without it.** The row of a life that has ended takes the place of
-//! the one that holds a lease, and a replacement does not wait for it. **Why it suffices.** The version
-//! under which a row is written is one that its VM knew while that life ran: the new life's row has
-//! another. A round whose answer is lost, or that the store does late, is under the same condition.
+//! The VM that writes for another may be frozen meanwhile, while the other starts again and
+//! registers its new life. If the row of the ended life then replaced the one that holds a lease, a
+//! change of primary would not wait for that lease. This can't happen: a row is written on
+//! condition of a version that its VM knew during the same life, and the row of the new life has
+//! another version. The same condition covers a round whose answer is lost, or that the store does
+//! late.
 
 use crate::clock::Span;
 use crate::direct::control::Control;
@@ -23,31 +24,31 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long VMs are waited for that start at the same moment.
-const GATHER: Span = Span::from_millis(20);
+/// How long requests of VMs that start at the same moment are collected.
+const COLLECT_DELAY: Span = Span::from_millis(20);
 
-/// How many rows are written in one call: one condition and one row each, of the 100 entries that it
-/// may hold.
-const MOST: usize = 48;
+/// How many rows are written in one call: each takes one condition and one row of the 100 entries
+/// that a call may hold.
+const MAX_ROWS: usize = 48;
 
-/// How often the rows are written that are left once others were not as expected.
-const TRIES: usize = 3;
+/// How often a round is written, each time without the rows whose version was not as expected.
+const MAX_ATTEMPTS: usize = 3;
 
-/// A reading this young is a lease for whoever it shows.
-const YOUNG: Span = Span::from_secs(1);
+/// Up to this age, a reading that shows a VM's row is taken as the answer to its request.
+const MAX_AGE: Span = Span::from_secs(1);
 
-/// A VM that wants its row written.
+/// A request to write a VM's row.
 #[derive(Debug)]
 pub(super) struct Applicant {
-    /// Which.
+    /// The VM.
     pub id: MemberId,
-    /// What its row shall hold.
+    /// The new content of the row.
     pub member: Member,
     /// The version that the row must have.
     pub expect: Version,
 }
 
-/// One that waits.
+/// A queued request and the channel for its result.
 #[derive(Debug)]
 pub(super) struct Waiting {
     applicant: Applicant,
@@ -55,13 +56,13 @@
 }
 
 impl Control {
-    /// Writes a VM's row, with those of others that want the same now, and reads the rows after that.
-    /// Only that reading tells whether the row is there.
+    /// Writes a VM's row, together with those of other VMs that ask now, and then reads the rows.
+    /// Only that reading shows whether the row was written.
     pub(super) async fn enroll(self: &Rc<Self>, applicant: Applicant) -> Result<(), Fault> {
         if self.is_written(&applicant) {
             return Ok(());
         }
-        let (done, told) = oneshot::channel();
+        let (done, result) = oneshot::channel();
         let first = {
             let waiting = &mut self.state.borrow_mut().waiting;
             waiting.push(Waiting { applicant, done });
@@ -69,29 +70,30 @@
         };
         if first {
             let control = self.clone();
-            actix_rt::spawn(async move { control.enroll_all().await });
+            actix_rt::spawn(async move { control.run_rounds().await });
         }
-        let stopped = |_| Fault::Refused("the VM that was asked stops".into());
-        told.await.map_err(stopped)?
+        let stopped = |_| Fault::Refused("the VM that was asked is stopping".into());
+        result.await.map_err(stopped)?
     }
 
-    /// Whether a VM asks again whose answer was late: the newest reading shows its row.
+    /// Returns whether the newest reading shows the row already: the VM may ask again if its answer
+    /// was late.
     fn is_written(&self, applicant: &Applicant) -> bool {
         let state = self.state.borrow();
         let reading = state.reading.as_ref();
         let shown = |reading: &&Reading| reading.is_lease_for(&applicant.id, applicant.member.life);
-        let young = |reading: &Reading| self.now() < reading.asked + YOUNG;
-        reading.filter(shown).is_some_and(young)
+        let is_recent = |reading: &Reading| self.now() < reading.asked + MAX_AGE;
+        reading.filter(shown).is_some_and(is_recent)
     }
 
-    async fn enroll_all(self: Rc<Self>) {
-        tokio::time::sleep(Duration::from(GATHER)).await;
+    async fn run_rounds(self: Rc<Self>) {
+        tokio::time::sleep(Duration::from(COLLECT_DELAY)).await;
         let mut round = std::mem::take(&mut self.state.borrow_mut().waiting);
         while !round.is_empty() {
-            let later = round.split_off(round.len().min(MOST));
+            let later = round.split_off(round.len().min(MAX_ROWS));
             let applicants = round.iter().map(|waiting| &waiting.applicant);
             let read = match self.write_members(applicants.collect()).await {
-                Ok(()) => self.read_all().await,
+                Ok(()) => self.read_after_round().await,
                 Err(fault) => Err(fault),
             };
             if let Some(first) = round.first() {
@@ -101,16 +103,17 @@
                 );
             }
             for waiting in round {
-                // Whoever asked may have given up.
+                // The request may have timed out.
                 let _ = waiting.done.send(read.clone());
             }
             round = later;
         }
     }
 
-    /// Reads the rows, and the register and the configuration if they are not known yet. In a large fleet
-    /// those two are had by way of VMs near by, so that not each VM that writes rows reads them.
-    async fn read_all(self: &Rc<Self>) -> Result<(), Fault> {
+    /// Reads the rows, and the register and the configuration if they are not known yet. In a large
+    /// fleet the latter two are fetched from nearby VMs, so that not every VM that writes rows
+    /// reads them.
+    async fn read_after_round(self: &Rc<Self>) -> Result<(), Fault> {
         if self.is_large() {
             self.learn(self.store.reading().await?);
             return Ok(());
@@ -134,9 +137,9 @@
         register.and(config)
     }
 
-    /// Writes rows in one change; those that are not as expected are left as they are.
+    /// Writes rows in one change; rows whose version is not as expected are left unchanged.
     async fn write_members(&self, mut round: Vec<&Applicant>) -> Result<(), Fault> {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             match self.store.write(change(&round)).await? {
                 Ok(_) => return Ok(()),
                 Err(rows) => {
@@ -147,19 +150,21 @@
                 return Ok(());
             }
         }
-        Err(Fault::Refused("the rows of VMs change all the time".into()))
+        Err(Fault::Refused(
+            "the VMs' rows changed during each attempt".into(),
+        ))
     }
 }
 
 impl Applicant {
-    /// The version of its row among these.
+    /// Returns the version of its row among these.
     fn version_in(&self, rows: &[Row]) -> Version {
         table::version_in(rows, &member_row(&self.id))
     }
 }
 
 fn change(round: &[&Applicant]) -> Change {
-    // A VM may have asked twice; the last one stands.
+    // A VM may have asked twice; the last request is used.
     let by_id: BTreeMap<_, _> = round
         .iter()
         .map(|applicant| (&applicant.id, applicant))
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -1,4 +1,4 @@
-//! How a VM that starts gets its first lease, and how it is told what others have read.
+//! How a starting VM gets its first lease, and how it receives what other VMs have read.
 
 use crate::clock::Span;
 use crate::direct::control::rows::{self, Member, MemberId};
@@ -17,62 +17,65 @@
 
 /// How long a VM that finds no rows tries to be registered by one of the seeds: VMs that start
 /// together do so within 0.3 s of each other, and a seed may be the last of them.
-const JOIN: Span = Span::from_millis(700);
+const JOIN_TIMEOUT: Span = Span::from_millis(700);
 
-/// How long one VM is waited for before the next one is asked too: a machine without power answers
-/// nothing. Two answers change nothing: both write the same under one condition.
-const LATE: Span = Span::from_millis(150);
+/// How long to wait for one VM before the next one is asked too: a machine without power does not
+/// answer. Two answers do no harm: both VMs write the same row under one condition.
+const NEXT_READER_DELAY: Span = Span::from_millis(150);
 
-/// How long a VM waits for others until it writes its row itself: while all start, a dozen VMs write
-/// some rows each, one after another, and 160 more writes would make all of them late.
-const OWN: Span = Span::from_millis(600);
+/// How long a VM waits for others before it writes its row itself. While all VMs start, a dozen of
+/// them write some rows each, one after another; 160 more writes would delay all of them.
+const SELF_REGISTER_DELAY: Span = Span::from_millis(600);
 
-/// How long a seed's answer is waited for: two round trips between regions, and a slow VM's turn.
-const SEED: Span = Span::from_millis(150);
+/// The timeout of a heartbeat to a seed: two round trips between regions, and queueing at a slow
+/// VM.
+const SEED_TIMEOUT: Span = Span::from_millis(150);
 
-/// How long it is waited for until a row is written: two calls of the store, and those of others before.
-const ENROLL: Span = Span::from_millis(400);
+/// The timeout of a request to write a row: two calls of the store, and those of earlier requests.
+const ENROLL_TIMEOUT: Span = Span::from_millis(400);
 
-/// The pause before the next seed is asked where nobody listened yet, or nothing was known.
-const AGAIN: Span = Span::from_millis(30);
+/// The delay before the next seed is asked if the last one did not listen yet, or had no reading.
+const RETRY_DELAY: Span = Span::from_millis(30);
 
-/// How long a VM of the same failure domain is waited for, which may have to read the store first.
-const NEAR: Span = Span::from_millis(200);
+/// The timeout of a read at a VM of the same failure domain, which may have to read the store
+/// first.
+const NEAR_TIMEOUT: Span = Span::from_millis(200);
 
-/// How long it is waited for by one that asks for a long configuration: 400 KB over a small link.
-const WHOLE: Span = Span::from_millis(1_500);
+/// The timeout of a read that asks for a long configuration: 400 KB over a small link.
+const WHOLE_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// How many VMs of other failure domains are asked where those near by have read nothing: the store
-/// may turn both of them away, as it does a third of the VMs at times.
-const FAR: usize = 3;
+/// How many VMs of other failure domains are asked if those of the same domain have read nothing.
+/// The store may refuse both of the latter, as it does a third of the VMs at times.
+const MAX_FAR_READERS: usize = 3;
 
-/// A reading this young is told to others without another one.
-const YOUNG: Span = Span::from_millis(500);
+/// The maximum age of a reading that is sent to other VMs without reading again.
+const MAX_SHARED_AGE: Span = Span::from_millis(500);
 
-/// How old it may be for those that ask.
-const FRESH: Span = Span::from_secs(1);
+/// The maximum age of a reading that the asking VM accepts as recent.
+const MAX_AGE: Span = Span::from_secs(1);
 
-/// How long the word of others counts for news of the configuration.
-const TOLD: Span = Span::from_secs(2);
+/// How long after an update from another VM this VM relies on being sent new configurations.
+const UPDATE_TIMEOUT: Span = Span::from_secs(2);
 
 impl Control {
-    /// Whether this VM reads the store for itself, and for others.
+    /// Returns whether this VM reads the store for itself and for others.
     pub(super) fn reads(&self) -> bool {
         let view = self.setup.shared.look();
         reader::reads(view.fellows.list(), self.setup.address)
     }
 
-    /// Whether another VM tells this one of each new configuration.
+    /// Returns whether another VM sends this one each new configuration.
     pub(super) fn is_told(&self) -> bool {
         let told = self.state.borrow().told;
-        told.is_some_and(|at| self.now() < at + TOLD)
+        told.is_some_and(|at| self.now() < at + UPDATE_TIMEOUT)
     }
 
-    /// Gets this VM's row written, and takes over what is known then; whether that came to be.
+    /// Has this VM's row written and takes over what is known then. Returns whether this succeeded.
     ///
-    /// **Pattern answered.** All VMs come back after a loss of power, the seeds last. **Without it** they
-    /// wait 0.5 s for the seeds, or write their rows one by one. **Why it suffices.** The rows still name
-    /// the VMs of before, which listen where they did. A VM that is not named asks a seed.
+    /// After a loss of power all VMs come back, the seeds last. If VMs waited for the seeds, that
+    /// would take 0.5 s; if each wrote its row itself, the store would do the writes one by one.
+    /// The rows still name the VMs from before, which listen at the same addresses, so these are
+    /// asked. A VM that has no row asks a seed.
     pub(super) async fn join(self: &Rc<Self>) -> bool {
         let joined = match self.store.opening(&self.id).await {
             Ok(Opening::All(reading)) if reading.members.contains_key(&self.id) => {
@@ -87,7 +90,7 @@
                     false => self.join_seeds().await,
                 }
             }
-            // The store may turn this VM away, and not the seeds.
+            // The store may refuse this VM's calls and answer the seeds.
             _ => self.join_seeds().await,
         };
         if joined && self.is_large() && self.knows_nothing() {
@@ -98,15 +101,15 @@
         joined
     }
 
-    /// Has a seed write this VM's row. A seed itself reads the store, as somebody has to.
+    /// Has a seed write this VM's row. A seed itself does not ask other seeds, but reads the store.
     async fn join_seeds(&self) -> bool {
         let seeds = &self.setup.seeds;
         if seeds.is_empty() || seeds.contains(&self.setup.address) {
             return false;
         }
-        let until = self.now() + JOIN;
-        let turn = (self.chance() * seeds.len() as f64) as usize;
-        for seed in seeds.iter().cycle().skip(turn) {
+        let until = self.now() + JOIN_TIMEOUT;
+        let offset = (self.chance() * seeds.len() as f64) as usize;
+        for seed in seeds.iter().cycle().skip(offset) {
             if self.join_by(*seed).await {
                 return true;
             }
@@ -118,7 +121,8 @@
         false
     }
 
-    /// Has the VMs write this VM's row that would read for it, or writes it itself if these are late.
+    /// Has one of the VMs that read for this one write its row, or writes it itself if they are
+    /// late.
     async fn join_near(self: &Rc<Self>, members: &BTreeMap<MemberId, (Member, Version)>) -> bool {
         let mut fellows = rows::fellows(members);
         let own = self.setup.address;
@@ -136,17 +140,21 @@
             true => Vec::new(),
             false => reader::near(&fellows, own),
         };
-        let turn = (self.chance() * readers.len() as f64) as usize;
-        readers.rotate_left(turn);
+        let offset = (self.chance() * readers.len() as f64) as usize;
+        readers.rotate_left(offset);
         let began = self.now();
-        let last = async {
-            let wait = if readers.is_empty() { Span::ZERO } else { OWN };
+        let fallback = async {
+            let wait = if readers.is_empty() {
+                Span::ZERO
+            } else {
+                SELF_REGISTER_DELAY
+            };
             tokio::time::sleep(Duration::from(wait)).await;
             self.register_self(known).await.is_ok() && self.is_member()
         };
-        let others = readers.iter().enumerate().map(async |(turn, reader)| {
-            tokio::time::sleep(Duration::from(Span(LATE.0 * turn as u64))).await;
-            while self.now() < began + OWN {
+        let others = readers.iter().enumerate().map(async |(index, reader)| {
+            tokio::time::sleep(Duration::from(Span(NEXT_READER_DELAY.0 * index as u64))).await;
+            while self.now() < began + SELF_REGISTER_DELAY {
                 if self.enroll_by(*reader, expect).await {
                     return true;
                 }
@@ -155,8 +163,8 @@
             false
         });
         let tries = others.map(FutureExt::boxed_local);
-        let mut tries: FuturesUnordered<_> = tries.chain([last.boxed_local()]).collect();
-        while let Some(joined) = tries.next().await {
+        let mut attempts: FuturesUnordered<_> = tries.chain([fallback.boxed_local()]).collect();
+        while let Some(joined) = attempts.next().await {
             if joined {
                 return true;
             }
@@ -164,24 +172,24 @@
         false
     }
 
-    /// Waits a little, by chance.
+    /// Waits for [`RETRY_DELAY`], up to 50 % shorter or longer at random.
     async fn pause(&self) {
-        let pause = AGAIN.percent(50 + (self.chance() * 100.0) as u64);
+        let pause = RETRY_DELAY.percent(50 + (self.chance() * 100.0) as u64);
         tokio::time::sleep(Duration::from(pause)).await;
     }
 
-    /// Asks a seed for the version of this VM's row, and to have it written under that version.
+    /// Asks a seed for the version of this VM's row, and then to write the row under that version.
     async fn join_by(&self, seed: SocketAddr) -> bool {
         let question = Question::Beat(self.beat());
-        let told = self.hear(seed, question, SEED).await;
-        let listed = told.and_then(|told| told.listed);
+        let answer = self.hear(seed, question, SEED_TIMEOUT).await;
+        let listed = answer.and_then(|answer| answer.listed);
         match listed {
             Some(listed) => self.enroll_by(seed, listed.version).await,
             None => false,
         }
     }
 
-    /// Has another VM write this VM's row, which has the version `expect`.
+    /// Has another VM write this VM's row on condition that its version is `expect`.
     async fn enroll_by(&self, address: SocketAddr, expect: Version) -> bool {
         let question = Question::Enroll {
             beat: self.beat(),
@@ -190,8 +198,8 @@
             cores: self.setup.cores,
             expect,
         };
-        let told = self.hear(address, question, ENROLL).await;
-        let is_member = told.is_some_and(|told| told.member);
+        let answer = self.hear(address, question, ENROLL_TIMEOUT).await;
+        let is_member = answer.is_some_and(|answer| answer.member);
         if is_member {
             self.member.set(true);
             let now = self.now();
@@ -201,26 +209,31 @@
         is_member
     }
 
-    /// Asks VMs that read the store for others, those of this failure domain first; whether one told
-    /// something fresh. A VM whose row is not there has it written by the one that said so.
+    /// Asks VMs that read the store for others, those of this failure domain first. If one of them
+    /// has no row of this VM, asks it to write the row.
     ///
-    /// **Pattern answered.** A steward is late or gone, and all VMs look for who leads. **Without it**
-    /// 195 VMs read the rows each second, 8 MB in all, while the store may be slow itself.
+    /// When the steward is late or gone, all VMs need the leads from elsewhere. If each read the
+    /// store, 195 VMs would read 8 MB of rows each second, while the store may be slow itself.
     ///
-    /// A long configuration or register is told where `whole` asks for it only: of 300 VMs that miss their steward
-    /// each second, 25 would ask each reader for 400 KB, again before the answers to the last time are out.
+    /// A long configuration or register is sent only if `whole` is set. Of 300 VMs that miss their
+    /// steward each second, 25 would otherwise ask each reader for 400 KB, and again before the
+    /// last answers are sent.
     pub(super) async fn ask_readers(&self, whole: bool) -> Source {
         let (near, far) = {
             let view = self.setup.shared.look();
             let (fellows, own) = (view.fellows.list(), self.setup.address);
             (reader::near(fellows, own), reader::far(fellows, own))
         };
-        let turn = (self.chance() * far.len() as f64) as usize;
-        let some = far.iter().cycle().skip(turn).take(FAR.min(far.len()));
+        let offset = (self.chance() * far.len() as f64) as usize;
+        let some = far
+            .iter()
+            .cycle()
+            .skip(offset)
+            .take(MAX_FAR_READERS.min(far.len()));
         let mut found = Source::Unreached;
         let (short, long) = match whole && self.is_large() {
-            true => (WHOLE, WHOLE),
-            false => (NEAR, ENROLL),
+            true => (WHOLE_TIMEOUT, WHOLE_TIMEOUT),
+            false => (NEAR_TIMEOUT, ENROLL_TIMEOUT),
         };
         for (readers, within) in [(near, short), (some.copied().collect(), long)] {
             found = found.max(self.ask_some(readers, within, whole).await);
@@ -233,26 +246,26 @@
 
     async fn ask_some(&self, readers: Vec<SocketAddr>, within: Span, whole: bool) -> Source {
         let calls = readers.into_iter().map(async |reader| {
-            let told = self.hear(reader, Question::Read(self.beat_for(whole)), within);
-            (reader, told.await)
+            let answer = self.hear(reader, Question::Read(self.beat_for(whole)), within);
+            (reader, answer.await)
         });
         let answers = join_all(calls).await;
         let read = answers
             .iter()
-            .filter_map(|(reader, told)| Some((reader, (*told)?)));
+            .filter_map(|(reader, answer)| Some((reader, (*answer)?)));
         let enrolled = self.state.borrow().enrolled;
-        let since = enrolled.map_or(FRESH, |at| self.now().since(at).min(FRESH));
-        let mut fresh = read.filter(|(_, told)| told.listed.is_some_and(|l| l.age < since));
-        let Some((reader, told)) = fresh.next() else {
-            let reached = answers.iter().any(|(_, told)| told.is_some());
+        let since = enrolled.map_or(MAX_AGE, |at| self.now().since(at).min(MAX_AGE));
+        let mut fresh = read.filter(|(_, answer)| answer.listed.is_some_and(|l| l.age < since));
+        let Some((reader, answer)) = fresh.next() else {
+            let reached = answers.iter().any(|(_, answer)| answer.is_some());
             return if reached {
                 Source::Stale
             } else {
                 Source::Unreached
             };
         };
-        let listed = told.listed.map(|listed| listed.version);
-        if !told.member && !self.enroll_by(*reader, listed.unwrap_or_default()).await {
+        let listed = answer.listed.map(|listed| listed.version);
+        if !answer.member && !self.enroll_by(*reader, listed.unwrap_or_default()).await {
             return Source::Stale;
         }
         let now = self.now();
@@ -260,7 +273,8 @@
         Source::Fresh
     }
 
-    /// Reads the rows for VMs that ask, unless that was done, or tried in vain, a moment ago.
+    /// Reads the rows on behalf of VMs that ask, unless that was done or tried less than
+    /// [`MAX_SHARED_AGE`] ago.
     pub(super) async fn read_for_others(self: &Rc<Self>) {
         let mut last = self.reading.lock().await;
         let known = {
@@ -268,54 +282,57 @@
             state.reading.as_ref().map(|reading| reading.asked)
         };
         let now = self.now();
-        if known.max(*last).is_some_and(|asked| now < asked + YOUNG) {
+        if known
+            .max(*last)
+            .is_some_and(|asked| now < asked + MAX_SHARED_AGE)
+        {
             return;
         }
         *last = Some(now);
-        // What is known from before is told with its age.
+        // If this fails, the earlier reading is sent, with its age.
         let _ = self.read_rows().await;
     }
 
-    /// Asks a VM something that is answered with news, and takes these over.
+    /// Sends a question that is answered with an update, and applies the update.
     pub(super) async fn hear(
         &self,
         address: SocketAddr,
         question: Question,
         within: Span,
-    ) -> Option<Told> {
+    ) -> Option<Membership> {
         let asked = self.now();
         let answer = (self.setup.call)(address, question, within).await;
         let Some(Answer::News(news)) = answer else {
             return None;
         };
-        let told = Told {
+        let membership = Membership {
             member: news.member,
             listed: news.listed,
         };
-        if told.member {
+        if membership.member {
             let now = self.now();
             self.state.borrow_mut().told = Some(now);
         }
         self.follow_heard(news.duty.as_ref(), self.now());
         self.take_news(*news, address, asked);
-        Some(told)
+        Some(membership)
     }
 }
 
-/// Where a VM that asked others for what the store holds stands.
+/// The result of asking other VMs for the rows of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Source {
-    /// None of them answered.
+    /// No VM answered.
     Unreached,
-    /// Some did, and have read nothing of late.
+    /// Some answered, but none had a recent reading.
     Stale,
-    /// It knows what was read a moment ago.
+    /// A VM answered with a recent reading.
     Fresh,
 }
 
-/// What matters of the news of another VM.
+/// The part of another VM's update that shows this VM's row.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Told {
+pub(super) struct Membership {
     member: bool,
     listed: Option<Listed>,
 }
--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -1,10 +1,10 @@
-//! Heartbeats and what VMs tell each other with them.
+//! Heartbeats, and the updates with which VMs answer them.
 
 use crate::clock::{Span, Time};
 use crate::direct::config::Database;
 use crate::direct::control::register::Changes;
 use crate::direct::control::rows::{MemberId, Reading};
-use crate::direct::control::state::{Beaten, Shown};
+use crate::direct::control::state::{Beaten, LeadHistory};
 use crate::direct::control::{Control, watch};
 use crate::direct::fresh::Progress;
 use crate::direct::lead::Lead;
@@ -17,42 +17,44 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What was told this long ago at the latest has been heard by all that beat: two beats.
-const NEWS: Span = Span::from_secs(1);
+/// The maximum age of progress that is sent on: after two heartbeats all VMs have received it.
+const MAX_PROGRESS_AGE: Span = Span::from_secs(1);
 
-/// How many routes, keys and databases are told a second to VMs that ask for what is long, of 40 bytes each: a
-/// link of 10 Mbit/s carries 1.2 MB, and heartbeats have to be answered in time meanwhile.
-const TOLD_MOST: usize = 32_768;
-const TOLD_EVERY: Span = Span::from_secs(1);
+/// How many entries (routes, keys and databases) of long lists are sent per [`LONG_INTERVAL`]. An
+/// entry has 40 bytes, so this is at most 1.3 MB: a link of 10 Mbit/s carries 1.2 MB a second, and
+/// heartbeats have to be answered in time meanwhile.
+const MAX_LONG_ENTRIES: usize = 32_768;
+const LONG_INTERVAL: Span = Span::from_secs(1);
 
-/// From this many databases on no more than four registers are told a second: each is one answer, which is held in
-/// memory until a small link has taken it, and a crowd asks at a start.
+/// From this many databases on, at most four registers are sent a second: each is one answer that
+/// stays in memory until a small link has carried it, and many VMs ask at a start.
 const LONG_REGISTER: usize = 512;
-const REGISTER_COST: usize = TOLD_MOST / 4;
+const MIN_REGISTER_COST: usize = MAX_LONG_ENTRIES / 4;
 
-/// How many entries a part of a configuration has: 20 KB, 16 ms on a small link.
-const PART: usize = 512;
+/// The number of entries in a part of a configuration: 20 KB, 16 ms on a small link.
+const PART_ENTRIES: usize = 512;
 
-/// How often the VMs are counted that are heard: a heartbeat's answer must not cost more with more of them.
-const COUNT_EVERY: Span = Span::from_millis(250);
+/// How often the VMs with a recent heartbeat are counted, so that the cost of answering a heartbeat
+/// does not grow with their number.
+const MAJORITY_INTERVAL: Span = Span::from_millis(250);
 
-/// How many words on how far primaries are a heartbeat's answer has, times the VMs that ask: 25 bytes
-/// each, twice a second, are 200 KB a second. Without it VMs times groups of them go out: 300 VMs
-/// and 700 groups are 10 MB a second, of 1.2 that the link of a small VM carries. A VM that is not told
-/// learns by a read of its own.
-const MOST_FRESH: usize = 4_000;
+/// The limit for progress entries in a heartbeat's answer, multiplied by the number of VMs. An
+/// entry has 25 bytes and is sent twice a second, which makes 200 KB a second. Without a limit, 300
+/// VMs and 700 groups would need 10 MB a second, while the link of a small VM carries 1.2 MB. A VM
+/// that does not receive a group's progress learns it by a read of its own.
+const MAX_PROGRESS: usize = 4_000;
 
-/// Up to this many entries in which a configuration differs are told with the answer to a heartbeat: 20 KB at
-/// most. The steward has a link of 20 Mbit/s for some hundred VMs, so more are had from a VM near by, or from
-/// the store.
-const SHORT_CONFIG: usize = 256;
+/// Up to this many changed entries of a configuration are sent with the answer to a heartbeat: 20
+/// KB at most. The steward has a link of 20 Mbit/s for some hundred VMs, so larger changes are
+/// fetched from a VM of the same failure domain, or from the store.
+const MAX_SHORT_CONFIG: usize = 256;
 
-/// What a heartbeat tells of how databases answered.
+/// Returns the reports on databases that a heartbeat contains.
 ///
-/// **Pattern answered.** Hundreds of databases, nearly all of which are well, and a word on each of
-/// them from every VM twice a second. **Without it** the steward of 99 VMs moves 3 MB a second.
-/// **Why it suffices.** The steward judges primaries only: every VM that they answered says so.
-/// Replicas are weighed by whoever sees something of their group fail.
+/// There are hundreds of databases, nearly all of them healthy. With a report on each of them from
+/// every VM twice a second, the steward of 99 VMs would receive 3 MB a second. The steward judges
+/// only primaries, so every VM reports those that answered it. Reports on replicas are needed, to
+/// choose among them, only from VMs that see a failure in their group.
 pub fn telling(view: &View, now: Time) -> Vec<(DatabaseId, Report)> {
     let mut reports = view.reports.all(now);
     let group = |id: &DatabaseId| view.databases.get(id).map(|database| &database.group);
@@ -66,19 +68,19 @@
                 .known(group)
                 .is_some_and(|(lead, _)| lead.primary == *id)
         };
-        let told = |group| failing.contains(group) || leads(group);
-        report.failing.is_some() || group(id).is_some_and(told)
+        let is_selected = |group| failing.contains(group) || leads(group);
+        report.failing.is_some() || group(id).is_some_and(is_selected)
     });
     reports
 }
 
 impl Control {
-    /// This VM's heartbeat.
+    /// Makes this VM's heartbeat.
     pub(super) fn beat(&self) -> Beat {
         self.beat_for(false)
     }
 
-    /// The same, for a VM that may tell a long configuration in full or not.
+    /// Makes this VM's heartbeat; `whole` asks for long lists as well.
     pub(super) fn beat_for(&self, whole: bool) -> Beat {
         let now = self.now();
         let view = self.setup.shared.look();
@@ -99,16 +101,16 @@
         }
     }
 
-    /// Answers a heartbeat; the steward remembers what it told.
+    /// Answers a heartbeat; the steward also keeps it.
     pub(super) fn answer_beat(&self, beat: Beat) -> News {
         let now = self.now();
         let id = MemberId::new(&beat.vm, beat.address.ip());
         let steward = self.is_steward();
         if steward {
-            self.note_beat(&id, &beat, now);
+            self.record_heartbeat(&id, &beat, now);
         }
         let hears_most = steward && self.hears_most(now);
-        let whole = beat.whole && self.may_tell_long(&beat, now);
+        let whole = beat.whole && self.may_send_long(&beat, now);
         let state = self.state.borrow();
         let read = state.reading.as_ref();
         let listed = read.map(|reading| Listed {
@@ -122,8 +124,8 @@
         let config = self.setup.shared.look().config.clone();
         let newest = config.as_ref().map_or_else(Default::default, |c| c.version);
         let limit = match whole {
-            true => Limit::Portion(PART),
-            false => Limit::Rest(SHORT_CONFIG),
+            true => Limit::Portion(PART_ENTRIES),
+            false => Limit::Rest(MAX_SHORT_CONFIG),
         };
         let part = config.and_then(|config| {
             let gathered = beat.gathered.as_ref();
@@ -137,56 +139,58 @@
             era: since.map(|since| (era, now.since(since))),
             steward,
             hears_most,
-            duty: self.duty_heard(now),
+            duty: self.known_duty(now),
             member: reading.is_some(),
             listed,
-            leads: reading.map(|reading| leads_news(reading, &state.leads, beat.leads, now)),
-            fresh: self.fresh_news(now),
-            fellows: reading.and_then(|_| self.fellows_news(beat.fellows)),
+            leads: reading.map(|reading| leads_update(reading, &state.leads, beat.leads, now)),
+            fresh: self.progress_update(now),
+            fellows: reading.and_then(|_| self.peers_update(beat.fellows)),
             newest,
             config: part,
-            register: self.register_news(beat.register, whole, now),
+            register: self.register_update(beat.register, whole, now),
         }
     }
 
-    /// Whether one more VM may be told what is long. Those beyond the bound are told that there is
-    /// something newer, and ask again: their heartbeats are answered in time meanwhile.
-    fn may_tell_long(&self, beat: &Beat, now: Time) -> bool {
+    /// Returns whether long lists may be sent to one more VM. VMs beyond the limit are only
+    /// informed that there is something newer, and ask again, so that heartbeats are answered in
+    /// time meanwhile.
+    fn may_send_long(&self, beat: &Beat, now: Time) -> bool {
         let newer = self.config_version() > beat.config;
         let mut state = self.state.borrow_mut();
         let register = &state.register;
         let differs = register.asked().is_some() && register.digest() != beat.register;
         let databases = match register.databases().len() {
             _ if !differs => 0,
-            many if many >= LONG_REGISTER => many.max(REGISTER_COST),
+            many if many >= LONG_REGISTER => many.max(MIN_REGISTER_COST),
             few => few,
         };
-        if now.since(state.told_long.0) >= TOLD_EVERY {
-            state.told_long = (now, 0);
+        if now.since(state.long_sent.0) >= LONG_INTERVAL {
+            state.long_sent = (now, 0);
         }
-        if state.told_long.1 >= TOLD_MOST {
+        if state.long_sent.1 >= MAX_LONG_ENTRIES {
             return false;
         }
-        state.told_long.1 += databases + if newer { PART } else { 0 };
+        state.long_sent.1 += databases + if newer { PART_ENTRIES } else { 0 };
         true
     }
 
-    /// How far primaries have come, as far as that was not told before.
-    fn fresh_news(&self, now: Time) -> Vec<Progress> {
+    /// Returns the recent progress of primaries, at most as many entries as [`MAX_PROGRESS`]
+    /// allows.
+    fn progress_update(&self, now: Time) -> Vec<Progress> {
         let view = self.setup.shared.look();
-        let most = MOST_FRESH / view.fellows.list().len().max(1);
-        let mut told = view.fresh.told(now);
-        told.retain(|progress| progress.age < NEWS);
-        if told.len() > most {
-            // Others are told of other groups.
-            let start = (self.chance() * told.len() as f64) as usize;
-            told.rotate_left(start);
-            told.truncate(most);
+        let max = MAX_PROGRESS / view.fellows.list().len().max(1);
+        let mut recent = view.fresh.told(now);
+        recent.retain(|progress| progress.age < MAX_PROGRESS_AGE);
+        if recent.len() > max {
+            // Starts at a random group, so that VMs receive different groups.
+            let start = (self.chance() * recent.len() as f64) as usize;
+            recent.rotate_left(start);
+            recent.truncate(max);
         }
-        told
+        recent
     }
 
-    fn duty_heard(&self, now: Time) -> Option<Heard> {
+    fn known_duty(&self, now: Time) -> Option<Heard> {
         let state = self.state.borrow();
         if let Some(held) = &state.held {
             return Some(Heard {
@@ -208,12 +212,12 @@
         })
     }
 
-    /// The VMs, or what changed of them, unless whoever asks knows them.
-    fn fellows_news(&self, known: u64) -> Option<FellowNews> {
+    /// Returns the VMs, or their changes, unless the asking VM has them.
+    fn peers_update(&self, known: u64) -> Option<FellowNews> {
         self.setup.shared.look().fellows.news_for(known)
     }
 
-    fn register_news(&self, known: u64, whole: bool, now: Time) -> Option<RegisterNews> {
+    fn register_update(&self, known: u64, whole: bool, now: Time) -> Option<RegisterNews> {
         let state = self.state.borrow();
         let register = &state.register;
         let asked = register.asked()?;
@@ -229,15 +233,15 @@
     pub(super) fn hears_most(&self, now: Time) -> bool {
         let mut state = self.state.borrow_mut();
         let (at, hears) = state.hears_most;
-        if now < at + COUNT_EVERY {
+        if now < at + MAJORITY_INTERVAL {
             return hears;
         }
-        let hears = state.count_heard(&self.id, now + COUNT_EVERY);
+        let hears = state.count_heard(&self.id, now + MAJORITY_INTERVAL);
         state.hears_most = (now, hears);
         hears
     }
 
-    fn note_beat(&self, id: &MemberId, beat: &Beat, now: Time) {
+    fn record_heartbeat(&self, id: &MemberId, beat: &Beat, now: Time) {
         let mut state = self.state.borrow_mut();
         let failing = beat
             .reports
@@ -253,7 +257,7 @@
         );
         drop(state);
         if known.is_none_or(|known| known.life != beat.life) {
-            log::info!(vm:% = id, life:% = beat.life; "a VM is heard");
+            log::info!(vm:% = id, life:% = beat.life; "received the first heartbeat of a VM's life");
         }
         if failing {
             self.wake.notify_one();
@@ -261,7 +265,7 @@
         self.hear_of_config(beat.config, beat.address);
     }
 
-    /// Takes over what the VM that listens at `from` told, which was asked at `asked`.
+    /// Applies the update of the VM at `from` to a question sent at `asked`.
     pub(super) fn take_news(&self, news: News, from: SocketAddr, asked: Time) {
         if let Some((era, age)) = news.era {
             self.store.hear_era(era, asked - age);
@@ -279,7 +283,7 @@
         }
         self.hear_of_config(news.newest, from);
         if let Some(news) = news.register {
-            self.take_register(news, asked);
+            self.apply_register(news, asked);
         }
         for progress in &news.fresh {
             let now = self.now();
@@ -298,11 +302,11 @@
         if let Some(leads) = news.leads {
             let read = asked - leads.age;
             self.prolong_tenure(read);
-            self.take_leads(leads, asked);
+            self.apply_leads(leads, asked);
         }
     }
 
-    /// A reading asked at `asked` shows this VM as registered.
+    /// Extends the tenure: a reading requested at `asked` shows this VM as registered.
     pub(super) fn prolong_tenure(&self, asked: Time) {
         let now = self.now();
         let begins = self.setup.shared.quietly().tenure.read(asked, now);
@@ -311,9 +315,8 @@
         }
     }
 
-    /// Takes over the register, or what changed of it. One that is only said to differ is read from the
-    /// store.
-    fn take_register(&self, news: RegisterNews, asked: Time) {
+    /// Applies an update of the register. If its content is not included, it is to be fetched.
+    fn apply_register(&self, news: RegisterNews, asked: Time) {
         let at = asked - news.age;
         let known = self.state.borrow().register.asked();
         if known.is_some_and(|known| known > at) {
@@ -331,7 +334,7 @@
                 drop(state);
                 self.publish(&changes, news.age);
             }
-            // About another register than the one that is known here by now.
+            // The changes do not apply to the register that is known here now.
             Some(None) => {}
             None => {
                 self.state.borrow_mut().lacks_register = true;
@@ -340,10 +343,10 @@
         }
     }
 
-    /// Learns who leads. That nothing changed is as good as the rows, unless this VM has learned of
-    /// a change since it asked: then the reading showed less than is known here. The same holds for
-    /// what did not change where only changes are told.
-    fn take_leads(&self, leads: Leads, asked: Time) {
+    /// Applies the leads of an update. An unchanged digest confirms the known leads, unless this VM
+    /// has learned of a change since it asked: then the reading was older than what is known here.
+    /// The same holds for unchanged groups in an update that contains only changes.
+    fn apply_leads(&self, leads: Leads, asked: Time) {
         let at = asked - leads.age;
         for (group, lead) in leads.rows.into_iter().flatten() {
             self.learn_lead(&group, lead, at);
@@ -354,7 +357,7 @@
         }
     }
 
-    /// Learns who leads a group, by a reading that is a lease for this VM.
+    /// Applies the lead of a group from a reading that is a lease for this VM.
     pub(super) fn learn_lead(&self, group: &GroupId, lead: Lead, asked: Time) {
         if self.state.borrow().stopped {
             return;
@@ -367,7 +370,7 @@
             .map(|(known, _)| known.clone());
         let lapsed = shared.look().book.until(group) <= Some(self.now());
         if known.as_ref() == Some(&lead) && !lapsed {
-            // Only the lease grows longer: nobody waits for that.
+            // This only extends the lease, for which no task waits.
             return shared.quietly().book.learn(group, lead, asked);
         }
         shared.change(|view| view.book.learn(group, lead.clone(), asked));
@@ -384,7 +387,7 @@
         );
     }
 
-    /// Shows the sessions the databases, if they changed.
+    /// Publishes the databases to the sessions, if they changed.
     pub(super) fn publish(&self, changes: &Changes, age: Span) {
         if !changes.any {
             return;
@@ -409,20 +412,20 @@
     }
 }
 
-/// Who leads, as far as the asking VM does not know it.
-fn leads_news(reading: &Reading, shown: &Shown, known: u64, now: Time) -> Leads {
-    let rows = || match shown.history.since(known) {
+/// Returns the leads that the asking VM lacks.
+fn leads_update(reading: &Reading, own: &LeadHistory, known: u64, now: Time) -> Leads {
+    let rows = || match own.history.since(known) {
         Some(changed) => reading.rows_of(&changed),
         None => reading.rows(),
     };
     Leads {
         age: now.since(reading.asked),
-        digest: shown.digest,
-        rows: (shown.digest != known).then(rows),
+        digest: own.digest,
+        rows: (own.digest != known).then(rows),
     }
 }
 
-/// Ids as one word of a log line.
+/// Joins ids to one value of a log line.
 pub(super) fn list(ids: &[DatabaseId]) -> String {
     let ids: Vec<&str> = ids.iter().map(DatabaseId::as_str).collect();
     ids.join(",")
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 
 impl Control {
-    /// Reads the rows and learns from them. If this VM's row is not there, registers it and reads
-    /// them again.
+    /// Reads the rows and applies them. If they do not contain this VM's row, registers it and
+    /// reads them again.
     pub(super) async fn read_rows(self: &Rc<Self>) -> Result<(), Fault> {
         let reading = self.store.reading().await?;
         let lease = reading.is_lease_for(&self.id, self.setup.life);
@@ -22,7 +22,7 @@
         self.register_self(reading.members.get(&self.id)).await
     }
 
-    /// Learns what a reading shows.
+    /// Applies a reading.
     pub(super) fn learn(self: &Rc<Self>, reading: Reading) {
         let lease = reading.is_lease_for(&self.id, self.setup.life);
         self.member.set(lease);
@@ -37,14 +37,14 @@
         self.state.borrow_mut().merge(reading);
     }
 
-    /// Learns which VMs there are.
+    /// Applies the list of registered VMs.
     pub(super) fn learn_fellows(&self, fellows: Vec<Fellow>) {
         let now = self.now();
         self.setup.shared.quietly().fellows.learn(fellows, now);
     }
 
-    /// Learns who holds the duty: it may have gone to another VM, or come to this one by a write
-    /// whose answer was lost.
+    /// Applies the duty's row: another VM may have taken the duty, or this VM by a write whose
+    /// answer was lost.
     fn learn_duty(self: &Rc<Self>, reading: &Reading) {
         let Some((duty, version)) = &reading.duty else {
             let before = |held: &Held| held.version.era < reading.era;
@@ -86,12 +86,13 @@
         self.follow(duty.address, duty.token, now);
         let ended = same_vm
             || reading.members.values().any(|(member, _)| {
-                // A VM registers a new life only once the one before has ended.
+                // A VM registers a new life only once its former process has ended.
                 member.address == duty.address && member.life != duty.life
             });
         let mut state = self.state.borrow_mut();
         if same_vm {
-            // Held by this VM's former life: nobody to call, but its turn has to be taken.
+            // A former life of this VM holds the duty: there is no process to call, but the
+            // take-over waits for the same time as for any other steward.
             state.follow(duty.address, duty.token, now);
         }
         if let Some(post) = state
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Writes this VM's row, which is `known` by now: before any reading that it may act on.
+    /// Writes this VM's row, whose present content is `known`. This happens before any reading on
+    /// which it may act.
     pub(super) async fn register_self(
         self: &Rc<Self>,
         known: Option<&(Member, Version)>,
@@ -146,8 +148,8 @@
         Ok(())
     }
 
-    /// Writes a line on each entry that is not understood, once for each reason: others may write
-    /// into the register too, as often as they like.
+    /// Logs each entry that failed to parse, once for each reason: others may write to the register
+    /// too, as often as they like.
     fn note_unread(&self, unread: BTreeMap<RowId, Box<str>>) {
         let known = &mut self.state.borrow_mut().unread;
         for (row, reason) in &unread {
@@ -158,7 +160,7 @@
         *known = unread;
     }
 
-    /// Reads the register.
+    /// Reads the register from the store.
     pub(super) async fn read_register(&self) -> Result<(), Fault> {
         let asked = self.now();
         let documents = &self.setup.adapter.documents;
@@ -170,7 +172,8 @@
             match (documents.read_database)(&row.id.key, value) {
                 Ok(mut database) => {
                     if self.store.is_former(row.version) {
-                        // What it said of itself since is written again.
+                        // The database writes its entry again; until then the one known here is
+                        // newer.
                         database = self.registered(&database.id).unwrap_or(database);
                     }
                     found.insert(database.id.clone(), database);
--- a/src/direct/control/reader.rs
+++ b/src/direct/control/reader.rs
@@ -1,15 +1,15 @@
-//! Which VMs read the store on behalf of others, and whom the others ask.
+//! Which VMs read the store on behalf of others, and which VMs the others ask.
 //!
-//! **Pattern answered.** Hundreds of VMs need the same rows, and all miss the steward's word at one
-//! moment; or the operator changes the configuration a dozen times within seconds.
-//! **Without it** each VM reads the store for itself: with 195 VMs 8,000 to 10,000 calls a day of
-//! trouble, and 40 KB an answer to each of them each second, which keeps a VM's link and an eighth of
-//! a core busy just when the steward is late.
-//! **Thresholds.** [`EACH`] in a failure domain, so that the word comes from near by and one may be
-//! lost. Up to [`FEW`] VMs all read, as they did: that is less than the readers of six domains ask.
+//! Hundreds of VMs need the same rows, all at once when the steward's updates stay away, or when
+//! the operator changes the configuration a dozen times within seconds. If each VM read the store
+//! for itself, 195 VMs would make 8,000 to 10,000 calls in a day with faults, and receive 40 KB
+//! each second, which keeps a VM's link and an eighth of a core busy just when the steward is late.
+//! Therefore [`READERS_PER_DOMAIN`] VMs read in each failure domain, so that the answer comes from
+//! nearby and one of them may be lost. Up to [`MAX_ALL_READ`] VMs all read the store: that costs
+//! less than the readers of six domains.
 //!
-//! A choice of cost alone: whoever is told nothing reads for itself, so two lists that differ cost a
-//! call, never correctness.
+//! This only affects cost: a VM that receives nothing reads for itself, so VMs whose lists differ
+//! make an extra call, and nothing worse.
 
 use crate::direct::hash;
 use crate::direct::view::Fellow;
@@ -19,39 +19,41 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How many VMs of each failure domain read.
+/// How many VMs of each failure domain read the store.
 pub const EACH: usize = 2;
 
-/// With this many VMs or fewer each reads for itself.
+/// With this many VMs or fewer, each reads the store for itself.
 pub const FEW: usize = 16;
 
-/// How many VMs fetch long lists from the same one.
+/// How many VMs fetch long lists from the same VM.
 pub const CHILDREN: usize = 4;
 
-/// Whether the VM that listens at `own` reads for itself and for others. One that is not in the list
-/// does not know better.
+/// Returns whether the VM at `own` reads the store for itself and for others. A VM that is not in
+/// the list reads, as it has no reliable list.
 pub fn reads(fellows: &[Fellow], own: SocketAddr) -> bool {
     let known = fellows.iter().any(|fellow| fellow.address == own);
-    fellows.len() <= FEW || !known || of_domain(fellows, own).contains(&own)
+    fellows.len() <= FEW || !known || readers_of_domain(fellows, own).contains(&own)
 }
 
-/// The VMs to ask for what `own` does not read itself.
+/// Returns the VMs of its domain that `own` asks for what it does not read itself.
 pub fn near(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
-    let mut readers = of_domain(fellows, own);
+    let mut readers = readers_of_domain(fellows, own);
     readers.retain(|reader| *reader != own);
     readers
 }
 
-/// The VMs that `own` fetches long lists from, in order of preference: its parent in a tree of its failure
-/// domain, then the parent's parent, up to a reader. Empty for a reader, which fetches from the store.
+/// Returns the VMs that `own` fetches long lists from, in order of preference: its parent in a tree
+/// of its failure domain, then the parent's parent, up to a reader. Empty for a reader, which
+/// fetches from the store.
 ///
-/// Answers a start of all VMs, and a change of a long configuration. Each VM has at most [`CHILDREN`], so the
-/// load of one VM does not grow with the fleet, and the depth grows with its logarithm.
+/// For a start of all VMs, and for a change of a long configuration. Each VM has at most
+/// [`CHILDREN`] children, so the load of one VM does not grow with the fleet, and the depth grows
+/// with its logarithm.
 pub fn ancestors(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
     if fellows.len() <= FEW {
         return Vec::new();
     }
-    let ranked = ranked(of_same_domain(fellows, own));
+    let ranked = ranked(in_same_domain(fellows, own));
     let mut rank = ranked.iter().position(|address| *address == own);
     let mut ancestors = Vec::new();
     // The first ranks are the roots; the children of each rank are numbered after them.
@@ -63,15 +65,15 @@
     ancestors
 }
 
-/// The readers of other failure domains.
+/// Returns the readers of other failure domains.
 pub fn far(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
-    let near = of_domain(fellows, own);
+    let near = readers_of_domain(fellows, own);
     let mut readers = all(fellows);
     readers.retain(|reader| !near.contains(reader));
     readers.into_iter().collect()
 }
 
-/// The readers of all failure domains; all VMs where there are few.
+/// Returns the readers of all failure domains, or all VMs if they are few.
 pub fn all(fellows: &[Fellow]) -> BTreeSet<SocketAddr> {
     if fellows.len() <= FEW {
         return fellows.iter().map(|fellow| fellow.address).collect();
@@ -81,22 +83,22 @@
         let domain = domains.entry(&fellow.domain).or_default();
         domain.push(fellow);
     }
-    domains.into_values().flat_map(first).collect()
+    domains.into_values().flat_map(select_readers).collect()
 }
 
-fn of_domain(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
-    first(of_same_domain(fellows, own))
+fn readers_of_domain(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
+    select_readers(in_same_domain(fellows, own))
 }
 
-fn of_same_domain(fellows: &[Fellow], own: SocketAddr) -> Vec<&Fellow> {
+fn in_same_domain(fellows: &[Fellow], own: SocketAddr) -> Vec<&Fellow> {
     let domain = fellows.iter().find(|f| f.address == own).map(|f| &f.domain);
     let near = fellows.iter().filter(|f| Some(&f.domain) == domain);
     near.collect()
 }
 
-/// Those of a failure domain that have most processor, and of these the ones that hashing puts first, so
-/// that its readers are not the VMs that come first in other lists as well.
-fn first(fellows: Vec<&Fellow>) -> Vec<SocketAddr> {
+/// Returns the readers among the VMs of a failure domain: those with the most cores, and of these
+/// the first ones by a hash, so that they are not also the first VMs in other lists.
+fn select_readers(fellows: Vec<&Fellow>) -> Vec<SocketAddr> {
     let mut ranked = ranked(fellows);
     ranked.truncate(EACH);
     ranked
@@ -105,11 +107,15 @@
 fn ranked(mut fellows: Vec<&Fellow>) -> Vec<SocketAddr> {
     fellows.sort_by_cached_key(|fellow| {
         let address = fellow.address;
-        (Reverse(fellow.cores), Reverse(weight(address)), address)
+        (
+            Reverse(fellow.cores),
+            Reverse(hash_weight(address)),
+            address,
+        )
     });
     fellows.into_iter().map(|fellow| fellow.address).collect()
 }
 
-fn weight(address: SocketAddr) -> u64 {
+fn hash_weight(address: SocketAddr) -> u64 {
     xxh3_64(&hash::bytes(address))
 }
--- a/src/direct/control/register.rs
+++ b/src/direct/control/register.rs
@@ -1,11 +1,11 @@
-//! Which databases there are, and when one counts as gone.
+//! The register of databases, and when a database counts as removed.
 //!
-//! **Pattern answered.** A database's entry expires while it is silent towards the store: because
-//! it ended, or because the store was down and took no beats.
-//! **Without it** an outage of the store removes every database, or one that ended is kept for
-//! ever. **Thresholds.** Entries that expired in an outage are back within 2 s of its end;
-//! [`SETTLED`] adds what a slow answer takes. The store may turn a database away and answer this
-//! VM all along, so an entry has to stay away for [`MISSING`] too; `drain_ms` is 7 s or more.
+//! A database's entry expires while the store receives no heartbeats from it: because the database
+//! ended, or because the store was down. If a missing entry always counted as a removal, an outage
+//! of the store would remove every database; if it never did, a database that ended would stay for
+//! ever. Entries that expired in an outage are back within 2 s of its end; [`MIN_UPTIME`] adds the
+//! time of a slow answer. The store may also refuse a database's calls while it answers this VM, so
+//! an entry has to be missing for [`MIN_MISSING`] too; `drain_ms` is 7 s or more.
 
 use crate::clock::{Span, Time};
 use crate::direct::config::Database;
@@ -15,22 +15,22 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long the store has to have answered before a missing entry tells anything.
-const SETTLED: Span = Span::from_millis(2_500);
+/// How long the store must have answered every call before a missing entry counts.
+const MIN_UPTIME: Span = Span::from_millis(2_500);
 
-/// How long the entry of a database that did not say that it leaves has to be missing: an outage's
+/// How long the entry of a database that did not announce its leaving must be missing: an outage's
 /// 2 s and two readings.
-const MISSING: Span = Span::from_secs(4);
+const MIN_MISSING: Span = Span::from_secs(4);
 
-/// Up to this many databases the register is told in full, some 10 KB. A longer one is had from the store
-/// by each VM that has none: its link is far wider than that of whoever tells.
-const SHORT: usize = 128;
+/// Up to this many databases the whole register is sent in an update, some 10 KB. A VM that lacks a
+/// longer one reads it from the store, whose link is far wider than that of a VM.
+const MAX_SHORT: usize = 128;
 
-/// The register as this VM knows it.
+/// The register of databases as this VM has it.
 #[derive(Debug, Default)]
 pub struct Register {
     databases: BTreeMap<DatabaseId, Database>,
-    /// Entries that were there and are not: when the first reading without them was asked.
+    /// Entries that are missing from the store: when the first reading without them was requested.
     missing: BTreeMap<DatabaseId, Time>,
     began: Option<Time>,
     asked: Option<Time>,
@@ -47,38 +47,39 @@
     pub gone: Vec<DatabaseId>,
     /// Databases that began to leave.
     pub leaving: Vec<DatabaseId>,
-    /// Databases that started again under their ids.
+    /// Databases that started again with the same id.
     pub reborn: Vec<DatabaseId>,
-    /// Databases that take themselves for primaries and did not before, or the reverse.
+    /// Databases whose own view of whether they are primaries has changed.
     pub role: Vec<DatabaseId>,
     /// Whether anything changed at all.
     pub any: bool,
 }
 
 impl Register {
-    /// The databases that count as registered.
+    /// Returns the databases that count as registered.
     pub fn databases(&self) -> &BTreeMap<DatabaseId, Database> {
         &self.databases
     }
 
-    /// When the first reading was asked that is known here. A VM that starts while entries are
+    /// Returns when the first reading known here was requested. A VM that starts while entries are
     /// missing never had them, and can't keep them.
     pub fn began(&self) -> Option<Time> {
         self.began
     }
 
-    /// When the newest reading was asked.
+    /// Returns when the newest reading was requested.
     pub fn asked(&self) -> Option<Time> {
         self.asked
     }
 
-    /// Stands for the content, to tell whether two VMs have the same.
+    /// Returns a digest of the content, by which two VMs compare theirs.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// What a VM is told whose register `known` stands for: what changed since, all of a short one, or,
-    /// of a long one, that it differs. `whole` asks for all of it however long it is.
+    /// Returns the content to send to a VM whose register has the digest `known`: the changes since
+    /// then, if they are still known, or all of a short register. `None` for a long one, unless
+    /// `whole` asks for all of it.
     pub fn content_for(&self, known: u64, whole: bool) -> Option<Content> {
         if let Some(changed) = self.history.since(known) {
             let came = changed.iter().filter_map(|id| self.databases.get(id));
@@ -87,11 +88,12 @@
             gone.retain(|id| !self.databases.contains_key(id));
             return Some(Content::Changes { gone, came });
         }
-        let told = whole || self.databases.len() <= SHORT;
-        told.then(|| Content::All(self.databases.values().cloned().collect()))
+        let included = whole || self.databases.len() <= MAX_SHORT;
+        included.then(|| Content::All(self.databases.values().cloned().collect()))
     }
 
-    /// The databases that the content tells, if it is about this register.
+    /// Returns the databases that the content describes, unless it holds changes of another
+    /// register.
     pub fn with(&self, content: Content, digest: u64) -> Option<BTreeMap<DatabaseId, Database>> {
         let mut found = match &content {
             Content::All(_) => BTreeMap::new(),
@@ -106,30 +108,31 @@
         (whole || self::digest(&found) == digest).then_some(found)
     }
 
-    /// The store showed `found`, asked at `asked`; it has answered each call since `up`. An entry
-    /// that is missing is kept while that may be the mark of an outage.
+    /// Applies the entries `found` by a reading requested at `asked`; the store has answered each
+    /// call since `up`. A missing entry is kept while an outage may be the reason.
     pub fn read(
         &mut self,
         mut found: BTreeMap<DatabaseId, Database>,
         asked: Time,
         up: Option<Time>,
     ) -> Changes {
-        let settled = up.is_some_and(|up| asked >= up + SETTLED);
+        let is_up = up.is_some_and(|up| asked >= up + MIN_UPTIME);
         self.missing.retain(|id, _| !found.contains_key(id));
         for (id, database) in &self.databases {
             if found.contains_key(id) {
                 continue;
             }
             let since = *self.missing.entry(id.clone()).or_insert(asked);
-            let told = database.leaving || asked >= since + MISSING;
-            if !settled || !told {
+            let is_gone = database.leaving || asked >= since + MIN_MISSING;
+            if !is_up || !is_gone {
                 found.insert(id.clone(), database.clone());
             }
         }
         self.told(found, asked)
     }
 
-    /// Another VM told what it knows, of a reading asked at `asked`. An older one changes nothing.
+    /// Applies the databases of a reading requested at `asked`. One older than the newest known
+    /// changes nothing.
     pub fn told(&mut self, found: BTreeMap<DatabaseId, Database>, asked: Time) -> Changes {
         if self.asked.is_some_and(|known| known > asked) {
             return Changes::default();
@@ -142,7 +145,8 @@
             let changed = differing(&self.databases, &found);
             self.history.note(self.digest, changed);
         }
-        // Also of an empty list, so that two VMs that know the same tell each other nothing.
+        // The digest of an empty list is computed too, so that two VMs with empty registers compare
+        // as equal.
         if changes.any || first {
             self.digest = digest(&found);
             self.databases = found;
@@ -151,7 +155,7 @@
     }
 }
 
-/// The databases that two registers show differently.
+/// Returns the databases that differ between two registers.
 fn differing(
     before: &BTreeMap<DatabaseId, Database>,
     after: &BTreeMap<DatabaseId, Database>,
@@ -193,6 +197,6 @@
 
 fn digest(databases: &BTreeMap<DatabaseId, Database>) -> u64 {
     let list: Vec<&Database> = databases.values().collect();
-    // Plain structs of names and numbers always have an encoding.
+    // Plain structs of names and numbers always serialize.
     xxh3_64(&postcard::to_stdvec(&list).unwrap_or_default())
 }
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -1,4 +1,4 @@
-//! What one VM's control path knows, beside what it shares with the sessions.
+//! The state of one VM's control path, other than what it shares with the sessions.
 
 use crate::clock::Time;
 use crate::direct::control::enroll::Waiting;
@@ -17,77 +17,80 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What the control path knows.
+/// The state of the control path.
 #[derive(Debug, Default)]
 pub(super) struct State {
-    /// The newest reading of the rows.
+    /// The newest reading of the control rows.
     pub reading: Option<Reading>,
-    /// Who leads by that reading, as it is told to other VMs.
-    pub leads: Shown,
-    /// Whether there were more rows than a VM that starts reads.
+    /// The digest and last changes of the leads in that reading, for updates to other VMs.
+    pub leads: LeadHistory,
+    /// Whether the table had more rows than a starting VM reads.
     pub many_rows: bool,
-    /// Whether another VM has a register that this one was not told.
+    /// Whether another VM has a different register whose content this VM has not received.
     pub lacks_register: bool,
-    /// When a register that was told to differ was last read here.
+    /// When the register was last fetched because another VM's differed.
     pub register_read: Option<Time>,
-    /// How many entries of what is long were told, since when.
-    pub told_long: (Time, usize),
-    /// What changed of the configuration of late.
+    /// The start of the current interval for long lists, and how many of their entries were sent in
+    /// it.
+    pub long_sent: (Time, usize),
+    /// Recent changes of the configuration.
     pub config_changes: Changes,
-    /// What has come of a newer configuration.
+    /// The parts received of a newer configuration.
     pub gathering: Gathering,
-    /// VMs whose rows are to be written together.
+    /// VMs whose rows are queued to be written together.
     pub waiting: Vec<Waiting>,
-    /// When this VM's row was last written, by whomever: readings from before say nothing of it.
+    /// When this VM's row was last written, by itself or another VM. Earlier readings do not show
+    /// it.
     pub enrolled: Option<Time>,
-    /// When the steward, or a VM that reads for others, last told this one who leads.
+    /// When the steward, or a VM that reads for others, last sent this VM the leads.
     pub told: Option<Time>,
-    /// The newest configuration that another VM said there is, and where that VM listens.
+    /// The newest configuration version that another VM reported, and that VM's address.
     pub newest: ConfigVersion,
     pub newest_at: Option<SocketAddr>,
-    /// When the rows were last read here for want of a steward's word.
+    /// When this VM last read the rows because it had no update from a steward.
     pub looked: Option<Time>,
-    /// When they were last read here although others read for this VM.
+    /// When this VM last read the rows although others read for it.
     pub read_at: Option<Time>,
-    /// The databases.
+    /// The registered databases.
     pub register: Register,
-    /// Entries of the register that are not understood, and why.
+    /// Entries of the register that failed to parse, and why.
     pub unread: BTreeMap<RowId, Box<str>>,
-    /// Since when the duty's row is what it is.
+    /// Since when the duty's row has had its version.
     pub watch: Watch,
-    /// The steward that is followed.
+    /// The steward that this VM follows.
     pub post: Option<Post>,
-    /// The duty, while it is held here.
+    /// The duty, while this VM holds it.
     pub held: Option<Held>,
-    /// When all VMs were asked to beat.
+    /// Limits how often all VMs are asked for a heartbeat.
     pub nudge: Nudge,
-    /// Whether most of the VMs were heard, as counted last.
+    /// When the VMs with a recent heartbeat were last counted, and whether they were more than
+    /// half.
     pub hears_most: (Time, bool),
-    /// What VMs told the steward.
+    /// The last heartbeat of each VM, kept by the steward.
     pub heard: BTreeMap<MemberId, Beaten>,
-    /// VMs that a reading showed as evicted: the row's version, and when that was seen first.
+    /// VMs that a reading showed as evicted: the row's version, and when it was first seen.
     pub evicted: BTreeMap<MemberId, (Version, Time)>,
-    /// The steward's last attempts to reach databases.
+    /// The steward's last attempts to connect to databases.
     pub tried: BTreeMap<DatabaseId, Tried>,
-    /// Since when a group's row has had its epoch, as far as this VM saw.
+    /// The newest epoch seen of each group, and when this VM first saw it.
     pub epochs: BTreeMap<GroupId, (u64, Time)>,
-    /// What the steward's tasks are about.
+    /// The subjects of the steward's running tasks.
     pub busy: BTreeSet<Topic>,
-    /// Whether the control path has ended.
+    /// Whether the control path has stopped.
     pub stopped: bool,
 }
 
-/// Who leads by the newest reading: what stands for it, and what changed of late.
+/// The digest of the leads in the newest reading, and how they last changed.
 #[derive(Debug, Default)]
-pub(super) struct Shown {
-    /// What stands for it.
+pub(super) struct LeadHistory {
+    /// The digest of all leads.
     pub digest: u64,
-    /// Its last changes.
+    /// The last changes, by group.
     pub history: History<GroupId>,
 }
 
-impl Shown {
-    /// The reading has changed, as far as who leads goes, in these groups.
+impl LeadHistory {
+    /// Records that the leads of these groups have changed.
     fn change(&mut self, reading: &Reading, changed: Vec<GroupId>) {
         let leads = reading.leads.iter();
         let digest = lead::digest(leads.map(|(group, (lead, _))| (group, lead)));
@@ -98,54 +101,54 @@
     }
 }
 
-/// A steward that is followed.
+/// The steward that this VM follows.
 #[derive(Debug, Clone)]
 pub(super) struct Post {
-    /// Where it listens.
+    /// The address on which it listens for other VMs.
     pub address: SocketAddr,
     /// Its fencing token.
     pub token: u64,
-    /// How it is heard.
+    /// When it last answered, and how many calls it has missed.
     pub hearing: Hearing,
 }
 
-/// The duty, held here.
+/// The duty as held by this VM.
 #[derive(Debug, Clone)]
 pub(super) struct Held {
     /// The fencing token.
     pub token: u64,
     /// The row's version.
     pub version: Version,
-    /// The renewal's number.
+    /// The number of the last renewal.
     pub number: u64,
     /// Since when it is held.
     pub since: Time,
-    /// Whether it is being handed over: nothing is ordered.
+    /// Whether it is being handed over: no order is sent then.
     pub handing: bool,
-    /// Orders that are under way.
+    /// The number of orders in progress.
     pub ordering: u32,
-    /// Only renewals asked from here on allow an order: a VM that was offered the duty may have
-    /// taken it, and its answer was late.
+    /// Only a renewal requested at or after this time allows an order: a VM that was offered the
+    /// duty may have taken it although its answer was late.
     pub valid: Time,
 }
 
-/// What a VM told the steward.
+/// The last heartbeat that the steward received from a VM.
 #[derive(Debug, Clone)]
 pub(super) struct Beaten {
-    /// Its life.
+    /// The life of the VM.
     pub life: Life,
-    /// When.
+    /// When it was received.
     pub at: Time,
-    /// How databases answered it.
+    /// The VM's reports on databases.
     pub reports: BTreeMap<DatabaseId, Report>,
 }
 
-/// What one of the steward's tasks is about; each has one task at a time.
+/// The subject of one of the steward's tasks. Each subject has at most one task at a time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
     /// A group's lead row.
     Group(GroupId),
-    /// An attempt to reach a database.
+    /// An attempt to connect to a database.
     Database(DatabaseId),
     /// An order to step down.
     StepDown(DatabaseId),
@@ -154,7 +157,7 @@
 }
 
 impl State {
-    /// Takes over a reading: never an older version of a row.
+    /// Merges a reading; a lead's row is never replaced by an older version.
     pub fn merge(&mut self, mut reading: Reading) {
         if let Some(known) = &self.reading {
             for (group, (lead, version)) in &known.leads {
@@ -178,13 +181,13 @@
             .as_ref()
             .is_none_or(|known| known.asked <= reading.asked)
         {
-            self.show(&reading);
+            self.record_leads(&reading);
             self.reading = Some(reading);
         }
     }
 
-    /// Notes what a reading that takes the place of the one before changes of who leads.
-    fn show(&mut self, reading: &Reading) {
+    /// Records how the leads change when a reading replaces the one before.
+    fn record_leads(&mut self, reading: &Reading) {
         let none = BTreeMap::new();
         let before = self.reading.as_ref().map_or(&none, |known| &known.leads);
         let lead = |leads: &BTreeMap<GroupId, (Lead, Version)>, group| {
@@ -198,22 +201,22 @@
         }
     }
 
-    /// Whether this VM and those that have sent it a heartbeat within [`HEARD`] of `until` are more than half of
-    /// those that are registered.
+    /// Returns whether this VM and those whose last heartbeat is less than [`HEARD`] before `until`
+    /// are more than half of the registered VMs.
     pub fn count_heard(&self, own: &MemberId, until: Time) -> bool {
         let Some(reading) = &self.reading else {
             return false;
         };
-        let beaten = |id: &MemberId| {
-            let beaten = self.heard.get(id);
-            beaten.is_some_and(|beaten| until < beaten.at + HEARD)
+        let has_recent = |id: &MemberId| {
+            let last = self.heard.get(id);
+            last.is_some_and(|last| until < last.at + HEARD)
         };
         let members = reading.members.keys();
-        let heard = members.filter(|id| *id == own || beaten(id)).count();
+        let heard = members.filter(|id| *id == own || has_recent(id)).count();
         heard * 2 > reading.members.len()
     }
 
-    /// A row of a group that was written here.
+    /// Records the row of a lead that this VM wrote.
     pub fn note_written(&mut self, group: &GroupId, lead: Lead, version: Version) {
         if let Some(reading) = &mut self.reading {
             reading.leads.insert(group.clone(), (lead, version));
@@ -245,7 +248,8 @@
         }
     }
 
-    /// Follows a steward, unless a newer one is followed already.
+    /// Follows a steward, unless this VM already follows it or a newer one. Returns whether it does
+    /// now.
     pub fn follow(&mut self, address: SocketAddr, token: u64, now: Time) -> bool {
         if self.post.as_ref().is_some_and(|post| post.token >= token) {
             return false;
@@ -258,7 +262,7 @@
         true
     }
 
-    /// The duty with this token, if it is still held here.
+    /// Returns the duty with this token, if this VM still holds it.
     pub fn held(&mut self, token: u64) -> Option<&mut Held> {
         self.held.as_mut().filter(|held| held.token == token)
     }
--- a/src/direct/control/watch.rs
+++ b/src/direct/control/watch.rs
@@ -1,10 +1,10 @@
-//! Follows the configuration by a long poll, or by the word of VMs that do.
+//! Follows the configuration by long polls, or by updates from the VMs that poll.
 //!
-//! **Pattern answered.** The operator changes the configuration, or the store forgets its history, and
-//! every poll of hundreds of VMs ends at one moment. **Without it** each change is a call and 250 KB
-//! for every VM of 195, a dozen times where changes come in quick succession. **Why it suffices.** The
-//! VMs that read for others, and the steward, poll. A heartbeat's answer tells of what they have
-//! within half a second, and whoever is told nothing for 2 s polls for itself.
+//! When the operator changes the configuration, or the store drops its history, the polls of
+//! hundreds of VMs would end at one moment. Each change would be a call and 250 KB for each of 195
+//! VMs, a dozen times where changes come in quick succession. Therefore only the steward and the
+//! VMs that read for others poll. A heartbeat's answer informs other VMs within half a second, and
+//! a VM that receives no update for 2 s polls for itself.
 
 use crate::clock::Span;
 use crate::direct::config::Config;
@@ -16,40 +16,41 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a poll may wait at the steward, and at a VM that hears none: a connection that fell
-/// silent for good is noticed only when the poll's time is over, and a configuration has to be in
-/// force 3 s after it was accepted.
-const SHORT: Span = Span::from_secs(2);
+/// The wait of a poll by the steward, or by a VM without contact to a steward. A connection that
+/// has silently failed is noticed only when the poll's time is over, and a configuration has to be
+/// in force 3 s after it was accepted.
+const SHORT_WAIT: Span = Span::from_secs(2);
 
-/// How long a poll may wait at a VM that hears the steward, which tells it of a configuration
-/// with each heartbeat. Calls are priced; the poll is the second way to the same.
-const LONG: Span = Span::from_secs(20);
+/// The wait of a poll by a VM in contact with the steward, which informs it of a configuration with
+/// each heartbeat. Calls have a price, and the poll is only the second source.
+const LONG_WAIT: Span = Span::from_secs(20);
 
-/// How often a VM that is told looks whether it still is.
-const LOOK: Span = Span::from_millis(250);
+/// How often a VM that does not poll checks whether it still receives updates.
+const CHECK_INTERVAL: Span = Span::from_millis(250);
 
-/// How long a VM that starts waits for the word of another one before it reads the configuration.
-const START: Span = Span::from_millis(800);
+/// How long a starting VM waits for an update from another one before it reads the configuration.
+const START_TIMEOUT: Span = Span::from_millis(800);
 
 /// Follows the configuration until the process ends.
 pub(super) async fn run(control: Rc<Control>) {
     let mut backoff = Backoff::default();
     let mut after = None;
-    control.wait_for_first_word().await;
+    control.wait_for_first_update().await;
     while !control.state.borrow().stopped {
         if !control.polls() {
             after = None;
-            tokio::time::sleep(Duration::from(LOOK)).await;
+            tokio::time::sleep(Duration::from(CHECK_INTERVAL)).await;
             continue;
         }
-        match step(&control, after).await {
+        match poll_once(&control, after).await {
             Ok(version) => {
                 after = version;
                 backoff.reset();
             }
             Err(_) => {
                 if !control.hears_steward() {
-                    // Nobody tells this VM of a configuration, and a poll takes the own way only.
+                    // No VM informs this one of a configuration, and polls are direct only: read
+                    // the table instead.
                     after = None;
                 }
                 backoff.wait(control.chance()).await;
@@ -59,34 +60,35 @@
 }
 
 impl Control {
-    /// Whether this VM polls the store for the configuration.
+    /// Returns whether this VM polls the store for the configuration.
     fn polls(&self) -> bool {
         self.is_steward() || self.reads() || !self.is_told()
     }
 
-    /// Waits until another VM has told what it knows, or none does; not where others ask this one.
-    async fn wait_for_first_word(&self) {
+    /// Waits for the first update of another VM, or until joining has failed. Seeds don't wait, as
+    /// others ask them.
+    async fn wait_for_first_update(&self) {
         if self.setup.seeds.contains(&self.setup.address) {
             return;
         }
-        let _ = tokio::time::timeout(Duration::from(START), self.joined.notified()).await;
+        let _ = tokio::time::timeout(Duration::from(START_TIMEOUT), self.joined.notified()).await;
     }
 
-    /// Reads the configuration.
+    /// Reads the configuration from the store.
     pub(super) async fn read_config(&self) -> Result<(), Fault> {
         let id = &self.setup.adapter.documents.config;
         let (rows, _) = self.read_table(&id.table).await?;
-        learn(self, &rows);
+        apply_rows(self, &rows);
         Ok(())
     }
 
-    /// Reads the configuration or the register, which may be long.
+    /// Reads the table of the configuration or of the register, which may be long.
     pub(super) async fn read_table(&self, table: &str) -> Result<(Vec<Row>, Version), Fault> {
         let (is_large, have_readers) = (self.is_large(), self.have_readers());
         match (is_large, have_readers) {
             (true, _) => self.store.read_long(table).await,
             (false, true) => self.store.read_here(table).await,
-            // Each VM reads for itself, or by way of another one while the store turns it away.
+            // Each VM reads for itself, or through another one while the store refuses its calls.
             (false, false) => self.store.read(table).await,
         }
     }
@@ -97,7 +99,7 @@
         config.map_or_else(Default::default, |config| config.version)
     }
 
-    /// The VM that listens at an address has this configuration in force.
+    /// Records that the VM at an address has this configuration version in force.
     pub(super) fn hear_of_config(&self, version: ConfigVersion, at: SocketAddr) {
         let in_force = self.config_version();
         let mut state = self.state.borrow_mut();
@@ -113,29 +115,33 @@
     }
 }
 
-async fn step(control: &Control, after: Option<Version>) -> Result<Option<Version>, Fault> {
+async fn poll_once(control: &Control, after: Option<Version>) -> Result<Option<Version>, Fault> {
     let id = &control.setup.adapter.documents.config;
     let Some(after) = after else {
         let (rows, version) = control.read_table(&id.table).await?;
-        learn(control, &rows);
+        apply_rows(control, &rows);
         return Ok(Some(version));
     };
-    let wait = if control.hears_steward() { LONG } else { SHORT };
+    let wait = if control.hears_steward() {
+        LONG_WAIT
+    } else {
+        SHORT_WAIT
+    };
     let polled = tokio::select! {
         biased;
         polled = control.store.follow(&id.table, after, wait) => polled?,
-        // The steward is not heard any more: a poll that may be dead is no second way.
-        () = control.lost.notified(), if wait == LONG => return Ok(Some(after)),
+        // Contact with the steward was lost: a poll on a failed connection is no second source.
+        () = control.lost.notified(), if wait == LONG_WAIT => return Ok(Some(after)),
     };
     let Some((rows, version)) = polled else {
-        log::info!(after:%; "the history of the configuration is gone: reading it anew");
+        log::info!(after:%; "the store no longer has the configuration's history: reading the table");
         return Ok(None);
     };
-    learn(control, &rows);
+    apply_rows(control, &rows);
     Ok(Some(version))
 }
 
-fn learn(control: &Control, rows: &[Row]) {
+fn apply_rows(control: &Control, rows: &[Row]) {
     let documents = &control.setup.adapter.documents;
     let newest = rows.iter().rev().find(|row| row.id == documents.config);
     let Some(value) = newest.and_then(|row| row.value.as_ref()) else {
@@ -149,8 +155,8 @@
     }
 }
 
-/// Takes a configuration over if it is newer than the one in force. One that is older is never
-/// gone back to: callers have seen the newer one's effects.
+/// Puts a configuration in force if it is newer than the present one. An older one is never
+/// restored, as callers have seen the newer one's effects.
 pub(super) fn apply(control: &Control, config: Config, source: &str) {
     let shared = &control.setup.shared;
     let known = shared.look().config.clone();
