--- a/tests/direct_bulk.rs
+++ b/tests/direct_bulk.rs
@@ -1,4 +1,5 @@
-//! Fleets whose register and configuration are too long to be told to all: who reads them from the store.
+//! Tests of which VMs read the store in fleets whose register and configuration are too long to be
+//! sent to all VMs.
 
 mod scene;
 
@@ -12,12 +13,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// As many VMs as make a fleet large, before groups whose register is long.
+/// Enough VMs for a large fleet, and enough groups for a long register.
 const VMS: usize = 60;
 const GROUPS: usize = 700;
 
-/// VMs that may read what is long: two in each of three failure domains, the seeds, and at a first start
-/// those that know too few others to ask them.
+/// How many VMs may read long lists from the store: two in each of three failure domains, the
+/// seeds, and at a first start those that know too few others to ask.
 const READERS: usize = 9 + reader::FEW;
 
 fn fleet() -> Setup {
@@ -48,7 +49,8 @@
     fellows.collect()
 }
 
-/// What one VM sends does not grow with the fleet, nor does what the store sends; the way grows with its logarithm.
+/// What one VM or the store sends does not grow with the fleet, and the depth of the tree grows
+/// with its logarithm.
 #[test]
 fn no_vm_has_many_children() {
     let shapes = [42, 165, 330].map(|each| {
@@ -85,7 +87,8 @@
     assert!(reader::ancestors(&fellows(6, 42), own).is_empty());
 }
 
-/// Guards against a register and a configuration read from the store by each VM, as all start.
+/// Guards against a start of all VMs at which each reads the register and the configuration from
+/// the store.
 #[test]
 fn few_vms_read_what_is_long() {
     play(fleet(), |scene| async move {
@@ -100,7 +103,8 @@
     });
 }
 
-/// Guards against a table of rows that is read in full by each VM as all come back from a loss of power.
+/// Guards against a start of all VMs after a loss of power at which each reads the whole table of
+/// rows.
 #[test]
 fn few_vms_read_all_rows_after_a_loss_of_power() {
     play(fleet(), |scene| async move {
--- a/tests/direct_era.rs
+++ b/tests/direct_era.rs
@@ -1,4 +1,5 @@
-//! What rests on versions of the store, when it comes back from an older copy and gives them out again.
+//! Tests of the use of store versions after the store is restored from an older copy and uses them
+//! again.
 
 use bytes::Bytes;
 use lentilspoke::clock::{Span, Time};
@@ -21,11 +22,11 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// How old a copy is, and when others have written theirs again.
+/// The age of the copy, and how long after a restore others have written their rows again.
 const AGE: Span = Span::from_secs(1);
 const REWRITES: Span = Span::from_millis(10);
 
-/// Plays a scene with a store in its first era, and as many clients of it as VMs.
+/// Runs a test with a store in its first era and one client of it for each VM.
 fn play<F: Future<Output = ()>>(scene: impl FnOnce(Rc<World>, Vec<Machine>) -> F) {
     host::play(async {
         let (machines, mut machine) = mpsc::unbounded_channel();
@@ -45,7 +46,7 @@
     .unwrap();
 }
 
-/// A client of the store that has read the rows of the control path.
+/// Makes a client of the store that has read the control rows.
 async fn client(machine: &Machine) -> Store {
     let store = Store::new(machine.adapter.clone());
     // The first reading of an era writes the row that names it.
@@ -66,7 +67,7 @@
     }
 }
 
-/// Goes on until the store has given a number out again, to another value of the same row.
+/// Writes until the store has used a version number again, for another value of the same row.
 fn give_out_again(world: &World, number: u64) {
     while world.store.version().number < number {
         world.store.put(row(), Some(Bytes::from_static(b"another")));
@@ -74,7 +75,7 @@
     assert_eq!(world.store.version().number, number);
 }
 
-/// Guards against a condition that names a version which was given out again to another value.
+/// Guards against a condition on a version number that was used again for another value.
 #[test]
 fn a_condition_of_an_earlier_era_does_not_hold() {
     play(|world, machines| async move {
@@ -84,7 +85,7 @@
         let written = one.write(change(first.unwrap().unwrap(), "mine")).await;
         let version = written.unwrap().unwrap();
         world.store.restore(AGE, REWRITES);
-        // The row of the next era has the first of the two numbers.
+        // The row of the next era uses the first of the two version numbers.
         let _ = other.reading().await;
         give_out_again(&world, version.number);
         let again = one.write(change(version, "mine again")).await;
@@ -96,7 +97,8 @@
     });
 }
 
-/// Guards against a write that counts as done in the era that it was asked in, though the store did it in the next one.
+/// Guards against a write that counts as done in the era in which it was requested, though the
+/// store did it in the next one.
 #[test]
 fn a_write_that_was_done_in_a_later_era_is_unknown() {
     play(|world, machines| async move {
@@ -112,9 +114,10 @@
     });
 }
 
-/// Guards against a feed that goes on from a version which exists again with other content.
+/// Guards against a feed that continues from a version number that was used again for other
+/// content.
 #[test]
-fn a_feed_does_not_go_on_in_another_era() {
+fn a_feed_ends_with_its_era() {
     play(|world, machines| async move {
         let one = client(&machines[0]).await;
         sleep(Duration::from_secs(2)).await;
@@ -130,9 +133,9 @@
     });
 }
 
-/// Guards against a history that is dropped, which says nothing of the era, and is taken for a drill.
+/// Guards against a dropped history, which says nothing of the era, being mistaken for a restore.
 #[test]
-fn a_history_that_is_dropped_is_no_new_era() {
+fn a_dropped_history_is_no_new_era() {
     play(|world, machines| async move {
         let one = client(&machines[0]).await;
         let version = one
@@ -150,7 +153,7 @@
 
 /// Guards against an answer of an earlier era that arrives after one of the next.
 #[test]
-fn an_answer_of_an_earlier_era_counts_for_nothing() {
+fn an_answer_of_an_earlier_era_is_ignored() {
     let mut eras = Eras::default();
     assert!(eras.told(Era(2), Time(10)));
     assert!(!eras.told(Era(1), Time(20)));
@@ -181,7 +184,7 @@
     Version::new(Era(2), number)
 }
 
-/// The rows of an older copy, which the era's row was written after, and those that were written since.
+/// The rows of an older copy, the row of the new era, and rows that were written after it.
 fn rows() -> (Vec<Row>, MemberId, MemberId) {
     let ids = ["vm1", "vm2"].map(|vm| {
         let vm: VmId = vm.parse().unwrap();
@@ -218,10 +221,10 @@
     (rows, one, other)
 }
 
-/// Guards against a VM that was evicted and is not any more, a duty that another VM has taken, and a primary that was
-/// replaced, all by rows of an older copy.
+/// Guards against trusting rows of an older copy: a VM that was evicted counts as registered, a
+/// duty that another VM has taken counts as held, or a primary that was replaced counts as leading.
 #[test]
-fn rows_of_an_older_copy_are_hearsay() {
+fn rows_of_an_older_copy_are_not_trusted() {
     let (rows, one, other) = rows();
     let mut eras = Eras::default();
     eras.told(Era(2), Time(10));
@@ -238,7 +241,8 @@
     assert_eq!(reading.former.leads[&group()].1, at(5));
 }
 
-/// Guards against rows that count before the era has its row: an earlier write may land then.
+/// Guards against rows that are trusted before the era has its row: an earlier write may still be
+/// done then.
 #[test]
 fn no_row_counts_before_the_era_has_its_own() {
     let (rows, ..) = rows();
@@ -266,9 +270,9 @@
     }
 }
 
-/// Guards against a primary that is written as the one that leads by a VM which does not know whether it was replaced.
+/// Guards against a VM that writes a primary as the lead without knowing whether it was replaced.
 #[test]
-fn a_lead_goes_on_by_a_lease_alone() {
+fn a_lead_continues_only_with_a_lease() {
     let first = |known, held| resume::first(Era(2), known, held, &database("b"));
     let floor = resume::floor(Era(2));
     let held = first(Some(lead(3, "a", false)), Some(3));
@@ -290,7 +294,7 @@
     assert_eq!(new.primary, "b".parse().unwrap());
 }
 
-/// Guards against a token or an epoch that is given out again in a later era.
+/// Guards against a token or an epoch that is used again in a later era.
 #[test]
 fn tokens_and_epochs_rise_through_eras() {
     assert_eq!(resume::floor(Era(0)), 0);
@@ -298,10 +302,10 @@
     assert!(resume::floor(Era(1)) + changes < resume::floor(Era(2)) + 1);
 }
 
-/// Guards against statements that are told unknown as their group's epoch changes with the era, and against a lease that
-/// outlives what took its place.
+/// Guards against statements whose outcome becomes unknown because their group's epoch changes with
+/// the era, and against a lease that outlives its successor.
 #[test]
-fn what_started_goes_on_in_the_next_era() {
+fn work_continues_in_the_next_era() {
     let mut book = Book::default();
     let (now, asked) = (Time(1_000_000), Time(900_000));
     book.learn(&group(), lead(3, "a", false), asked);
--- a/tests/direct_long.rs
+++ b/tests/direct_long.rs
@@ -1,4 +1,4 @@
-//! Configurations so long that they take a small VM's link for most of a second.
+//! Tests of configurations so long that sending them takes most of a second on a small VM's link.
 
 mod scene;
 
@@ -11,13 +11,13 @@
 use lentilspoke::types::Cores;
 use scene::{Scene, play, vm};
 
-/// Fewer VMs than count as many, in three failure domains, the first two of each with a wide link.
+/// Too few VMs for a large fleet, in three failure domains; the first two of each have a wide link.
 const VMS: usize = 36;
 
-/// As many routes as are 1.3 MB where the store sends them.
+/// The number of routes: 1.3 MB as sent by the store.
 const ROUTES: usize = 8_000;
 
-/// By when a configuration has to be in force: `config_ms`.
+/// The time limit for a configuration to be in force: `config_ms`.
 const IN_FORCE_MILLIS: u64 = 5_000;
 
 fn is_strong(number: usize) -> bool {
@@ -36,7 +36,7 @@
     }
 }
 
-/// The newest configuration with routes `long0`, `long1` and so on.
+/// Returns the newest configuration with added routes `long0`, `long1` and so on.
 fn long(scene: &Scene, routes: usize) -> Config {
     let mut config = scene.world.configs.borrow().last().unwrap().1.clone();
     let route = config.routes.values().next().unwrap().clone();
@@ -48,7 +48,7 @@
     config
 }
 
-/// The VMs that do not open a session on a route.
+/// Returns the VMs that do not open a session on a route.
 async fn without(scene: &Scene, route: &str) -> Vec<String> {
     let mut without = Vec::new();
     for vm in scene.world.running() {
@@ -64,8 +64,8 @@
     scene.world.network.received(&node)
 }
 
-/// Guards against readings of a long configuration that are given up before they can be there, and asked for by
-/// other ways that fill the same link.
+/// Guards against reads of a long configuration that time out before they can finish, and are
+/// repeated by other ways over the same link.
 #[test]
 fn a_long_configuration_is_in_force_in_time() {
     play(fleet(), |scene| async move {
@@ -77,9 +77,9 @@
     });
 }
 
-/// Guards against a long configuration that is sent again in full where little of it has changed.
+/// Guards against sending a whole long configuration when little of it has changed.
 #[test]
-fn a_change_of_a_long_configuration_is_told_alone() {
+fn only_changes_of_a_long_configuration_are_sent() {
     play(fleet(), |scene| async move {
         scene.until(1_000).await;
         scene.world.configure(long(&scene, ROUTES));
@@ -91,7 +91,7 @@
         scene.until(8_000 + IN_FORCE_MILLIS).await;
         let last = format!("long{ROUTES}");
         assert_eq!(without(&scene, &last).await, Vec::<String>::new());
-        // The steward and those that read for others have it from the store.
+        // The steward and the readers fetch it from the store.
         for number in (0..VMS).filter(|number| !is_strong(*number)) {
             let came = received(&scene, number) - before[number];
             assert!(came < 100_000, "vm{} received {came} bytes", number + 1);
@@ -99,7 +99,8 @@
     });
 }
 
-/// Guards against VMs that all read a long configuration as they come back from a loss of power.
+/// Guards against a start of all VMs after a loss of power at which each reads a long
+/// configuration.
 #[test]
 fn a_long_configuration_is_there_soon_after_a_loss_of_power() {
     play(fleet(), |scene| async move {
@@ -114,10 +115,10 @@
     });
 }
 
-/// Guards against a steward that is turned away by the store with the VM that reads beside it, and tells nobody of
-/// the configuration that a third VM told it of.
+/// Guards against a steward that does not pass on a configuration that a third VM reported, while
+/// the store refuses the calls of the steward and of the VM that reads in its domain.
 #[test]
-fn the_steward_and_all_near_it_are_turned_away() {
+fn the_steward_and_its_domain_are_refused_by_the_store() {
     let site = Setup {
         link: |_| None,
         ..fleet()
--- a/tests/direct_news.rs
+++ b/tests/direct_news.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other of who leads, and of how databases answered them.
+//! Tests of the leads and database reports that VMs exchange with heartbeats.
 
 mod registered;
 
@@ -20,11 +20,11 @@
     }
 }
 
-/// A VM asks the steward and, before the answer is there, learns from the store that a group has
-/// another primary. The answer says of a reading from before that nothing has changed: it must not
-/// count for the new primary, whose lease it would make longer than any reading allows.
+/// Guards against a lease that is extended too far. A VM asks the steward and, before the answer
+/// arrives, learns from the store that a group has another primary. The answer says that nothing
+/// changed in an older reading: it must not extend the lease on the new primary.
 #[test]
-fn nothing_changed_is_said_of_what_was_known() {
+fn an_unchanged_digest_confirms_only_the_known_leads() {
     let groups: [GroupId; 2] = ["g", "h"].map(|name| name.parse().unwrap());
     let mut book = Book::default();
     for group in &groups {
@@ -49,10 +49,10 @@
     assert_eq!(book.shown(before), None);
 }
 
-/// A VM is answered by a primary and by two replicas. It tells of the primary alone, until something
-/// of that group fails: then the steward has to know what else would do better.
+/// A VM reports only the primary of a healthy group. Once anything of the group fails it reports
+/// the replicas too, so that the steward knows which of them could replace the primary.
 #[test]
-fn replicas_are_told_of_once_something_fails() {
+fn replicas_are_reported_once_something_fails() {
     let mut view = View {
         databases: databases(&["a", "b", "c"]),
         ..View::default()
@@ -78,11 +78,12 @@
     assert_eq!(told(&view), "b");
 }
 
-/// At a first start the steward writes the first primary of 68 groups, 16 ms apart, and after each
-/// asks all 99 VMs to beat: 6,700 heartbeats in a second, and callers wait while it answers them.
-/// Five or six rounds tell the same; the first is at once, and one is after each group's news.
+/// Guards against a ping of all VMs after each write. At a first start the steward writes the first
+/// primary of 68 groups, 16 ms apart; pinging all 99 VMs after each would bring 6,700 heartbeats in
+/// a second, and callers would wait meanwhile. Five or six rounds are enough: the first at once,
+/// and one soon after each group's write.
 #[test]
-fn news_of_many_groups_are_one_nudge() {
+fn changes_of_many_groups_need_few_pings() {
     let mut nudge = Nudge::default();
     let asked: Vec<Time> = (0..68).map(|group| at(1_000 + 16 * group)).collect();
     let rounds: Vec<Time> = asked.iter().filter_map(|now| nudge.ask(*now, 99)).collect();
--- a/tests/direct_reborn.rs
+++ b/tests/direct_reborn.rs
@@ -1,4 +1,4 @@
-//! Databases that start again under their ids, with nothing of before.
+//! Tests of databases that start again under their ids with empty storage.
 
 mod scene;
 
@@ -10,9 +10,9 @@
 use scene::{db, play};
 use std::time::Duration;
 
-/// The primary ends and is back within 0.3 s with an empty log, before anybody has noticed. Callers
-/// see a gap of about a promotion: what it answers now is not passed on, another database is
-/// promoted because the register shows another birth, and no acknowledged write is lost by it.
+/// The primary restarts within 0.3 s with an empty log, before any VM has noticed. Its answers are
+/// not passed on, another database is promoted because the register shows another birth, and no
+/// acknowledged write is lost. Callers see a gap of about one promotion.
 #[test]
 fn primary_starts_again_with_nothing() {
     play(Setup::default(), |scene| async move {
@@ -24,8 +24,8 @@
     });
 }
 
-/// A replica starts again with nothing, and the primary crashes while that one receives the log
-/// anew. The other replica is promoted, as the furthest by what each has now.
+/// A replica restarts with an empty log, and the primary crashes while the replica receives the log
+/// again. The other replica is promoted, since each is judged by its present position.
 #[test]
 fn replica_that_started_again_does_not_win() {
     play(Setup::default(), |scene| async move {
@@ -39,10 +39,11 @@
     });
 }
 
-/// A primary's answer shows less than was known when it was asked: its log is lost. One that was
-/// asked before may show less, and so may a primary of another epoch.
+/// A primary has lost its log if its answer shows a lower position than was known when it was
+/// asked. An answer to an earlier question, or from a primary of another epoch, may show a lower
+/// one.
 #[test]
-fn a_log_that_shrank_is_told_from_an_answer_that_is_late() {
+fn a_lost_log_is_distinguished_from_a_late_answer() {
     let group: GroupId = "g".parse().unwrap();
     let position = |text: &str| -> Position { text.parse().unwrap() };
     let at = |millis: u64| Time(millis * 1_000);
--- a/tests/direct_register.rs
+++ b/tests/direct_register.rs
@@ -1,13 +1,13 @@
-//! Which databases count as registered, by the readings of the store.
+//! Tests of which databases count as registered after readings of the store.
 
 mod registered;
 
 use lentilspoke::direct::control::register::Register;
 use registered::{at, databases, id};
 
-/// An outage of the store lets every entry expire. Databases that are there must stay known, and
-/// one that ended has to go: what is missing counts only once the store has answered for 2.5 s, and
-/// the entry was missing for 4 s of that or before.
+/// An outage of the store lets every entry expire. Databases that still run must stay registered,
+/// and one that ended must go: a missing entry counts only once the store has answered for 2.5 s,
+/// and the entry has been missing for 4 s.
 #[test]
 fn missing_entry_counts_only_after_the_store_has_answered_for_a_while() {
     let mut register = Register::default();
@@ -20,11 +20,11 @@
     assert_eq!(after.gone, [id("b")]);
 }
 
-/// The store turns a database away and answers the steward all along. The database's entry expires
-/// and is back 2 s later; its callers never notice, as it stays registered. (A day on which the
-/// primary was taken for gone: its writes stood still for 8 s.)
+/// Guards against the removal of a running database. The store refuses the database's calls but
+/// answers the steward; the entry expires and is back 2 s later. A primary that was removed this
+/// way took no writes for 8 s.
 #[test]
-fn a_database_that_the_store_turns_away_stays_registered() {
+fn a_database_refused_by_the_store_stays_registered() {
     let mut register = Register::default();
     register.read(databases(&["a", "b"]), at(0), Some(at(0)));
     for asked in [9_600, 10_600, 11_500] {
@@ -37,7 +37,7 @@
     assert!(!away.any, "counted anew");
 }
 
-/// A database said that it leaves, and its entry is removed: it is gone at once.
+/// A database that announced its leaving is removed as soon as its entry is missing.
 #[test]
 fn a_database_that_left_is_gone_at_once() {
     let mut register = Register::default();
@@ -50,9 +50,9 @@
     assert_eq!(after.gone, [id("b")]);
 }
 
-/// A VM tells an older reading than the one that is known: a database that is gone stays gone.
+/// Guards against an older reading from another VM that brings back a removed database.
 #[test]
-fn older_register_is_not_gone_back_to() {
+fn older_register_is_ignored() {
     let mut register = Register::default();
     register.read(databases(&["a"]), at(5_000), Some(at(0)));
     let told = register.told(databases(&["a", "b"]), at(4_000));
--- a/tests/direct_register_random.rs
+++ b/tests/direct_register_random.rs
@@ -1,4 +1,4 @@
-//! The register of databases, as VMs tell it to each other in any order.
+//! Random tests of the register of databases, with readings from other VMs in any order.
 
 mod registered;
 
@@ -9,7 +9,7 @@
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-/// The names of the databases that a reading showed, by a bit each.
+/// The names of the databases in a reading, one for each bit.
 fn shown(bits: u8) -> Vec<&'static str> {
     let names = NAMES.into_iter().enumerate();
     let named = names.filter(|(bit, _)| bits >> bit & 1 == 1);
@@ -17,11 +17,12 @@
 }
 
 quickcheck! {
-    // Whatever the order in which a VM is told of readings, and however often, it ends with what the
-    // newest one showed. So a database that is gone does not come back, and VMs that were told the
-    // same in another order agree, down to the digest by which they see whether they do. (Open: one
-    // that never knew a database has another digest than one that knew some, and is told of none.)
-    fn newest_reading_stands(readings: BTreeMap<u16, u8>, again: Vec<u8>) -> bool {
+    // Whatever the order in which a VM receives readings, and however often, it ends with the
+    // content of the newest. So a removed database does not come back, and VMs that received the
+    // same readings in another order have the same digest, by which they compare their registers.
+    // (Open: a VM that never had a database has another digest than one that had some and received
+    // an empty list.)
+    fn newest_reading_wins(readings: BTreeMap<u16, u8>, again: Vec<u8>) -> bool {
         let told: Vec<_> = readings.into_iter().collect();
         let Some((_, newest)) = told.last() else { return true };
         let mut mixed = told.clone();
--- a/tests/direct_restore.rs
+++ b/tests/direct_restore.rs
@@ -1,4 +1,5 @@
-//! A store that comes back from an older copy: what the system wrote since is gone, and versions are given out again.
+//! Tests of a store that is restored from an older copy: later writes are lost, and versions are
+//! used again.
 
 mod scene;
 
@@ -10,10 +11,10 @@
 use scene::{Scene, db, play};
 use std::time::Duration;
 
-/// A copy so old that it lacks all that a scene of this file wrote shortly before.
+/// The age of the copy: it lacks all that a test of this file wrote shortly before.
 const OLD: Span = Span::from_secs(6);
 
-/// When the operator and the databases have written theirs again.
+/// How long after a restore the operator and the databases have written their rows again.
 const REWRITES: Span = Span::from_millis(700);
 
 fn site(vms: usize) -> Setup {
@@ -33,9 +34,10 @@
     vms.iter().filter(|vm| scene.world.is_ready(vm)).count()
 }
 
-/// Guards against writes that stop as a drill ends all leases, and against answers lost as a group's epoch changes.
+/// Guards against writes that stop because a restore ends all leases, and against answers that are
+/// lost because a group's epoch changes.
 #[test]
-fn a_drill_costs_as_much_as_an_outage() {
+fn a_restore_costs_as_much_as_an_outage() {
     play(site(8), |scene| async move {
         scene.fault(drill(), 3_000, 3_800).await;
         scene.until(14_000).await;
@@ -56,9 +58,10 @@
     });
 }
 
-/// Guards against a change of primary that is done at the databases and gone in the register of leads.
+/// Guards against a change of primary that was done at the databases but is lost in the rows of
+/// leads.
 #[test]
-fn a_change_of_primary_is_lost_in_a_drill() {
+fn a_change_of_primary_survives_a_restore() {
     play(site(4), |scene| async move {
         scene.fault(Fault::Crash(db("db0a")), 5_000, 7_500).await;
         let leader = scene.leader();
@@ -71,7 +74,7 @@
     });
 }
 
-/// Guards against a VM that starts after the drill and believes the older copy.
+/// Guards against a VM that starts after the restore and trusts the rows of the older copy.
 #[test]
 fn all_vms_start_again_from_the_older_copy() {
     play(site(4), |scene| async move {
@@ -87,7 +90,7 @@
     });
 }
 
-/// Guards against stewards that wait for leases of an earlier era after each start.
+/// Guards against stewards that wait after each start for leases of an earlier era.
 #[test]
 fn a_lost_primary_is_replaced_soon_after_a_start_in_a_later_era() {
     play(site(4), |scene| async move {
@@ -100,7 +103,8 @@
     });
 }
 
-/// Guards against an order of a steward that does not know of the drill, beside its successor's.
+/// Guards against an order by a steward that does not know of the restore, in parallel with its
+/// successor's.
 #[test]
 fn the_steward_is_cut_off_as_the_store_comes_back() {
     play(site(5), |scene| async move {
@@ -120,14 +124,14 @@
     });
 }
 
-/// Guards against a VM that registered in the lost seconds, and acts on a lease that nobody knows of.
+/// Guards against a VM that registered in the lost seconds and acts on a lease that no row shows.
 #[test]
 fn a_vm_registered_in_the_lost_seconds() {
     play(site(4), |scene| async move {
         let vm = scene.world.running()[3].clone();
         scene.fault(Fault::Kill(vm.clone()), 500, 2_500).await;
         scene.until(3_400).await;
-        // It hears nobody but the databases and its callers.
+        // It can reach only the databases and its callers.
         let others = scene
             .world
             .running()
@@ -146,9 +150,10 @@
     });
 }
 
-/// Guards against a second drill that meets what the first one has set right, up to numbers given out three times.
+/// Guards against a restore shortly after another one, with version numbers that are used three
+/// times.
 #[test]
-fn two_drills_in_a_row() {
+fn repeated_restores() {
     play(site(6), |scene| async move {
         scene.fault(drill(), 3_000, 3_300).await;
         scene.fault(drill(), 4_000, 4_300).await;
--- a/tests/direct_vm.rs
+++ b/tests/direct_vm.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke serve` with direct access, as a process of its own.
+//! Tests of `lentilspoke serve` with direct access, run as a process.
 
 mod command;
 mod ports;
@@ -9,14 +9,14 @@
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command};
 
-/// A process, with what it writes; killed when the test ends.
+/// A process and its output; killed when the test ends.
 struct Vm {
     child: Child,
     lines: BufReader<std::io::PipeReader>,
 }
 
 impl Vm {
-    /// Starts it as the platform does: the environment names the settings.
+    /// Starts it as the platform does, with the path of the settings in the environment.
     fn start(settings: &File) -> Self {
         let (reader, writer) = std::io::pipe().unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_lentilspoke"))
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Reads what it writes up to a line that holds `text`.
+    /// Reads its output up to a line that contains `text`.
     fn wait_for(&mut self, text: &str) {
         let mut line = String::new();
         while !line.contains(text) {
@@ -57,9 +57,9 @@
     }
 }
 
-/// A VM starts while the platform's store is down. The balancer sends nobody, since the VM cannot
-/// know what is in force. An operator breaks the settings and sends SIGHUP: the VM says why it
-/// refuses them and goes on; mended, they are taken up. A planned stop ends it in time.
+/// A VM that starts while the platform's store is down is not ready, so the balancer sends it no
+/// callers. It refuses broken settings on SIGHUP, logs why and keeps the old ones; repaired
+/// settings are loaded. A planned stop ends it in time.
 #[actix_rt::test]
 async fn a_vm_without_a_store_is_not_ready_reloads_and_stops() {
     let (callers, peers, ready, admin, nobody) = (free(), free(), free(), free(), free());
--- a/tests/direct_vms.rs
+++ b/tests/direct_vms.rs
@@ -1,4 +1,4 @@
-//! Failures of VMs and of the store, each played in a world of stand-ins.
+//! Tests of failures of VMs and of the store, each in a simulated world.
 
 mod scene;
 
@@ -11,11 +11,12 @@
 use scene::{db, play, vm};
 use std::time::Duration;
 
-/// Milliseconds after the loss of a primary, at which the steward is struck: while it tries the
-/// primary, writes its intent, is told of drops, asks replicas, renews, orders, and publishes.
+/// Milliseconds after the loss of a primary at which the steward fails: while it probes the
+/// primary, writes its intent, collects dropped epochs, asks replicas, renews, orders, and
+/// publishes.
 const STEPS: [u64; 10] = [5, 15, 25, 40, 60, 90, 105, 112, 120, 600];
 
-/// The store says nothing for 6 s. Nobody notices, because leases last longer.
+/// The store does not answer for 6 s. Callers see no failure, as leases last longer.
 #[test]
 fn store_is_down() {
     play(Setup::default(), |scene| async move {
@@ -26,9 +27,10 @@
     });
 }
 
-/// A VM falls silent for good and the store is down from then on for 5 s; half a second after it is
-/// back, the primary crashes. Writes go on during the outage by the VMs' word for each other, and
-/// the replacement waits no longer for the lost VM than a reading counts without that (2.5 s).
+/// A VM is lost and the store is down from then on for 5 s; half a second after it is back, the
+/// primary crashes. Writes continue during the outage because VMs extend each other's leases, and
+/// the replacement waits for the lost VM no longer than a reading counts without an extension (2.5
+/// s).
 #[test]
 fn primary_crashes_soon_after_a_vm_was_lost_and_the_store_down() {
     let setup = Setup {
@@ -52,9 +54,9 @@
     });
 }
 
-/// The store turns one VM away, the steward; the others are served. Nobody notices.
+/// The store refuses only the steward's calls. Callers see no failure.
 #[test]
-fn store_turns_the_steward_away() {
+fn store_refuses_the_steward() {
     play(Setup::default(), |scene| async move {
         let only = Some([scene.steward()].into());
         let down = Fault::Store(Health::Refusing, only);
@@ -65,10 +67,10 @@
     });
 }
 
-/// A VM ends and starts again while the store turns it away and serves all others. It registers by
-/// way of another VM, learns from the steward who leads, and serves its callers within two seconds.
+/// A VM restarts while the store refuses its calls and answers all others. It registers through
+/// another VM, learns the leads from the steward, and serves its callers within two seconds.
 #[test]
-fn vm_starts_while_the_store_turns_it_away() {
+fn vm_starts_while_the_store_refuses_it() {
     play(Setup::default(), |scene| async move {
         let steward = scene.steward();
         let other = scene.world.running().into_iter().find(|vm| *vm != steward);
@@ -93,8 +95,8 @@
     });
 }
 
-/// A VM starts while the store is down. It takes no callers, as it can't know who leads by a
-/// reading that is its own, until the store is back.
+/// A VM that starts while the store is down accepts no callers until the store is back, because it
+/// has no reading of its own that shows the leads.
 #[test]
 fn vm_starts_without_the_store() {
     play(Setup::default(), |scene| async move {
@@ -111,8 +113,8 @@
     });
 }
 
-/// Answers of the store are lost, and the writes are done at once, while a primary crashes. It is
-/// replaced by one primary, once.
+/// The store does writes at once but loses the answers while a primary crashes. The primary is
+/// replaced once.
 #[test]
 fn store_loses_answers_while_a_primary_is_replaced() {
     play(Setup::default(), |scene| async move {
@@ -126,8 +128,8 @@
     });
 }
 
-/// Writes to the store are done seconds after their answers were lost, while a primary crashes and
-/// the steward is killed. What the dead steward wrote comes late and changes nothing.
+/// The store does writes seconds after their answers were lost, while a primary crashes and the
+/// steward is killed. Late writes of the dead steward change nothing.
 #[test]
 fn late_write_meets_a_take_over() {
     for late in [1_000, 2_500, 6_000] {
@@ -150,8 +152,8 @@
     }
 }
 
-/// The steward is killed at each step of a replacement. Another takes the duty over, finishes it
-/// or begins it anew, and the platform sees tokens that only rise.
+/// The steward is killed at each step of a replacement. Another VM takes the duty and finishes or
+/// restarts the replacement, and the platform sees only rising tokens.
 #[test]
 fn steward_is_killed_at_each_step() {
     for step in STEPS {
@@ -167,8 +169,8 @@
     }
 }
 
-/// The steward is frozen at each step of a replacement and wakes later, with what it was about to
-/// do. It does nothing that its successor has not to expect.
+/// The steward is frozen at each step of a replacement and later continues where it was. It does
+/// nothing that conflicts with its successor.
 #[test]
 fn steward_is_frozen_at_each_step() {
     for step in STEPS {
@@ -187,8 +189,8 @@
     }
 }
 
-/// A VM is frozen with answers under way, and the primary is replaced meanwhile. When it wakes
-/// its lease is over, and none of these answers is passed on as done.
+/// A VM is frozen with statements in progress, and the primary is replaced meanwhile. When it
+/// continues, its lease has expired, and none of these statements is reported as done.
 #[test]
 fn vm_is_frozen_past_its_lease() {
     for number in 1..=3 {
@@ -206,8 +208,8 @@
     }
 }
 
-/// The VM that watches the store for all others is cut from it just before the configuration
-/// changes. All VMs have the new one within 3 s.
+/// The VM that polls the store for all others is cut off from it just before the configuration
+/// changes. All VMs have the new configuration within 3 s.
 #[test]
 fn configuration_changes_while_its_watcher_is_cut() {
     play(Setup::default(), |scene| async move {
@@ -232,8 +234,8 @@
     });
 }
 
-/// All VMs are killed at once, and have nothing but the store when they start. Callers are served
-/// again within seconds.
+/// All VMs are killed at once and know only the store when they start. Callers are served again
+/// within seconds.
 #[test]
 fn all_vms_restart() {
     play(Setup::default(), |scene| async move {
@@ -247,8 +249,8 @@
     });
 }
 
-/// Each VM in turn is asked to stop under load. Every statement that was sent to it is answered,
-/// and the others go on.
+/// Each VM in turn is stopped under load. Every statement sent to it is answered, and the others
+/// keep serving.
 #[test]
 fn vms_stop_in_turn() {
     play(Setup::default(), |scene| async move {
@@ -262,9 +264,9 @@
     });
 }
 
-/// A primary falls silent without a refusal. Both replicas say within milliseconds how far they are,
-/// while the question to the silent one is given up after 700 ms: the choice waits 150 ms for it, as
-/// each millisecond of waiting is one without writes.
+/// A primary stops answering without refusing connections. Both replicas report their positions
+/// within milliseconds, while the question to the primary times out after 700 ms. The choice waits
+/// for it only 150 ms, as no write is possible meanwhile.
 #[test]
 fn choice_does_not_wait_for_a_dark_primary() {
     play(Setup::default(), |scene| async move {
