--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -2,7 +2,7 @@
 //! who replaces a primary that is lost.
 //!
 //! A VM that starts has its row written with those of others (`enroll`); of many VMs a few read the
-//! store for all ([`reader`]), and pass on what is long (`bulk`). Every VM beats to the steward (`heartbeat`, `news`), follows the configuration (`watch`), and
+//! store for all ([`reader`]), and pass on what is long (`bulk`). Every VM beats to the steward (`heartbeat`, [`update`]), follows the configuration (`watch`), and
 //! reads the store itself while it hears no steward (`own`); meanwhile its leases go on by the word
 //! of others (`vouch`). One VM at a time is the steward: it
 //! takes and renews the duty in the store (`duty`, [`takeover`]), reads for the others and looks
@@ -21,7 +21,6 @@
 mod heartbeat;
 mod join;
 pub mod lateness;
-pub mod news;
 pub mod nudge;
 mod order;
 mod own;
@@ -35,6 +34,7 @@
 pub mod steward;
 pub mod store;
 pub mod takeover;
+pub mod update;
 mod vouch;
 mod watch;
 
--- a/tests/direct_news.rs
+++ b/tests/direct_news.rs
@@ -3,8 +3,8 @@
 mod registered;
 
 use lentilspoke::clock::{Span, Time};
-use lentilspoke::direct::control::news::telling;
 use lentilspoke::direct::control::nudge::Nudge;
+use lentilspoke::direct::control::update::telling;
 use lentilspoke::direct::lead::{Book, Lead, digest};
 use lentilspoke::direct::view::View;
 use lentilspoke::types::GroupId;
