--- a/src/direct/control/detour.rs
+++ b/src/direct/control/indirect.rs
@@ -39,7 +39,7 @@
 const MAX_AVOIDANCE: Span = Span::from_secs(8);
 
 /// Makes a call through other VMs; `None` if the store answered none of them.
-pub type Detour = Rc<dyn Fn(Ask) -> Later<Option<Told>>>;
+pub type Forwarder = Rc<dyn Fn(Ask) -> Later<Option<Told>>>;
 
 /// Whether calls are first made directly or through other VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,7 +59,7 @@
 
 impl Route {
     /// Returns whether direct calls are avoided now.
-    pub fn avoids_own(&self, now: Time) -> bool {
+    pub fn avoids_direct(&self, now: Time) -> bool {
         now < self.avoided_until
     }
 
@@ -76,7 +76,7 @@
 }
 
 /// Makes the function that forwards a VM's calls.
-pub(super) fn by_others(control: &Rc<Control>) -> Detour {
+pub(super) fn forwarder(control: &Rc<Control>) -> Forwarder {
     let control = Rc::downgrade(control);
     Rc::new(move |ask| {
         let control = control.clone();
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -12,13 +12,13 @@
 pub mod backoff;
 mod bulk;
 mod change;
-pub mod detour;
 mod duty;
 mod enroll;
 pub mod era;
 mod errands;
 pub mod evidence;
 mod heartbeat;
+pub mod indirect;
 mod join;
 pub mod lateness;
 pub mod nudge;
@@ -172,7 +172,7 @@
             lateness: lateness::Lateness::default(),
             setup,
         });
-        control.store.set_detour(detour::by_others(&control));
+        control.store.set_forwarder(indirect::forwarder(&control));
         actix_rt::spawn(watch::run(control.clone()));
         actix_rt::spawn(bulk::run(control.clone()));
         actix_rt::spawn(heartbeat::run(control.clone()));
--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -3,8 +3,8 @@
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::Adapter;
-use crate::direct::control::detour::{Detour, Route};
 use crate::direct::control::era::Eras;
+use crate::direct::control::indirect::{Forwarder, Route};
 use crate::direct::control::rows::{
     self, Member, MemberId, Reading, TABLE, encode, era_row, member_row, quiet_row,
 };
@@ -157,7 +157,7 @@
     route: Cell<Route>,
     /// When a direct call failed, if none has succeeded since.
     direct_failed: Cell<Option<Time>>,
-    detour: OnceCell<Detour>,
+    forwarder: OnceCell<Forwarder>,
     eras: Cell<Eras>,
 }
 
@@ -180,14 +180,14 @@
             patience: Cell::default(),
             route: Cell::default(),
             direct_failed: Cell::default(),
-            detour: OnceCell::new(),
+            forwarder: OnceCell::new(),
             eras: Cell::default(),
         }
     }
 
     /// Sets how calls are made through other VMs; only the first call has an effect.
-    pub(super) fn set_detour(&self, detour: Detour) {
-        let _ = self.detour.set(detour);
+    pub(super) fn set_forwarder(&self, forwarder: Forwarder) {
+        let _ = self.forwarder.set(forwarder);
     }
 
     /// Returns the counters of calls.
@@ -493,7 +493,7 @@
     /// avoided, it tries the other VMs first.
     async fn call_by_any_route(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
         let mut route = self.route.get();
-        if route.avoids_own((self.adapter.clock)()) {
+        if route.avoids_direct((self.adapter.clock)()) {
             if let Some(answer) = self.call_indirectly(&ask).await {
                 return self.check_era(Ok(answer));
             }
@@ -519,8 +519,8 @@
     }
 
     async fn call_indirectly(&self, ask: &Ask) -> Option<Told> {
-        let detour = self.detour.get()?;
-        detour(ask.clone()).await
+        let forwarder = self.forwarder.get()?;
+        forwarder(ask.clone()).await
     }
 
     /// Makes a call directly.
