--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -23,7 +23,7 @@
 /// answers in a row were lost, which is rare in a store that loses one in three. A retried write
 /// has the same version as its condition, so only one of the two succeeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct WriteTimeout {
     span: Span,
     missed: u32,
 }
@@ -35,7 +35,7 @@
 /// A write takes this many times as long as a read.
 const WRITE_TO_READ: u64 = 3;
 
-impl Default for Patience {
+impl Default for WriteTimeout {
     fn default() -> Self {
         Self {
             span: MIN_WRITE_TIMEOUT,
@@ -44,7 +44,7 @@
     }
 }
 
-impl Patience {
+impl WriteTimeout {
     /// Returns the current timeout.
     pub fn span(self) -> Span {
         self.span
@@ -153,7 +153,7 @@
     adapter: Adapter,
     counts: Cell<Counts>,
     health: RefCell<Health>,
-    patience: Cell<Patience>,
+    write_timeout: Cell<WriteTimeout>,
     route: Cell<Route>,
     /// When a direct call failed, if none has succeeded since.
     direct_failed: Cell<Option<Time>>,
@@ -177,7 +177,7 @@
             adapter,
             counts: Cell::default(),
             health: RefCell::default(),
-            patience: Cell::default(),
+            write_timeout: Cell::default(),
             route: Cell::default(),
             direct_failed: Cell::default(),
             forwarder: OnceCell::new(),
@@ -305,7 +305,7 @@
             writes: vec![(era_row(), encode(&version.era))],
             remove: Vec::new(),
         };
-        let timeout = self.patience.get().span();
+        let timeout = self.write_timeout.get().span();
         let answer = self.call(Ask::Write(change), timeout).await;
         let written = matches!(answer, Ok(Told::Written(_)));
         log::info!(era:% = version.era, written; "the row of the store's era was missing");
@@ -394,9 +394,9 @@
     /// also adjusts the timeout of writes.
     fn decode_reading(&self, rows: &[Row], settled: Version, asked: Time) -> Reading {
         let answered = (self.adapter.clock)();
-        let mut timeout = self.patience.get();
+        let mut timeout = self.write_timeout.get();
         timeout.read(answered.since(asked));
-        self.patience.set(timeout);
+        self.write_timeout.set(timeout);
         Reading::new(rows, settled, asked, answered)
     }
 
@@ -435,7 +435,7 @@
             change.expect.push((era_row(), settled));
         }
         self.count(|counts| counts.writes += 1);
-        let mut timeout = self.patience.get();
+        let mut timeout = self.write_timeout.get();
         let asked = (self.adapter.clock)();
         let answer = self.call(Ask::Write(change), timeout.span()).await;
         match &answer {
@@ -448,7 +448,7 @@
                 timeout.missed();
             }
         }
-        self.patience.set(timeout);
+        self.write_timeout.set(timeout);
         match answer? {
             // The era's row still had its old version after the restore, as no VM had written it
             // again.
--- a/tests/direct_control.rs
+++ b/tests/direct_control.rs
@@ -9,7 +9,7 @@
 use lentilspoke::direct::control::promotion::{Choice, Permit, Pick, Word};
 use lentilspoke::direct::control::rows::{Member, MemberId, Reading};
 use lentilspoke::direct::control::steward::{Cause, Errand, Scene, Told, survey};
-use lentilspoke::direct::control::store::Patience;
+use lentilspoke::direct::control::store::WriteTimeout;
 use lentilspoke::direct::control::takeover::{Hearing, Watch};
 use lentilspoke::direct::lead::{Book, Lead};
 use lentilspoke::direct::statement::Standing;
@@ -274,7 +274,7 @@
 /// for as long as it takes.
 #[test]
 fn patience_with_the_store() {
-    let mut patience = Patience::default();
+    let mut patience = WriteTimeout::default();
     patience.written(ms(16));
     patience.missed();
     patience.missed();
