--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -55,7 +55,7 @@
 /// every VM twice a second, the steward of 99 VMs would receive 3 MB a second. The steward judges
 /// only primaries, so every VM reports those that answered it. Reports on replicas are needed, to
 /// choose among them, only from VMs that see a failure in their group.
-pub fn telling(view: &View, now: Time) -> Vec<(DatabaseId, Report)> {
+pub fn selected_reports(view: &View, now: Time) -> Vec<(DatabaseId, Report)> {
     let mut reports = view.reports.all(now);
     let group = |id: &DatabaseId| view.databases.get(id).map(|database| &database.group);
     let failing = reports
@@ -97,7 +97,7 @@
             register: self.state.borrow().register.digest(),
             fellows: view.fellows.digest(),
             leads: view.book.digest(),
-            reports: telling(&view, now),
+            reports: selected_reports(&view, now),
         }
     }
 
--- a/tests/direct_news.rs
+++ b/tests/direct_news.rs
@@ -4,7 +4,7 @@
 
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::direct::control::nudge::Nudge;
-use lentilspoke::direct::control::update::telling;
+use lentilspoke::direct::control::update::selected_reports;
 use lentilspoke::direct::lead::{Book, Lead, digest};
 use lentilspoke::direct::view::View;
 use lentilspoke::types::GroupId;
@@ -63,7 +63,7 @@
         view.reports.answered(&id(name), at(2_000));
     }
     let told = |view: &View| {
-        let reports = telling(view, at(2_100));
+        let reports = selected_reports(view, at(2_100));
         let ids = reports.into_iter().map(|(id, _)| id.to_string());
         ids.collect::<Vec<_>>().join(" ")
     };
