--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -167,14 +167,14 @@
                 if settled || news.member {
                     self.member.set(news.member);
                 }
-                self.take_news(*news, post.address, asked);
+                self.apply_update(*news, post.address, asked);
                 true
             }
             Some(Answer::News(news)) => {
                 known.hearing.missed += 1;
                 drop(state);
                 self.follow_heard(news.duty.as_ref(), now);
-                self.take_news(*news, post.address, asked);
+                self.apply_update(*news, post.address, asked);
                 false
             }
             Some(Answer::Absent) => {
@@ -333,7 +333,7 @@
             let fresh = heard.is_some_and(|h| h.age < LOOK_EVERY && Some(h.token) == token);
             hear += usize::from(fresh);
             self.follow_heard(heard, self.now());
-            self.take_news(*news, address, asked);
+            self.apply_update(*news, address, asked);
         }
         (answered, hear)
     }
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -314,7 +314,7 @@
             self.state.borrow_mut().told = Some(now);
         }
         self.follow_heard(news.duty.as_ref(), self.now());
-        self.take_news(*news, address, asked);
+        self.apply_update(*news, address, asked);
         Some(membership)
     }
 }
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -266,7 +266,7 @@
     }
 
     /// Applies the update of the VM at `from` to a question sent at `asked`.
-    pub(super) fn take_news(&self, news: News, from: SocketAddr, asked: Time) {
+    pub(super) fn apply_update(&self, news: News, from: SocketAddr, asked: Time) {
         if let Some((era, age)) = news.era {
             self.store.hear_era(era, asked - age);
         }
