--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -185,10 +185,10 @@
         let control = self.clone();
         Box::pin(async move {
             match question {
-                Question::Beat(beat) => Answer::News(Box::new(control.answer_beat(beat))),
+                Question::Beat(beat) => Answer::News(Box::new(control.answer_heartbeat(beat))),
                 Question::Read(beat) => {
                     control.read_for_others().await;
-                    Answer::News(Box::new(control.answer_beat(beat)))
+                    Answer::News(Box::new(control.answer_heartbeat(beat)))
                 }
                 Question::Enroll {
                     beat,
@@ -209,7 +209,7 @@
                     let applicant = Applicant { id, member, expect };
                     // What became of it is told by the reading that follows.
                     let _ = control.enroll(applicant).await;
-                    Answer::News(Box::new(control.answer_beat(beat)))
+                    Answer::News(Box::new(control.answer_heartbeat(beat)))
                 }
                 Question::Drop {
                     group,
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -102,7 +102,7 @@
     }
 
     /// Answers a heartbeat; the steward also keeps it.
-    pub(super) fn answer_beat(&self, beat: Beat) -> News {
+    pub(super) fn answer_heartbeat(&self, beat: Beat) -> News {
         let now = self.now();
         let id = MemberId::new(&beat.vm, beat.address.ip());
         let steward = self.is_steward();
