--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -192,7 +192,7 @@
         let mut until = began + within;
         while self.now() < until.min(end) {
             let before = self.state.borrow().gathering.length();
-            let question = Question::Beat(self.beat_for(true));
+            let question = Question::Beat(self.heartbeat_for(true));
             let answer = self.hear(address, question, ANSWER_TIMEOUT).await;
             if !lacks(self) {
                 let took_ms = self.now().since(began).0 / 1_000;
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -180,7 +180,7 @@
 
     /// Asks a seed for the version of this VM's row, and then to write the row under that version.
     async fn join_by(&self, seed: SocketAddr) -> bool {
-        let question = Question::Beat(self.beat());
+        let question = Question::Beat(self.heartbeat());
         let answer = self.hear(seed, question, SEED_TIMEOUT).await;
         let listed = answer.and_then(|answer| answer.listed);
         match listed {
@@ -192,7 +192,7 @@
     /// Has another VM write this VM's row on condition that its version is `expect`.
     async fn enroll_by(&self, address: SocketAddr, expect: Version) -> bool {
         let question = Question::Enroll {
-            beat: self.beat(),
+            beat: self.heartbeat(),
             relay: self.setup.relay,
             domain: self.setup.domain.clone(),
             cores: self.setup.cores,
@@ -246,7 +246,7 @@
 
     async fn ask_some(&self, readers: Vec<SocketAddr>, within: Span, whole: bool) -> Source {
         let calls = readers.into_iter().map(async |reader| {
-            let answer = self.hear(reader, Question::Read(self.beat_for(whole)), within);
+            let answer = self.hear(reader, Question::Read(self.heartbeat_for(whole)), within);
             (reader, answer.await)
         });
         let answers = join_all(calls).await;
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -76,12 +76,12 @@
 
 impl Control {
     /// Makes this VM's heartbeat.
-    pub(super) fn beat(&self) -> Beat {
-        self.beat_for(false)
+    pub(super) fn heartbeat(&self) -> Beat {
+        self.heartbeat_for(false)
     }
 
     /// Makes this VM's heartbeat; `whole` asks for long lists as well.
-    pub(super) fn beat_for(&self, whole: bool) -> Beat {
+    pub(super) fn heartbeat_for(&self, whole: bool) -> Beat {
         let now = self.now();
         let view = self.setup.shared.look();
         Beat {
