--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -97,7 +97,7 @@
             // Its own reports are looked at by its own tasks.
             self.wake.notify_one();
             let now = self.now();
-            if self.hears_most(now) {
+            if self.has_majority(now) {
                 self.setup.shared.quietly().tenure.heard(now);
             }
             return Ok(EVERY);
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -65,7 +65,7 @@
     pub nudge: Nudge,
     /// When the VMs with a recent heartbeat were last counted, and whether they were more than
     /// half.
-    pub hears_most: (Time, bool),
+    pub majority: (Time, bool),
     /// The last heartbeat of each VM, kept by the steward.
     pub heard: BTreeMap<MemberId, Beaten>,
     /// VMs that a reading showed as evicted: the row's version, and when it was first seen.
@@ -203,7 +203,7 @@
 
     /// Returns whether this VM and those whose last heartbeat is less than [`HEARD`] before `until`
     /// are more than half of the registered VMs.
-    pub fn count_heard(&self, own: &MemberId, until: Time) -> bool {
+    pub fn has_majority(&self, own: &MemberId, until: Time) -> bool {
         let Some(reading) = &self.reading else {
             return false;
         };
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -109,7 +109,7 @@
         if steward {
             self.record_heartbeat(&id, &beat, now);
         }
-        let hears_most = steward && self.hears_most(now);
+        let hears_most = steward && self.has_majority(now);
         let whole = beat.whole && self.may_send_long(&beat, now);
         let state = self.state.borrow();
         let read = state.reading.as_ref();
@@ -230,15 +230,15 @@
     }
 
     /// Whether more than half of the registered VMs have sent this one a heartbeat within [`HEARD`].
-    pub(super) fn hears_most(&self, now: Time) -> bool {
+    pub(super) fn has_majority(&self, now: Time) -> bool {
         let mut state = self.state.borrow_mut();
-        let (at, hears) = state.hears_most;
+        let (at, known) = state.majority;
         if now < at + MAJORITY_INTERVAL {
-            return hears;
+            return known;
         }
-        let hears = state.count_heard(&self.id, now + MAJORITY_INTERVAL);
-        state.hears_most = (now, hears);
-        hears
+        let counted = state.has_majority(&self.id, now + MAJORITY_INTERVAL);
+        state.majority = (now, counted);
+        counted
     }
 
     fn record_heartbeat(&self, id: &MemberId, beat: &Beat, now: Time) {
