--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -3,7 +3,7 @@
 use crate::clock::{Span, Time};
 use crate::direct::control::backoff::Backoff;
 use crate::direct::control::rows::{Duty, MemberId, Reading, duty_row, encode};
-use crate::direct::control::state::{Beaten, Held, State};
+use crate::direct::control::state::{Held, LastHeartbeat, State};
 use crate::direct::control::takeover::ORDERS_END;
 use crate::direct::control::{Control, errands, reader, resume};
 use crate::direct::mesh::{Answer, Question};
@@ -474,11 +474,11 @@
 }
 
 /// The steward before counts as silent since it was last heard here, not only since now.
-fn silent_before(state: &State) -> Option<(MemberId, Beaten)> {
+fn silent_before(state: &State) -> Option<(MemberId, LastHeartbeat)> {
     let post = state.post.as_ref()?;
     let mut members = state.reading.as_ref()?.members.iter();
     let (id, (member, _)) = members.find(|(_, (m, _))| m.address == post.address)?;
-    let beaten = Beaten {
+    let beaten = LastHeartbeat {
         life: member.life,
         at: post.hearing.since,
         reports: BTreeMap::new(),
--- a/src/direct/control/errands.rs
+++ b/src/direct/control/errands.rs
@@ -7,7 +7,7 @@
 use crate::direct::control::probe;
 use crate::direct::control::promotion::Word;
 use crate::direct::control::rows::{MemberId, duty_row, encode, lead_row, member_row};
-use crate::direct::control::state::{Beaten, Topic};
+use crate::direct::control::state::{LastHeartbeat, Topic};
 use crate::direct::control::steward::{Errand, Scene, Told, survey};
 use crate::direct::control::{Control, resume};
 use crate::direct::lead::Lead;
@@ -164,7 +164,7 @@
     /// What this VM itself saw counts like what the others told.
     fn note_own(&self, now: Time) {
         let reports = self.setup.shared.look().reports.all(now);
-        let own = Beaten {
+        let own = LastHeartbeat {
             life: self.setup.life,
             at: now,
             reports: reports.into_iter().collect(),
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -67,7 +67,7 @@
     /// half.
     pub majority: (Time, bool),
     /// The last heartbeat of each VM, kept by the steward.
-    pub heard: BTreeMap<MemberId, Beaten>,
+    pub heard: BTreeMap<MemberId, LastHeartbeat>,
     /// VMs that a reading showed as evicted: the row's version, and when it was first seen.
     pub evicted: BTreeMap<MemberId, (Version, Time)>,
     /// The steward's last attempts to connect to databases.
@@ -134,7 +134,7 @@
 
 /// The last heartbeat that the steward received from a VM.
 #[derive(Debug, Clone)]
-pub(super) struct Beaten {
+pub(super) struct LastHeartbeat {
     /// The life of the VM.
     pub life: Life,
     /// When it was received.
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -4,7 +4,7 @@
 use crate::direct::config::Database;
 use crate::direct::control::register::Changes;
 use crate::direct::control::rows::{MemberId, Reading};
-use crate::direct::control::state::{Beaten, LeadHistory};
+use crate::direct::control::state::{LastHeartbeat, LeadHistory};
 use crate::direct::control::{Control, watch};
 use crate::direct::fresh::Progress;
 use crate::direct::lead::Lead;
@@ -249,7 +249,7 @@
             .any(|(_, report)| report.failing.is_some());
         let known = state.heard.insert(
             id.clone(),
-            Beaten {
+            LastHeartbeat {
                 life: beat.life,
                 at: now,
                 reports: beat.reports.iter().cloned().collect(),
