--- a/src/direct/control/change.rs
+++ b/src/direct/control/change.rs
@@ -84,7 +84,7 @@
         let lead = state.reading.as_ref().and_then(|r| r.leads.get(group));
         let Some((lead, _)) = lead else { return };
         let now = self.now();
-        let witnesses = state.heard.values().map(|heard| evidence::Witness {
+        let witnesses = state.heartbeats.values().map(|heard| evidence::Witness {
             heard: heard.at,
             report: heard
                 .reports
--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -199,9 +199,9 @@
             .as_ref()
             .map(|post| held.since.since(post.hearing.since).0 / 1_000);
         log::warn!(vm:% = self.id, token, version:% = held.version, silent_ms:? = silent; "this VM is the steward");
-        state.heard.clear();
+        state.heartbeats.clear();
         let before = silent_before(&state);
-        state.heard.extend(before);
+        state.heartbeats.extend(before);
         state.held = Some(held);
         state.post = None;
         state.tried.clear();
@@ -375,7 +375,7 @@
             let members = state.reading.iter().flat_map(|reading| &reading.members);
             let heard = members.filter(|(id, (member, _))| {
                 let heard = state
-                    .heard
+                    .heartbeats
                     .get(*id)
                     .filter(|heard| heard.life == member.life);
                 !member.evicted && heard.is_some_and(|heard| now < heard.at + HEARD)
--- a/src/direct/control/errands.rs
+++ b/src/direct/control/errands.rs
@@ -135,7 +135,7 @@
             return (Vec::new(), None);
         };
         let config = self.setup.shared.look().config.clone();
-        let told = state.heard.iter().map(|(id, heard)| {
+        let told = state.heartbeats.iter().map(|(id, heard)| {
             let told = Told {
                 life: heard.life,
                 at: heard.at,
@@ -169,7 +169,10 @@
             at: now,
             reports: reports.into_iter().collect(),
         };
-        self.state.borrow_mut().heard.insert(self.id.clone(), own);
+        self.state
+            .borrow_mut()
+            .heartbeats
+            .insert(self.id.clone(), own);
     }
 
     fn changes_under_way(&self) -> usize {
@@ -421,7 +424,7 @@
             }
             Some(_) => {
                 // It lives, and beats at once.
-                if let Some(heard) = self.state.borrow_mut().heard.get_mut(id) {
+                if let Some(heard) = self.state.borrow_mut().heartbeats.get_mut(id) {
                     heard.at = self.now();
                 }
                 tokio::time::sleep(Duration::from(CALL)).await;
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -67,7 +67,7 @@
     /// half.
     pub majority: (Time, bool),
     /// The last heartbeat of each VM, kept by the steward.
-    pub heard: BTreeMap<MemberId, LastHeartbeat>,
+    pub heartbeats: BTreeMap<MemberId, LastHeartbeat>,
     /// VMs that a reading showed as evicted: the row's version, and when it was first seen.
     pub evicted: BTreeMap<MemberId, (Version, Time)>,
     /// The steward's last attempts to connect to databases.
@@ -208,7 +208,7 @@
             return false;
         };
         let has_recent = |id: &MemberId| {
-            let last = self.heard.get(id);
+            let last = self.heartbeats.get(id);
             last.is_some_and(|last| until < last.at + HEARD)
         };
         let members = reading.members.keys();
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -247,7 +247,7 @@
             .reports
             .iter()
             .any(|(_, report)| report.failing.is_some());
-        let known = state.heard.insert(
+        let known = state.heartbeats.insert(
             id.clone(),
             LastHeartbeat {
                 life: beat.life,
