--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -94,7 +94,7 @@
         let rank = others
             .filter(|(id, (m, _))| place(id, m.cores, &m.address) < own)
             .count();
-        let hearing = state.post.as_ref().map(|post| &post.hearing);
+        let hearing = state.followed.as_ref().map(|followed| &followed.hearing);
         let at = state.watch.takes_at(hearing, rank, now)?;
         let is_first = state.watch.version().is_none();
         Some(if is_first { at + self.modesty() } else { at })
@@ -118,8 +118,8 @@
     pub(super) async fn take_if_alone(self: &Rc<Self>) {
         let ended = {
             let state = self.state.borrow();
-            let post = state.post.as_ref();
-            post.is_none_or(|post| post.hearing.ended.is_some())
+            let followed = state.followed.as_ref();
+            followed.is_none_or(|followed| followed.hearing.ended.is_some())
         };
         if !ended {
             let (answered, hear) = self.ask_peers().await;
@@ -143,7 +143,7 @@
             let reading = state.reading.as_ref();
             let read = reading.and_then(Reading::last_duty);
             let read = read.map_or(0, |(duty, _)| duty.token);
-            let told = state.post.as_ref().map_or(0, |post| post.token);
+            let told = state.followed.as_ref().map_or(0, |followed| followed.token);
             let floor = resume::floor(reading.map_or(Era::default(), |r| r.era));
             // No row of the duty counts: the one of an earlier era is replaced.
             let version = match state.watch.version() {
@@ -195,15 +195,15 @@
             return;
         }
         let silent = state
-            .post
+            .followed
             .as_ref()
-            .map(|post| held.since.since(post.hearing.since).0 / 1_000);
+            .map(|followed| held.since.since(followed.hearing.since).0 / 1_000);
         log::warn!(vm:% = self.id, token, version:% = held.version, silent_ms:? = silent; "this VM is the steward");
         state.heartbeats.clear();
         let before = silent_before(&state);
         state.heartbeats.extend(before);
         state.held = Some(held);
-        state.post = None;
+        state.followed = None;
         state.tried.clear();
         drop(state);
         errands::start(self, token);
@@ -475,12 +475,12 @@
 
 /// The steward before counts as silent since it was last heard here, not only since now.
 fn silent_before(state: &State) -> Option<(MemberId, LastHeartbeat)> {
-    let post = state.post.as_ref()?;
+    let followed = state.followed.as_ref()?;
     let mut members = state.reading.as_ref()?.members.iter();
-    let (id, (member, _)) = members.find(|(_, (m, _))| m.address == post.address)?;
+    let (id, (member, _)) = members.find(|(_, (m, _))| m.address == followed.address)?;
     let beaten = LastHeartbeat {
         life: member.life,
-        at: post.hearing.since,
+        at: followed.hearing.since,
         reports: BTreeMap::new(),
     };
     Some((id.clone(), beaten))
--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -3,7 +3,7 @@
 use crate::clock::Span;
 use crate::direct::control::backoff::Backoff;
 use crate::direct::control::join::Source;
-use crate::direct::control::state::Post;
+use crate::direct::control::state::FollowedSteward;
 use crate::direct::control::{Control, reader};
 use crate::direct::mesh::{Answer, Question};
 use crate::direct::table::Fault;
@@ -102,11 +102,11 @@
             }
             return Ok(EVERY);
         }
-        let post = self.state.borrow().post.clone();
-        let Some(post) = post.filter(|_| self.is_member()) else {
+        let followed = self.state.borrow().followed.clone();
+        let Some(followed) = followed.filter(|_| self.is_member()) else {
             return self.look().await;
         };
-        let heard = self.beat_or_look(&post).await?;
+        let heard = self.beat_or_look(&followed).await?;
         let silent = self.misses_steward();
         self.note_contact(heard);
         let due = self.may_look() && (silent || !heard || self.is_stale());
@@ -119,8 +119,8 @@
     }
 
     /// Beats; reads the rows meanwhile if the answer is late.
-    async fn beat_or_look(self: &Rc<Self>, post: &Post) -> Result<bool, Fault> {
-        let mut beat = std::pin::pin!(self.beat_to(post));
+    async fn beat_or_look(self: &Rc<Self>, followed: &FollowedSteward) -> Result<bool, Fault> {
+        let mut beat = std::pin::pin!(self.beat_to(followed));
         let late = tokio::time::timeout(Duration::from(LATE), &mut beat).await;
         if let Ok(heard) = late {
             return Ok(heard);
@@ -137,19 +137,19 @@
         looked.is_none_or(|at| at + LOOK_EVERY <= self.now())
     }
 
-    async fn beat_to(&self, post: &Post) -> bool {
-        let patience = if post.hearing.missed > 1 {
+    async fn beat_to(&self, followed: &FollowedSteward) -> bool {
+        let patience = if followed.hearing.missed > 1 {
             SHORT
         } else {
             PATIENCE
         };
         let asked = self.now();
         let question = Question::Beat(self.heartbeat());
-        let answer = (self.setup.call)(post.address, question, patience).await;
+        let answer = (self.setup.call)(followed.address, question, patience).await;
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let same = |known: &&mut Post| known.token == post.token;
-        let Some(known) = state.post.as_mut().filter(same) else {
+        let same = |known: &&mut FollowedSteward| known.token == followed.token;
+        let Some(known) = state.followed.as_mut().filter(same) else {
             // Another one is followed meanwhile.
             return true;
         };
@@ -167,19 +167,19 @@
                 if settled || news.member {
                     self.member.set(news.member);
                 }
-                self.apply_update(*news, post.address, asked);
+                self.apply_update(*news, followed.address, asked);
                 true
             }
             Some(Answer::News(news)) => {
                 known.hearing.missed += 1;
                 drop(state);
                 self.follow_heard(news.duty.as_ref(), now);
-                self.apply_update(*news, post.address, asked);
+                self.apply_update(*news, followed.address, asked);
                 false
             }
             Some(Answer::Absent) => {
                 if known.hearing.ended.is_none() {
-                    log::warn!(address:% = post.address, token = post.token; "the steward has ended");
+                    log::warn!(address:% = followed.address, token = followed.token; "the steward has ended");
                 }
                 known.hearing.end(now);
                 false
@@ -217,17 +217,18 @@
         let state = self.state.borrow();
         let now = self.now();
         state
-            .post
+            .followed
             .as_ref()
-            .is_none_or(|post| post.hearing.is_silent(now))
+            .is_none_or(|followed| followed.hearing.is_silent(now))
     }
 
     /// Whether the steward answers, and the configuration may be had from it.
     pub(super) fn hears_steward(&self) -> bool {
         let state = self.state.borrow();
-        let post = state.post.as_ref();
-        post.is_some_and(|post| post.hearing.missed == 0 && post.hearing.ended.is_none())
-            && state.held.is_none()
+        let followed = state.followed.as_ref();
+        followed.is_some_and(|followed| {
+            followed.hearing.missed == 0 && followed.hearing.ended.is_none()
+        }) && state.held.is_none()
     }
 
     fn note_contact(&self, heard: bool) {
@@ -322,7 +323,12 @@
             )
         });
         let answers = futures_util::future::join_all(calls).await;
-        let token = self.state.borrow().post.as_ref().map(|post| post.token);
+        let token = self
+            .state
+            .borrow()
+            .followed
+            .as_ref()
+            .map(|followed| followed.token);
         let (mut answered, mut hear) = (0, 0);
         for (address, answer) in answers {
             let Some(Answer::News(news)) = answer else {
@@ -353,7 +359,12 @@
 
     /// Some of these VMs and the seeds, without the steward.
     fn some_of(&self, mut peers: Vec<SocketAddr>) -> Vec<SocketAddr> {
-        let steward = self.state.borrow().post.as_ref().map(|post| post.address);
+        let steward = self
+            .state
+            .borrow()
+            .followed
+            .as_ref()
+            .map(|followed| followed.address);
         peers.extend(&self.setup.seeds);
         peers.sort();
         peers.dedup();
--- a/src/direct/control/indirect.rs
+++ b/src/direct/control/indirect.rs
@@ -129,10 +129,11 @@
     fn forwarders(&self) -> Vec<SocketAddr> {
         let steward = {
             let state = self.state.borrow();
-            let post = state.post.as_ref();
-            post.filter(|post| post.hearing.missed == 0 && post.hearing.ended.is_none())
+            let followed = state.followed.as_ref();
+            followed
+                .filter(|followed| followed.hearing.missed == 0 && followed.hearing.ended.is_none())
                 .filter(|_| !self.is_large())
-                .map(|post| post.address)
+                .map(|followed| followed.address)
         };
         let mut forwarders: Vec<_> = steward.into_iter().chain(self.other_readers()).collect();
         forwarders.truncate(MAX_ASKED);
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -289,12 +289,14 @@
     pub fn knowledge(&self) -> Knowledge {
         let state = self.state.borrow();
         let now = self.now();
-        let post = state.post.as_ref();
+        let followed = state.followed.as_ref();
         let held = state.held.as_ref().map(|held| held.token);
         Knowledge {
             steward: held.is_some(),
-            token: held.max(post.map(|post| post.token)).unwrap_or_default(),
-            heard: post.map(|post| now.since(post.hearing.since)),
+            token: held
+                .max(followed.map(|followed| followed.token))
+                .unwrap_or_default(),
+            heard: followed.map(|followed| now.since(followed.hearing.since)),
             members: self.setup.shared.look().fellows.list().len(),
             register_age: state.register.asked().map(|asked| now.since(asked)),
             config: state.newest.max(self.config_version()),
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -95,12 +95,12 @@
             // take-over waits for the same time as for any other steward.
             state.follow(duty.address, duty.token, now);
         }
-        if let Some(post) = state
-            .post
+        if let Some(followed) = state
+            .followed
             .as_mut()
-            .filter(|post| ended && post.token == duty.token)
+            .filter(|followed| ended && followed.token == duty.token)
         {
-            post.hearing.end(now);
+            followed.hearing.end(now);
         }
     }
 
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -58,7 +58,7 @@
     /// Since when the duty's row has had its version.
     pub watch: Watch,
     /// The steward that this VM follows.
-    pub post: Option<Post>,
+    pub followed: Option<FollowedSteward>,
     /// The duty, while this VM holds it.
     pub held: Option<Held>,
     /// Limits how often all VMs are asked for a heartbeat.
@@ -103,7 +103,7 @@
 
 /// The steward that this VM follows.
 #[derive(Debug, Clone)]
-pub(super) struct Post {
+pub(super) struct FollowedSteward {
     /// The address on which it listens for other VMs.
     pub address: SocketAddr,
     /// Its fencing token.
@@ -251,10 +251,14 @@
     /// Follows a steward, unless this VM already follows it or a newer one. Returns whether it does
     /// now.
     pub fn follow(&mut self, address: SocketAddr, token: u64, now: Time) -> bool {
-        if self.post.as_ref().is_some_and(|post| post.token >= token) {
+        if self
+            .followed
+            .as_ref()
+            .is_some_and(|followed| followed.token >= token)
+        {
             return false;
         }
-        self.post = Some(Post {
+        self.followed = Some(FollowedSteward {
             address,
             token,
             hearing: Hearing::new(now),
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -200,15 +200,15 @@
                 age: Span::ZERO,
             });
         }
-        let post = state
-            .post
+        let followed = state
+            .followed
             .as_ref()
-            .filter(|post| post.hearing.ended.is_none())?;
+            .filter(|followed| followed.hearing.ended.is_none())?;
         Some(Heard {
-            address: post.address,
-            token: post.token,
+            address: followed.address,
+            token: followed.token,
             version: None,
-            age: now.since(post.hearing.since),
+            age: now.since(followed.hearing.since),
         })
     }
 
