--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -175,7 +175,7 @@
             }
             // If an answer was lost, the next reading shows who holds the duty.
             Ok(Err(_)) | Err(_) => {
-                self.state.borrow_mut().looked = None;
+                self.state.borrow_mut().refreshed = None;
                 false
             }
         }
--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -133,7 +133,7 @@
     }
 
     fn may_look(&self) -> bool {
-        let looked = self.state.borrow().looked;
+        let looked = self.state.borrow().refreshed;
         looked.is_none_or(|at| at + LOOK_EVERY <= self.now())
     }
 
@@ -162,7 +162,7 @@
                     state.watch.note(version, now);
                 }
                 // The steward's reading may be older than this VM's row.
-                let settled = state.looked.is_none_or(|at| at + STALE < now);
+                let settled = state.refreshed.is_none_or(|at| at + STALE < now);
                 drop(state);
                 if settled || news.member {
                     self.member.set(news.member);
@@ -252,8 +252,8 @@
     /// Is told by VMs near by who leads, or reads the rows and, if it is due, the register for itself;
     /// then sees to the duty.
     async fn look(self: &Rc<Self>) -> Result<Span, Fault> {
-        let first = self.state.borrow().looked.is_none();
-        self.state.borrow_mut().looked = Some(self.now());
+        let first = self.state.borrow().refreshed.is_none();
+        self.state.borrow_mut().refreshed = Some(self.now());
         if first && self.join().await {
             return self.consider();
         }
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -50,7 +50,7 @@
             let before = |held: &Held| held.version.era < reading.era;
             if self.state.borrow().held.as_ref().is_some_and(before) {
                 self.resign("the store came back from an older copy");
-                self.state.borrow_mut().looked = None;
+                self.state.borrow_mut().refreshed = None;
             }
             return;
         };
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -47,8 +47,8 @@
     /// The newest configuration version that another VM reported, and that VM's address.
     pub newest: ConfigVersion,
     pub newest_at: Option<SocketAddr>,
-    /// When this VM last read the rows because it had no update from a steward.
-    pub looked: Option<Time>,
+    /// When this VM last refreshed the rows because it had no update from a steward.
+    pub refreshed: Option<Time>,
     /// When this VM last read the rows although others read for it.
     pub read_at: Option<Time>,
     /// The registered databases.
