--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -156,7 +156,7 @@
         match answer {
             Some(Answer::News(news)) if news.steward => {
                 known.hearing.answered(asked);
-                state.told = Some(now);
+                state.updated = Some(now);
                 if let Some(version) = news.duty.as_ref().and_then(|duty| duty.version) {
                     // Whatever this version allows to be ordered was asked before now.
                     state.watch.note(version, now);
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -65,9 +65,9 @@
     }
 
     /// Returns whether another VM sends this one each new configuration.
-    pub(super) fn is_told(&self) -> bool {
-        let told = self.state.borrow().told;
-        told.is_some_and(|at| self.now() < at + UPDATE_TIMEOUT)
+    pub(super) fn receives_updates(&self) -> bool {
+        let updated = self.state.borrow().updated;
+        updated.is_some_and(|at| self.now() < at + UPDATE_TIMEOUT)
     }
 
     /// Has this VM's row written and takes over what is known then. Returns whether this succeeded.
@@ -269,7 +269,7 @@
             return Source::Stale;
         }
         let now = self.now();
-        self.state.borrow_mut().told = Some(now);
+        self.state.borrow_mut().updated = Some(now);
         Source::Fresh
     }
 
@@ -311,7 +311,7 @@
         };
         if membership.member {
             let now = self.now();
-            self.state.borrow_mut().told = Some(now);
+            self.state.borrow_mut().updated = Some(now);
         }
         self.follow_heard(news.duty.as_ref(), self.now());
         self.apply_update(*news, address, asked);
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -43,7 +43,7 @@
     /// it.
     pub enrolled: Option<Time>,
     /// When the steward, or a VM that reads for others, last sent this VM the leads.
-    pub told: Option<Time>,
+    pub updated: Option<Time>,
     /// The newest configuration version that another VM reported, and that VM's address.
     pub newest: ConfigVersion,
     pub newest_at: Option<SocketAddr>,
--- a/src/direct/control/watch.rs
+++ b/src/direct/control/watch.rs
@@ -62,7 +62,7 @@
 impl Control {
     /// Returns whether this VM polls the store for the configuration.
     fn polls(&self) -> bool {
-        self.is_steward() || self.reads() || !self.is_told()
+        self.is_steward() || self.reads() || !self.receives_updates()
     }
 
     /// Waits for the first update of another VM, or until joining has failed. Seeds don't wait, as
