--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -185,7 +185,11 @@
         }
         self.note_unread(unread);
         let up = self.store.health().up;
-        let changes = self.state.borrow_mut().register.read(found, asked, up);
+        let changes = self
+            .state
+            .borrow_mut()
+            .register
+            .apply_reading(found, asked, up);
         self.publish(&changes, self.now().since(asked));
         Ok(())
     }
--- a/src/direct/control/register.rs
+++ b/src/direct/control/register.rs
@@ -110,7 +110,7 @@
 
     /// Applies the entries `found` by a reading requested at `asked`; the store has answered each
     /// call since `up`. A missing entry is kept while an outage may be the reason.
-    pub fn read(
+    pub fn apply_reading(
         &mut self,
         mut found: BTreeMap<DatabaseId, Database>,
         asked: Time,
@@ -128,12 +128,12 @@
                 found.insert(id.clone(), database.clone());
             }
         }
-        self.told(found, asked)
+        self.apply(found, asked)
     }
 
     /// Applies the databases of a reading requested at `asked`. One older than the newest known
     /// changes nothing.
-    pub fn told(&mut self, found: BTreeMap<DatabaseId, Database>, asked: Time) -> Changes {
+    pub fn apply(&mut self, found: BTreeMap<DatabaseId, Database>, asked: Time) -> Changes {
         if self.asked.is_some_and(|known| known > asked) {
             return Changes::default();
         }
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -329,7 +329,7 @@
         match content {
             Some(Some(found)) => {
                 let mut state = self.state.borrow_mut();
-                let changes = state.register.told(found, at);
+                let changes = state.register.apply(found, at);
                 state.lacks_register = false;
                 drop(state);
                 self.publish(&changes, news.age);
--- a/tests/direct_history.rs
+++ b/tests/direct_history.rs
@@ -114,13 +114,13 @@
         for (at, (list, asks)) in registers.into_iter().enumerate() {
             let found: BTreeMap<_, _> = list.into_iter().map(|(n, p)| database(n, p)).collect();
             let asked = NOW + lentilspoke::clock::Span(at as u64);
-            here.told(found, asked);
+            here.apply(found, asked);
             if !asks || here.digest() == there.digest() {
                 continue;
             }
             let content = here.content_for(there.digest(), false).unwrap();
             let found = there.with(content, here.digest()).unwrap();
-            there.told(found, asked);
+            there.apply(found, asked);
             if here.databases() != there.databases() {
                 return false;
             }
@@ -138,9 +138,9 @@
 fn a_long_register_is_not_told_in_full() {
     let all = |primary| (0..200).map(|n| database(n, n == 3 && primary)).collect();
     let mut here = Register::default();
-    here.told(all(false), NOW);
+    here.apply(all(false), NOW);
     let known = here.digest();
-    here.told(all(true), NOW);
+    here.apply(all(true), NOW);
     assert_eq!(here.content_for(1, false), None);
     assert!(matches!(here.content_for(1, true), Some(Content::All(all)) if all.len() == 200));
     let changes = here.content_for(known, false).unwrap();
@@ -154,11 +154,11 @@
 #[test]
 fn changes_of_another_register_are_not_taken_over() {
     let mut here = Register::default();
-    here.told([database(1, false)].into(), NOW);
+    here.apply([database(1, false)].into(), NOW);
     let known = here.digest();
-    here.told([database(1, false), database(2, false)].into(), NOW);
+    here.apply([database(1, false), database(2, false)].into(), NOW);
     let changes = here.content_for(known, false).unwrap();
     let mut there = Register::default();
-    there.told([database(1, false), database(9, false)].into(), NOW);
+    there.apply([database(1, false), database(9, false)].into(), NOW);
     assert_eq!(there.with(changes, here.digest()), None);
 }
--- a/tests/direct_register.rs
+++ b/tests/direct_register.rs
@@ -11,12 +11,12 @@
 #[test]
 fn missing_entry_counts_only_after_the_store_has_answered_for_a_while() {
     let mut register = Register::default();
-    register.read(databases(&["a", "b"]), at(0), Some(at(0)));
+    register.apply_reading(databases(&["a", "b"]), at(0), Some(at(0)));
     for (asked, up) in [(10_000, 9_000), (11_500, 9_000), (14_400, 12_000)] {
-        let during = register.read(databases(&["a"]), at(asked), Some(at(up)));
+        let during = register.apply_reading(databases(&["a"]), at(asked), Some(at(up)));
         assert!(during.gone.is_empty(), "{asked}");
     }
-    let after = register.read(databases(&["a"]), at(14_500), Some(at(12_000)));
+    let after = register.apply_reading(databases(&["a"]), at(14_500), Some(at(12_000)));
     assert_eq!(after.gone, [id("b")]);
 }
 
@@ -26,14 +26,14 @@
 #[test]
 fn a_database_refused_by_the_store_stays_registered() {
     let mut register = Register::default();
-    register.read(databases(&["a", "b"]), at(0), Some(at(0)));
+    register.apply_reading(databases(&["a", "b"]), at(0), Some(at(0)));
     for asked in [9_600, 10_600, 11_500] {
-        let away = register.read(databases(&["b"]), at(asked), Some(at(0)));
+        let away = register.apply_reading(databases(&["b"]), at(asked), Some(at(0)));
         assert!(!away.any, "{asked}");
     }
-    let back = register.read(databases(&["a", "b"]), at(11_600), Some(at(0)));
+    let back = register.apply_reading(databases(&["a", "b"]), at(11_600), Some(at(0)));
     assert!(!back.any);
-    let away = register.read(databases(&["b"]), at(14_000), Some(at(0)));
+    let away = register.apply_reading(databases(&["b"]), at(14_000), Some(at(0)));
     assert!(!away.any, "counted anew");
 }
 
@@ -45,8 +45,8 @@
     leaving
         .values_mut()
         .for_each(|database| database.leaving = true);
-    register.read(leaving, at(5_000), Some(at(0)));
-    let after = register.read(databases(&["a"]), at(6_000), Some(at(0)));
+    register.apply_reading(leaving, at(5_000), Some(at(0)));
+    let after = register.apply_reading(databases(&["a"]), at(6_000), Some(at(0)));
     assert_eq!(after.gone, [id("b")]);
 }
 
@@ -54,7 +54,7 @@
 #[test]
 fn older_register_is_ignored() {
     let mut register = Register::default();
-    register.read(databases(&["a"]), at(5_000), Some(at(0)));
-    let told = register.told(databases(&["a", "b"]), at(4_000));
+    register.apply_reading(databases(&["a"]), at(5_000), Some(at(0)));
+    let told = register.apply(databases(&["a", "b"]), at(4_000));
     assert!(!told.any && register.databases().len() == 1);
 }
--- a/tests/direct_register_random.rs
+++ b/tests/direct_register_random.rs
@@ -36,7 +36,7 @@
         let [mut one, mut other] = [Register::default(), Register::default()];
         for (register, order) in [(&mut one, &told), (&mut other, &mixed)] {
             for (asked, bits) in order {
-                register.told(databases(&shown(*bits)), at(u64::from(*asked)));
+                register.apply(databases(&shown(*bits)), at(u64::from(*asked)));
             }
         }
         let known: Vec<_> = one.databases().keys().map(ToString::to_string).collect();
