--- a/src/direct/control/register.rs
+++ b/src/direct/control/register.rs
@@ -94,7 +94,7 @@
 
     /// Returns the databases that the content describes, unless it holds changes of another
     /// register.
-    pub fn with(&self, content: Content, digest: u64) -> Option<BTreeMap<DatabaseId, Database>> {
+    pub fn resolve(&self, content: Content, digest: u64) -> Option<BTreeMap<DatabaseId, Database>> {
         let mut found = match &content {
             Content::All(_) => BTreeMap::new(),
             Content::Changes { .. } => self.databases.clone(),
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -324,7 +324,7 @@
         }
         let content = news.content.map(|content| {
             let state = self.state.borrow();
-            state.register.with(content, news.digest)
+            state.register.resolve(content, news.digest)
         });
         match content {
             Some(Some(found)) => {
--- a/tests/direct_history.rs
+++ b/tests/direct_history.rs
@@ -119,7 +119,7 @@
                 continue;
             }
             let content = here.content_for(there.digest(), false).unwrap();
-            let found = there.with(content, here.digest()).unwrap();
+            let found = there.resolve(content, here.digest()).unwrap();
             there.apply(found, asked);
             if here.databases() != there.databases() {
                 return false;
@@ -160,5 +160,5 @@
     let changes = here.content_for(known, false).unwrap();
     let mut there = Register::default();
     there.apply([database(1, false), database(9, false)].into(), NOW);
-    assert_eq!(there.with(changes, here.digest()), None);
+    assert_eq!(there.resolve(changes, here.digest()), None);
 }
