--- a/src/direct/control/era.rs
+++ b/src/direct/control/era.rs
@@ -19,7 +19,7 @@
     /// Since when it is known.
     since: Option<Time>,
     /// The version of the row that names it, if known.
-    settled: Option<Version>,
+    row_version: Option<Version>,
     /// Whether a row records that no lease of an earlier era can be left.
     quiet: bool,
 }
@@ -49,12 +49,12 @@
     }
 
     /// Returns whether that time is over at `now` and no row records it yet.
-    pub fn is_quiet_unsaid(&self, now: Time) -> bool {
+    pub fn is_quiet_unrecorded(&self, now: Time) -> bool {
         self.strangers_until().is_some_and(|until| until <= now)
     }
 
     /// Records the era of an answer received at `now`; returns whether it is the newest one.
-    pub fn told(&mut self, era: Era, now: Time) -> bool {
+    pub fn record(&mut self, era: Era, now: Time) -> bool {
         if self.newest.is_some_and(|newest| era < newest) {
             return false;
         }
@@ -62,7 +62,7 @@
             *self = Self {
                 newest: Some(era),
                 since: Some(now),
-                settled: None,
+                row_version: None,
                 quiet: false,
             };
         }
@@ -70,15 +70,15 @@
     }
 
     /// Records that another VM has known of an era since `since`.
-    pub fn hear(&mut self, era: Era, since: Time) {
-        if era > Era::default() && self.told(era, since) {
+    pub fn record_known(&mut self, era: Era, since: Time) {
+        if era > Era::default() && self.record(era, since) {
             self.since = self.since.min(Some(since));
         }
     }
 
     /// Records rows that were read in an era; returns the version of the row that names it, if it
     /// is among them.
-    pub fn read(&mut self, rows: &[Row], era: Era) -> Option<Version> {
+    pub fn record_rows(&mut self, rows: &[Row], era: Era) -> Option<Version> {
         if era == Era::default() {
             return Some(Version::NONE);
         }
@@ -86,18 +86,20 @@
             let mut rows = rows.iter().filter(move |row| row.id == id);
             rows.find(|row| named_era(row) == Some(era))
         };
-        let settled = names(era_row())?.version;
-        self.settled = Some(settled);
-        self.quiet |= names(quiet_row()).is_some_and(|row| row.version > settled);
-        self.settled
+        let row_version = names(era_row())?.version;
+        self.row_version = Some(row_version);
+        self.quiet |= names(quiet_row()).is_some_and(|row| row.version > row_version);
+        self.row_version
     }
 
     /// Returns the version of the row that names an era, if it is the newest era and the version is
     /// known.
-    pub fn settled(&self, era: Era) -> Option<Version> {
+    pub fn row_version(&self, era: Era) -> Option<Version> {
         match era == Era::default() {
             true => Some(Version::NONE),
-            false => self.settled.filter(|settled| settled.era == era),
+            false => self
+                .row_version
+                .filter(|row_version| row_version.era == era),
         }
     }
 
@@ -105,12 +107,12 @@
     /// is not known. A change without a condition from any era, by a VM that has read nothing, gets
     /// no such condition.
     pub fn condition(&self, change: &Change) -> Option<Version> {
-        let rests = change.expect.iter().map(|(_, version)| version.era).max();
-        let rests = rests.unwrap_or_default();
-        let era = self.newest().max(rests);
-        if rests > Era::default() && rests < era {
+        let newest_expected = change.expect.iter().map(|(_, version)| version.era).max();
+        let newest_expected = newest_expected.unwrap_or_default();
+        let era = self.newest().max(newest_expected);
+        if newest_expected > Era::default() && newest_expected < era {
             return None;
         }
-        self.settled(era)
+        self.row_version(era)
     }
 }
--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -261,34 +261,34 @@
     pub(super) async fn opening(&self, id: &MemberId) -> Result<Opening, Fault> {
         let asked = (self.adapter.clock)();
         let (rows, version) = self.read_range(TABLE, "", FIRST_ROWS).await?;
-        let settled = self.ensure_era_row(&rows, version).await?;
+        let era_version = self.ensure_era_row(&rows, version).await?;
         if rows.len() < FIRST_ROWS as usize {
-            let reading = self.decode_reading(&rows, settled, asked);
+            let reading = self.decode_reading(&rows, era_version, asked);
             return Ok(Opening::All(Box::new(reading)));
         }
         let own = member_row(id);
         let (rows, _) = self.read_range(TABLE, &own.key, NEAR_ROWS).await?;
-        Ok(Opening::Near(rows::members(&rows, settled)))
+        Ok(Opening::Near(rows::members(&rows, era_version)))
     }
 
     /// Reads one VM's row and its version.
     pub(super) async fn member(&self, id: &MemberId) -> Result<Option<(Member, Version)>, Fault> {
         let own = member_row(id);
         let (rows, version) = self.read_range(TABLE, &own.key, 1).await?;
-        let settled = self
+        let era_version = self
             .eras
             .get()
-            .settled(version.era)
+            .row_version(version.era)
             .ok_or_else(era_row_missing)?;
-        Ok(rows::members(&rows, settled).remove(id))
+        Ok(rows::members(&rows, era_version).remove(id))
     }
 
     /// Reads the control rows.
     pub async fn reading(&self) -> Result<Reading, Fault> {
         let asked = (self.adapter.clock)();
         let (rows, version) = self.read(TABLE).await?;
-        let settled = self.ensure_era_row(&rows, version).await?;
-        Ok(self.decode_reading(&rows, settled, asked))
+        let era_version = self.ensure_era_row(&rows, version).await?;
+        Ok(self.decode_reading(&rows, era_version, asked))
     }
 
     /// Returns the version of the row that names the store's era, if these rows contain it.
@@ -296,9 +296,9 @@
     /// written.
     async fn ensure_era_row(&self, rows: &[Row], version: Version) -> Result<Version, Fault> {
         let mut eras = self.eras.get();
-        if let Some(settled) = eras.read(rows, version.era) {
+        if let Some(era_version) = eras.record_rows(rows, version.era) {
             self.eras.set(eras);
-            return Ok(settled);
+            return Ok(era_version);
         }
         let change = Change {
             expect: vec![(era_row(), table::version_in(rows, &era_row()))],
@@ -328,7 +328,7 @@
     /// start later.
     pub(super) async fn say_quiet(&self) {
         let now = (self.adapter.clock)();
-        if !self.eras.get().is_quiet_unsaid(now) {
+        if !self.eras.get().is_quiet_unrecorded(now) {
             return;
         }
         let Ok((rows, _)) = self.read_range(TABLE, &quiet_row().key, 1).await else {
@@ -346,14 +346,14 @@
     /// Records that another VM has known of this era since `since`.
     pub(super) fn hear_era(&self, era: Era, since: Time) {
         let mut eras = self.eras.get();
-        eras.hear(era, since);
+        eras.record_known(era, since);
         self.update_eras(eras);
     }
 
     /// Returns whether a row was last written before the store's newest known era.
     pub(super) fn is_former(&self, version: Version) -> bool {
-        let settled = self.eras.get().settled(version.era);
-        settled.is_none_or(|settled| version <= settled)
+        let era_version = self.eras.get().row_version(version.era);
+        era_version.is_none_or(|era_version| version <= era_version)
     }
 
     /// Records the era of an answer. An answer of an earlier era is an error, as it does not show
@@ -366,7 +366,7 @@
         };
         let Some(era) = era else { return answer };
         let mut eras = self.eras.get();
-        let is_outdated = !eras.told(era, (self.adapter.clock)());
+        let is_outdated = !eras.record(era, (self.adapter.clock)());
         self.update_eras(eras);
         if is_outdated {
             return Err(Fault::Unknown(
@@ -392,12 +392,12 @@
 
     /// Decodes rows that were requested at `asked` and have just been received. The time they took
     /// also adjusts the timeout of writes.
-    fn decode_reading(&self, rows: &[Row], settled: Version, asked: Time) -> Reading {
+    fn decode_reading(&self, rows: &[Row], era_version: Version, asked: Time) -> Reading {
         let answered = (self.adapter.clock)();
         let mut timeout = self.write_timeout.get();
         timeout.read(answered.since(asked));
         self.write_timeout.set(timeout);
-        Reading::new(rows, settled, asked, answered)
+        Reading::new(rows, era_version, asked, answered)
     }
 
     /// Waits for a change of a table after a version. `None` means that the store no longer has the
@@ -426,13 +426,13 @@
     /// Writes a change. The inner error holds the rows of the condition, if their versions were not
     /// as expected.
     pub async fn write(&self, mut change: Change) -> Result<Result<Version, Vec<Row>>, Fault> {
-        let settled = self
+        let era_version = self
             .eras
             .get()
             .condition(&change)
             .ok_or_else(era_row_missing)?;
-        if !settled.is_none() {
-            change.expect.push((era_row(), settled));
+        if !era_version.is_none() {
+            change.expect.push((era_row(), era_version));
         }
         self.count(|counts| counts.writes += 1);
         let mut timeout = self.write_timeout.get();
@@ -452,12 +452,14 @@
         match answer? {
             // The era's row still had its old version after the restore, as no VM had written it
             // again.
-            Told::Written(version) if version.era > settled.era && !settled.is_none() => Err(
-                Fault::Unknown("it was done in a later era of the store".into()),
-            ),
+            Told::Written(version) if version.era > era_version.era && !era_version.is_none() => {
+                Err(Fault::Unknown(
+                    "it was done in a later era of the store".into(),
+                ))
+            }
             Told::Written(version) => Ok(Ok(version)),
             Told::Conflict(rows) => {
-                if table::version_in(&rows, &era_row()) != settled {
+                if table::version_in(&rows, &era_row()) != era_version {
                     return Err(era_row_missing());
                 }
                 Ok(Err(rows))
--- a/tests/direct_era.rs
+++ b/tests/direct_era.rs
@@ -155,10 +155,10 @@
 #[test]
 fn an_answer_of_an_earlier_era_is_ignored() {
     let mut eras = Eras::default();
-    assert!(eras.told(Era(2), Time(10)));
-    assert!(!eras.told(Era(1), Time(20)));
+    assert!(eras.record(Era(2), Time(10)));
+    assert!(!eras.record(Era(1), Time(20)));
     assert_eq!((eras.newest(), eras.since()), (Era(2), Some(Time(10))));
-    eras.hear(Era(2), Time(5));
+    eras.record_known(Era(2), Time(5));
     assert_eq!(
         eras.since(),
         Some(Time(5)),
@@ -227,9 +227,9 @@
 fn rows_of_an_older_copy_are_not_trusted() {
     let (rows, one, other) = rows();
     let mut eras = Eras::default();
-    eras.told(Era(2), Time(10));
-    let settled = eras.read(&rows, Era(2)).unwrap();
-    let reading = Reading::new(&rows, settled, Time(10), Time(20));
+    eras.record(Era(2), Time(10));
+    let era_version = eras.record_rows(&rows, Era(2)).unwrap();
+    let reading = Reading::new(&rows, era_version, Time(10), Time(20));
     assert!(!reading.is_lease_for(&one, Life(1)));
     assert!(
         reading.is_lease_for(&other, Life(1)),
@@ -247,8 +247,8 @@
 fn no_row_counts_before_the_era_has_its_own() {
     let (rows, ..) = rows();
     let mut eras = Eras::default();
-    eras.told(Era(3), Time(10));
-    assert_eq!(eras.read(&rows, Era(3)), None);
+    eras.record(Era(3), Time(10));
+    assert_eq!(eras.record_rows(&rows, Era(3)), None);
     let change = change(at(4), "mine");
     assert_eq!(eras.condition(&change), None, "it rests on an earlier era");
     assert_eq!(
