--- a/src/direct/control/change.rs
+++ b/src/direct/control/change.rs
@@ -218,7 +218,7 @@
 
     /// Waits until no VM holds a lease that was registered in an earlier era of the store and is in no row of this one.
     async fn wait_for_strangers(&self) {
-        let Some(until) = self.store.strangers_until() else {
+        let Some(until) = self.store.unlisted_until() else {
             return;
         };
         let left = until.since(self.now());
--- a/src/direct/control/era.rs
+++ b/src/direct/control/era.rs
@@ -43,14 +43,14 @@
     /// Returns until when VMs may hold leases that registered in an earlier era and have no row in
     /// this one. `None` if a steward of this era recorded that this time is over, or the store has
     /// no eras.
-    pub fn strangers_until(&self) -> Option<Time> {
+    pub fn unlisted_until(&self) -> Option<Time> {
         let since = self.since().filter(|_| !self.quiet);
         since.map(lapsed_at)
     }
 
     /// Returns whether that time is over at `now` and no row records it yet.
     pub fn is_quiet_unrecorded(&self, now: Time) -> bool {
-        self.strangers_until().is_some_and(|until| until <= now)
+        self.unlisted_until().is_some_and(|until| until <= now)
     }
 
     /// Records the era of an answer received at `now`; returns whether it is the newest one.
--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -320,8 +320,8 @@
 
     /// Returns until when VMs may hold leases that registered in an earlier era and have no row in
     /// this one.
-    pub(super) fn strangers_until(&self) -> Option<Time> {
-        self.eras.get().strangers_until()
+    pub(super) fn unlisted_until(&self) -> Option<Time> {
+        self.eras.get().unlisted_until()
     }
 
     /// Once no lease of an earlier era can be left, writes that to the store, for stewards that
