--- a/src/direct/control/errands.rs
+++ b/src/direct/control/errands.rs
@@ -87,7 +87,7 @@
         if rows.is_ok() && register.is_ok() {
             backoff.reset();
             control.keep_links().await;
-            control.store.say_quiet().await;
+            control.store.record_quiet().await;
             if offered + OFFER_EVERY <= began && control.yield_to_stronger().await {
                 offered = control.now();
             }
--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -326,7 +326,7 @@
 
     /// Once no lease of an earlier era can be left, writes that to the store, for stewards that
     /// start later.
-    pub(super) async fn say_quiet(&self) {
+    pub(super) async fn record_quiet(&self) {
         let now = (self.adapter.clock)();
         if !self.eras.get().is_quiet_unrecorded(now) {
             return;
