--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -89,7 +89,7 @@
             if !self.lacks_config() {
                 break;
             }
-            match self.have_readers() {
+            match self.has_readers() {
                 true => self.fetch_config_from_ancestors().await,
                 false => self.fetch_config_from_peers().await,
             }
@@ -222,7 +222,7 @@
     }
 
     /// Returns whether some VMs read the store for the others.
-    pub(super) fn have_readers(&self) -> bool {
+    pub(super) fn has_readers(&self) -> bool {
         self.setup.shared.look().fellows.list().len() > reader::FEW
     }
 
--- a/src/direct/control/change.rs
+++ b/src/direct/control/change.rs
@@ -320,7 +320,7 @@
     /// when the VMs' rows were seen.
     pub(super) fn learn_written(&self, group: &GroupId, lead: Lead, version: Version) {
         let mut state = self.state.borrow_mut();
-        state.note_written(group, lead.clone(), version);
+        state.record_written(group, lead.clone(), version);
         let Some(reading) = &state.reading else {
             return;
         };
--- a/src/direct/control/indirect.rs
+++ b/src/direct/control/indirect.rs
@@ -116,7 +116,7 @@
     /// over a small link.
     fn is_long(&self, table: &str) -> bool {
         if table != TABLE {
-            return self.have_readers();
+            return self.has_readers();
         }
         let state = self.state.borrow();
         let rows = |reading: &Reading| reading.leads.len() + reading.members.len();
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -27,7 +27,7 @@
         let lease = reading.is_lease_for(&self.id, self.setup.life);
         self.member.set(lease);
         if lease {
-            self.prolong_tenure(reading.asked);
+            self.extend_tenure(reading.asked);
             self.learn_fellows(reading.fellows());
             for (group, (lead, _)) in &reading.leads {
                 self.learn_lead(group, lead.clone(), reading.asked);
@@ -150,14 +150,14 @@
 
     /// Logs each entry that failed to parse, once for each reason: others may write to the register
     /// too, as often as they like.
-    fn note_unread(&self, unread: BTreeMap<RowId, Box<str>>) {
-        let known = &mut self.state.borrow_mut().unread;
-        for (row, reason) in &unread {
+    fn log_unparsed(&self, unparsed: BTreeMap<RowId, Box<str>>) {
+        let known = &mut self.state.borrow_mut().unparsed;
+        for (row, reason) in &unparsed {
             if known.get(row) != Some(reason) {
                 log::warn!(row:%, reason:%; "an entry names no database: the others hold");
             }
         }
-        *known = unread;
+        *known = unparsed;
     }
 
     /// Reads the register from the store.
@@ -166,7 +166,7 @@
         let documents = &self.setup.adapter.documents;
         let (rows, _) = self.read_table(&documents.register).await?;
         let mut found = BTreeMap::new();
-        let mut unread = BTreeMap::new();
+        let mut unparsed = BTreeMap::new();
         for row in &rows {
             let Some(value) = &row.value else { continue };
             match (documents.read_database)(&row.id.key, value) {
@@ -179,11 +179,11 @@
                     found.insert(database.id.clone(), database);
                 }
                 Err(reason) => {
-                    unread.insert(row.id.clone(), reason);
+                    unparsed.insert(row.id.clone(), reason);
                 }
             }
         }
-        self.note_unread(unread);
+        self.log_unparsed(unparsed);
         let up = self.store.health().up;
         let changes = self
             .state
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -54,7 +54,7 @@
     /// The registered databases.
     pub register: Register,
     /// Entries of the register that failed to parse, and why.
-    pub unread: BTreeMap<RowId, Box<str>>,
+    pub unparsed: BTreeMap<RowId, Box<str>>,
     /// Since when the duty's row has had its version.
     pub watch: Watch,
     /// The steward that this VM follows.
@@ -174,8 +174,8 @@
             .as_ref()
             .map_or(Version::NONE, |(_, version)| *version);
         self.watch.note(version, reading.answered);
-        self.note_evicted(&reading);
-        self.note_epochs(&reading);
+        self.record_evicted(&reading);
+        self.record_epochs(&reading);
         if self
             .reading
             .as_ref()
@@ -217,14 +217,14 @@
     }
 
     /// Records the row of a lead that this VM wrote.
-    pub fn note_written(&mut self, group: &GroupId, lead: Lead, version: Version) {
+    pub fn record_written(&mut self, group: &GroupId, lead: Lead, version: Version) {
         if let Some(reading) = &mut self.reading {
             reading.leads.insert(group.clone(), (lead, version));
             self.leads.change(reading, vec![group.clone()]);
         }
     }
 
-    fn note_evicted(&mut self, reading: &Reading) {
+    fn record_evicted(&mut self, reading: &Reading) {
         let marked = |id: &MemberId, version: Version| {
             let member = reading.members.get(id);
             member.is_some_and(|(member, known)| member.evicted && *known == version)
@@ -238,7 +238,7 @@
         }
     }
 
-    fn note_epochs(&mut self, reading: &Reading) {
+    fn record_epochs(&mut self, reading: &Reading) {
         for (group, (lead, _)) in &reading.leads {
             let known = self.epochs.get(group).map(|(epoch, _)| *epoch);
             if known.is_none_or(|known| known < lead.epoch) {
--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -344,7 +344,7 @@
     }
 
     /// Records that another VM has known of this era since `since`.
-    pub(super) fn hear_era(&self, era: Era, since: Time) {
+    pub(super) fn record_era(&self, era: Era, since: Time) {
         let mut eras = self.eras.get();
         eras.record_known(era, since);
         self.update_eras(eras);
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -262,13 +262,13 @@
         if failing {
             self.wake.notify_one();
         }
-        self.hear_of_config(beat.config, beat.address);
+        self.record_config_version(beat.config, beat.address);
     }
 
     /// Applies the update of the VM at `from` to a question sent at `asked`.
     pub(super) fn apply_update(&self, news: News, from: SocketAddr, asked: Time) {
         if let Some((era, age)) = news.era {
-            self.store.hear_era(era, asked - age);
+            self.store.record_era(era, asked - age);
         }
         if let Some(part) = news.config {
             let known = self.setup.shared.look().config.clone();
@@ -281,7 +281,7 @@
                 watch::apply(self, config, "another VM");
             }
         }
-        self.hear_of_config(news.newest, from);
+        self.record_config_version(news.newest, from);
         if let Some(news) = news.register {
             self.apply_register(news, asked);
         }
@@ -301,13 +301,13 @@
         }
         if let Some(leads) = news.leads {
             let read = asked - leads.age;
-            self.prolong_tenure(read);
+            self.extend_tenure(read);
             self.apply_leads(leads, asked);
         }
     }
 
     /// Extends the tenure: a reading requested at `asked` shows this VM as registered.
-    pub(super) fn prolong_tenure(&self, asked: Time) {
+    pub(super) fn extend_tenure(&self, asked: Time) {
         let now = self.now();
         let begins = self.setup.shared.quietly().tenure.read(asked, now);
         if begins {
--- a/src/direct/control/watch.rs
+++ b/src/direct/control/watch.rs
@@ -84,8 +84,8 @@
 
     /// Reads the table of the configuration or of the register, which may be long.
     pub(super) async fn read_table(&self, table: &str) -> Result<(Vec<Row>, Version), Fault> {
-        let (is_large, have_readers) = (self.is_large(), self.have_readers());
-        match (is_large, have_readers) {
+        let (is_large, has_readers) = (self.is_large(), self.has_readers());
+        match (is_large, has_readers) {
             (true, _) => self.store.read_long(table).await,
             (false, true) => self.store.read_here(table).await,
             // Each VM reads for itself, or through another one while the store refuses its calls.
@@ -100,7 +100,7 @@
     }
 
     /// Records that the VM at an address has this configuration version in force.
-    pub(super) fn hear_of_config(&self, version: ConfigVersion, at: SocketAddr) {
+    pub(super) fn record_config_version(&self, version: ConfigVersion, at: SocketAddr) {
         let in_force = self.config_version();
         let mut state = self.state.borrow_mut();
         if version <= state.newest {
