--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Span;
 use crate::direct::control::rows::{self, Member, MemberId};
-use crate::direct::control::store::Opening;
+use crate::direct::control::store::FirstReading;
 use crate::direct::control::{Control, reader};
 use crate::direct::mesh::{Answer, Listed, Question};
 use crate::direct::table::Version;
@@ -77,13 +77,13 @@
     /// The rows still name the VMs from before, which listen at the same addresses, so these are
     /// asked. A VM that has no row asks a seed.
     pub(super) async fn join(self: &Rc<Self>) -> bool {
-        let joined = match self.store.opening(&self.id).await {
-            Ok(Opening::All(reading)) if reading.members.contains_key(&self.id) => {
+        let joined = match self.store.first_reading(&self.id).await {
+            Ok(FirstReading::All(reading)) if reading.members.contains_key(&self.id) => {
                 let members = reading.members.clone();
                 self.learn(*reading);
                 self.join_near(&members).await
             }
-            Ok(Opening::Near(members)) => {
+            Ok(FirstReading::Near(members)) => {
                 self.state.borrow_mut().many_rows = true;
                 match members.contains_key(&self.id) {
                     true => self.join_near(&members).await,
--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -100,7 +100,7 @@
 
 /// What a starting VM has read.
 #[derive(Debug)]
-pub(super) enum Opening {
+pub(super) enum FirstReading {
     /// All rows.
     All(Box<Reading>),
     /// Of a long table, the VMs whose rows follow this VM's key, and its own row if it exists.
@@ -222,11 +222,11 @@
     /// A configuration of some hundred KB takes half a second on a small VM's link. If a late read
     /// were retried through other VMs, each of them would read the table too: in a fleet of 300 all
     /// VMs would ask the same few for 700 KB each, and these would reach their memory limit.
-    pub async fn read_here(&self, table: &str) -> Result<(Vec<Row>, Version), Fault> {
+    pub async fn read_directly(&self, table: &str) -> Result<(Vec<Row>, Version), Fault> {
         self.read_within(table, self.read_timeout()).await
     }
 
-    /// Like [`Store::read_here`], with a timeout for hundreds of VMs that read it at the same
+    /// Like [`Store::read_directly`], with a timeout for hundreds of VMs that read it at the same
     /// moment.
     pub async fn read_long(&self, table: &str) -> Result<(Vec<Row>, Version), Fault> {
         self.read_within(table, LONG_READ_TIMEOUT).await
@@ -258,17 +258,17 @@
     ///
     /// After a loss of power all VMs start at once. Each needs only the version of its own row and
     /// some VMs that may write it, not the whole table.
-    pub(super) async fn opening(&self, id: &MemberId) -> Result<Opening, Fault> {
+    pub(super) async fn first_reading(&self, id: &MemberId) -> Result<FirstReading, Fault> {
         let asked = (self.adapter.clock)();
         let (rows, version) = self.read_range(TABLE, "", FIRST_ROWS).await?;
         let era_version = self.ensure_era_row(&rows, version).await?;
         if rows.len() < FIRST_ROWS as usize {
             let reading = self.decode_reading(&rows, era_version, asked);
-            return Ok(Opening::All(Box::new(reading)));
+            return Ok(FirstReading::All(Box::new(reading)));
         }
         let own = member_row(id);
         let (rows, _) = self.read_range(TABLE, &own.key, NEAR_ROWS).await?;
-        Ok(Opening::Near(rows::members(&rows, era_version)))
+        Ok(FirstReading::Near(rows::members(&rows, era_version)))
     }
 
     /// Reads one VM's row and its version.
--- a/src/direct/control/watch.rs
+++ b/src/direct/control/watch.rs
@@ -87,7 +87,7 @@
         let (is_large, has_readers) = (self.is_large(), self.has_readers());
         match (is_large, has_readers) {
             (true, _) => self.store.read_long(table).await,
-            (false, true) => self.store.read_here(table).await,
+            (false, true) => self.store.read_directly(table).await,
             // Each VM reads for itself, or through another one while the store refuses its calls.
             (false, false) => self.store.read(table).await,
         }
