--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -193,7 +193,7 @@
         while self.now() < until.min(end) {
             let before = self.state.borrow().gathering.length();
             let question = Question::Beat(self.heartbeat_for(true));
-            let answer = self.hear(address, question, ANSWER_TIMEOUT).await;
+            let answer = self.request_update(address, question, ANSWER_TIMEOUT).await;
             if !lacks(self) {
                 let took_ms = self.now().since(began).0 / 1_000;
                 log::info!(from:% = address, took_ms; "a long list was told by another VM");
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -181,7 +181,7 @@
     /// Asks a seed for the version of this VM's row, and then to write the row under that version.
     async fn join_by(&self, seed: SocketAddr) -> bool {
         let question = Question::Beat(self.heartbeat());
-        let answer = self.hear(seed, question, SEED_TIMEOUT).await;
+        let answer = self.request_update(seed, question, SEED_TIMEOUT).await;
         let listed = answer.and_then(|answer| answer.listed);
         match listed {
             Some(listed) => self.enroll_by(seed, listed.version).await,
@@ -198,7 +198,7 @@
             cores: self.setup.cores,
             expect,
         };
-        let answer = self.hear(address, question, ENROLL_TIMEOUT).await;
+        let answer = self.request_update(address, question, ENROLL_TIMEOUT).await;
         let is_member = answer.is_some_and(|answer| answer.member);
         if is_member {
             self.member.set(true);
@@ -246,7 +246,8 @@
 
     async fn ask_some(&self, readers: Vec<SocketAddr>, within: Span, whole: bool) -> Source {
         let calls = readers.into_iter().map(async |reader| {
-            let answer = self.hear(reader, Question::Read(self.heartbeat_for(whole)), within);
+            let answer =
+                self.request_update(reader, Question::Read(self.heartbeat_for(whole)), within);
             (reader, answer.await)
         });
         let answers = join_all(calls).await;
@@ -294,7 +295,7 @@
     }
 
     /// Sends a question that is answered with an update, and applies the update.
-    pub(super) async fn hear(
+    pub(super) async fn request_update(
         &self,
         address: SocketAddr,
         question: Question,
