--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -223,7 +223,7 @@
 
     /// Returns whether some VMs read the store for the others.
     pub(super) fn has_readers(&self) -> bool {
-        self.setup.shared.look().fellows.list().len() > reader::FEW
+        self.setup.shared.look().fellows.list().len() > reader::MAX_ALL_READ
     }
 
     fn lacks_config(&self) -> bool {
--- a/src/direct/control/reader.rs
+++ b/src/direct/control/reader.rs
@@ -20,10 +20,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How many VMs of each failure domain read the store.
-pub const EACH: usize = 2;
+pub const READERS_PER_DOMAIN: usize = 2;
 
 /// With this many VMs or fewer, each reads the store for itself.
-pub const FEW: usize = 16;
+pub const MAX_ALL_READ: usize = 16;
 
 /// How many VMs fetch long lists from the same VM.
 pub const CHILDREN: usize = 4;
@@ -32,7 +32,7 @@
 /// the list reads, as it has no reliable list.
 pub fn reads(fellows: &[Fellow], own: SocketAddr) -> bool {
     let known = fellows.iter().any(|fellow| fellow.address == own);
-    fellows.len() <= FEW || !known || readers_of_domain(fellows, own).contains(&own)
+    fellows.len() <= MAX_ALL_READ || !known || readers_of_domain(fellows, own).contains(&own)
 }
 
 /// Returns the VMs of its domain that `own` asks for what it does not read itself.
@@ -50,14 +50,14 @@
 /// [`CHILDREN`] children, so the load of one VM does not grow with the fleet, and the depth grows
 /// with its logarithm.
 pub fn ancestors(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
-    if fellows.len() <= FEW {
+    if fellows.len() <= MAX_ALL_READ {
         return Vec::new();
     }
     let ranked = ranked(in_same_domain(fellows, own));
     let mut rank = ranked.iter().position(|address| *address == own);
     let mut ancestors = Vec::new();
     // The first ranks are the roots; the children of each rank are numbered after them.
-    while let Some(child) = rank.and_then(|rank| rank.checked_sub(EACH)) {
+    while let Some(child) = rank.and_then(|rank| rank.checked_sub(READERS_PER_DOMAIN)) {
         let parent = child / CHILDREN;
         ancestors.push(ranked[parent]);
         rank = Some(parent);
@@ -75,7 +75,7 @@
 
 /// Returns the readers of all failure domains, or all VMs if they are few.
 pub fn all(fellows: &[Fellow]) -> BTreeSet<SocketAddr> {
-    if fellows.len() <= FEW {
+    if fellows.len() <= MAX_ALL_READ {
         return fellows.iter().map(|fellow| fellow.address).collect();
     }
     let mut domains = BTreeMap::<&Domain, Vec<&Fellow>>::new();
@@ -100,7 +100,7 @@
 /// the first ones by a hash, so that they are not also the first VMs in other lists.
 fn select_readers(fellows: Vec<&Fellow>) -> Vec<SocketAddr> {
     let mut ranked = ranked(fellows);
-    ranked.truncate(EACH);
+    ranked.truncate(READERS_PER_DOMAIN);
     ranked
 }
 
--- a/tests/direct_bulk.rs
+++ b/tests/direct_bulk.rs
@@ -19,7 +19,7 @@
 
 /// How many VMs may read long lists from the store: two in each of three failure domains, the
 /// seeds, and at a first start those that know too few others to ask.
-const READERS: usize = 9 + reader::FEW;
+const READERS: usize = 9 + reader::MAX_ALL_READ;
 
 fn fleet() -> Setup {
     Setup {
