--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -124,7 +124,7 @@
     /// Has one of the VMs that read for this one write its row, or writes it itself if they are
     /// late.
     async fn join_near(self: &Rc<Self>, members: &BTreeMap<MemberId, (Member, Version)>) -> bool {
-        let mut fellows = rows::fellows(members);
+        let mut fellows = rows::peers(members);
         let own = self.setup.address;
         fellows.retain(|fellow| fellow.address != own);
         fellows.push(Fellow {
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -28,7 +28,7 @@
         self.member.set(lease);
         if lease {
             self.extend_tenure(reading.asked);
-            self.learn_fellows(reading.fellows());
+            self.learn_peers(reading.peers());
             for (group, (lead, _)) in &reading.leads {
                 self.learn_lead(group, lead.clone(), reading.asked);
             }
@@ -38,7 +38,7 @@
     }
 
     /// Applies the list of registered VMs.
-    pub(super) fn learn_fellows(&self, fellows: Vec<Fellow>) {
+    pub(super) fn learn_peers(&self, fellows: Vec<Fellow>) {
         let now = self.now();
         self.setup.shared.quietly().fellows.learn(fellows, now);
     }
--- a/src/direct/control/rows.rs
+++ b/src/direct/control/rows.rs
@@ -176,8 +176,8 @@
     }
 
     /// Returns the VMs, one for each row.
-    pub fn fellows(&self) -> Vec<Fellow> {
-        fellows(&self.members)
+    pub fn peers(&self) -> Vec<Fellow> {
+        peers(&self.members)
     }
 
     /// Returns whether this reading is a lease for a life of a VM.
@@ -211,7 +211,7 @@
 }
 
 /// Converts VMs to the form that is shared with sessions and other VMs.
-pub fn fellows(members: &BTreeMap<MemberId, (Member, Version)>) -> Vec<Fellow> {
+pub fn peers(members: &BTreeMap<MemberId, (Member, Version)>) -> Vec<Fellow> {
     let peer = |(member, _): &(Member, Version)| Fellow {
         address: member.address,
         relay: member.relay,
