--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -167,9 +167,9 @@
                     version,
                     number: 0,
                     since: now,
-                    handing: false,
-                    ordering: 0,
-                    valid: now,
+                    handing_over: false,
+                    running_orders: 0,
+                    orders_from: now,
                 });
                 true
             }
@@ -403,13 +403,13 @@
         let token = self.state.borrow().held.as_ref().map(|held| held.token);
         let Some(token) = token else { return true };
         if let Some(held) = self.state.borrow_mut().held(token) {
-            held.handing = true;
+            held.handing_over = true;
         }
         while self
             .state
             .borrow_mut()
             .held(token)
-            .is_some_and(|held| held.ordering > 0)
+            .is_some_and(|held| held.running_orders > 0)
         {
             tokio::time::sleep(ORDER_ENDS).await;
         }
@@ -433,8 +433,8 @@
         }
         let now = self.now();
         if let Some(held) = self.state.borrow_mut().held(token) {
-            held.handing = false;
-            held.valid = now;
+            held.handing_over = false;
+            held.orders_from = now;
         }
         log::warn!(token, reason; "no VM takes the duty over");
         false
--- a/src/direct/control/order.rs
+++ b/src/direct/control/order.rs
@@ -165,10 +165,10 @@
         {
             let mut state = self.state.borrow_mut();
             let held = state.held(work.token)?;
-            if held.handing || asked < held.valid {
+            if held.handing_over || asked < held.orders_from {
                 return None;
             }
-            held.ordering += 1;
+            held.running_orders += 1;
         }
         let order = Promotion {
             group: work.group.clone(),
@@ -179,7 +179,7 @@
         };
         let promoted = (self.setup.adapter.promote)(order).await;
         if let Some(held) = self.state.borrow_mut().held(work.token) {
-            held.ordering -= 1;
+            held.running_orders -= 1;
         }
         Some(promoted)
     }
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -71,9 +71,9 @@
                     version: *version,
                     number: duty.number,
                     since: now,
-                    handing: false,
-                    ordering: 0,
-                    valid: now,
+                    handing_over: false,
+                    running_orders: 0,
+                    orders_from: now,
                 }),
             }
             return;
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -124,12 +124,12 @@
     /// Since when it is held.
     pub since: Time,
     /// Whether it is being handed over: no order is sent then.
-    pub handing: bool,
+    pub handing_over: bool,
     /// The number of orders in progress.
-    pub ordering: u32,
+    pub running_orders: u32,
     /// Only a renewal requested at or after this time allows an order: a VM that was offered the
     /// duty may have taken it although its answer was late.
-    pub valid: Time,
+    pub orders_from: Time,
 }
 
 /// The last heartbeat that the steward received from a VM.
