--- a/src/direct/control/errands.rs
+++ b/src/direct/control/errands.rs
@@ -178,7 +178,7 @@
     fn changes_under_way(&self) -> usize {
         let state = self.state.borrow();
         let groups = state
-            .busy
+            .running
             .iter()
             .filter(|topic| matches!(topic, Topic::Group(_)));
         groups.count()
@@ -190,7 +190,7 @@
         let mut new = Vec::new();
         for errand in errands {
             if let Errand::Create(group, primary) = errand
-                && self.state.borrow_mut().busy.insert(errand.topic())
+                && self.state.borrow_mut().running.insert(errand.topic())
             {
                 new.push((group.clone(), primary.clone()));
             }
@@ -206,7 +206,7 @@
             control.nudge_all();
             let mut state = control.state.borrow_mut();
             for (group, _) in new {
-                state.busy.remove(&Topic::Group(group));
+                state.running.remove(&Topic::Group(group));
             }
             drop(state);
             control.wake.notify_one();
@@ -222,13 +222,13 @@
             // The next survey finds it again, as each change that ends wakes this VM.
             return;
         }
-        if !self.state.borrow_mut().busy.insert(topic.clone()) {
+        if !self.state.borrow_mut().running.insert(topic.clone()) {
             return;
         }
         let control = self.clone();
         actix_rt::spawn(async move {
             control.run(errand, token).await;
-            control.state.borrow_mut().busy.remove(&topic);
+            control.state.borrow_mut().running.remove(&topic);
             control.wake.notify_one();
         });
     }
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -75,7 +75,7 @@
     /// The newest epoch seen of each group, and when this VM first saw it.
     pub epochs: BTreeMap<GroupId, (u64, Time)>,
     /// The subjects of the steward's running tasks.
-    pub busy: BTreeSet<Topic>,
+    pub running: BTreeSet<Topic>,
     /// Whether the control path has stopped.
     pub stopped: bool,
 }
