--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -225,7 +225,7 @@
     pub(super) fn nudge_all(self: &Rc<Self>) {
         let now = self.now();
         let vms = self.setup.shared.look().fellows.list().len();
-        let Some(at) = self.state.borrow_mut().nudge.ask(now, vms) else {
+        let Some(at) = self.state.borrow_mut().pings.ask(now, vms) else {
             return;
         };
         if at <= now {
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -62,7 +62,7 @@
     /// The duty, while this VM holds it.
     pub held: Option<Held>,
     /// Limits how often all VMs are asked for a heartbeat.
-    pub nudge: Nudge,
+    pub pings: Nudge,
     /// When the VMs with a recent heartbeat were last counted, and whether they were more than
     /// half.
     pub majority: (Time, bool),
