--- a/src/direct/control/change.rs
+++ b/src/direct/control/change.rs
@@ -84,7 +84,7 @@
         let lead = state.reading.as_ref().and_then(|r| r.leads.get(group));
         let Some((lead, _)) = lead else { return };
         let now = self.now();
-        let witnesses = state.heard.values().map(|heard| evidence::Witness {
+        let witnesses = state.heartbeats.values().map(|heard| evidence::Witness {
             heard: heard.at,
             report: heard
                 .reports
@@ -218,7 +218,7 @@
 
     /// Waits until no VM holds a lease that was registered in an earlier era of the store and is in no row of this one.
     async fn wait_for_strangers(&self) {
-        let Some(until) = self.store.strangers_until() else {
+        let Some(until) = self.store.unlisted_until() else {
             return;
         };
         let left = until.since(self.now());
@@ -320,7 +320,7 @@
     /// when the VMs' rows were seen.
     pub(super) fn learn_written(&self, group: &GroupId, lead: Lead, version: Version) {
         let mut state = self.state.borrow_mut();
-        state.note_written(group, lead.clone(), version);
+        state.record_written(group, lead.clone(), version);
         let Some(reading) = &state.reading else {
             return;
         };
--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -3,7 +3,7 @@
 use crate::clock::{Span, Time};
 use crate::direct::control::backoff::Backoff;
 use crate::direct::control::rows::{Duty, MemberId, Reading, duty_row, encode};
-use crate::direct::control::state::{Beaten, Held, State};
+use crate::direct::control::state::{Held, LastHeartbeat, State};
 use crate::direct::control::takeover::ORDERS_END;
 use crate::direct::control::{Control, errands, reader, resume};
 use crate::direct::mesh::{Answer, Question};
@@ -94,7 +94,7 @@
         let rank = others
             .filter(|(id, (m, _))| place(id, m.cores, &m.address) < own)
             .count();
-        let hearing = state.post.as_ref().map(|post| &post.hearing);
+        let hearing = state.followed.as_ref().map(|followed| &followed.hearing);
         let at = state.watch.takes_at(hearing, rank, now)?;
         let is_first = state.watch.version().is_none();
         Some(if is_first { at + self.modesty() } else { at })
@@ -118,8 +118,8 @@
     pub(super) async fn take_if_alone(self: &Rc<Self>) {
         let ended = {
             let state = self.state.borrow();
-            let post = state.post.as_ref();
-            post.is_none_or(|post| post.hearing.ended.is_some())
+            let followed = state.followed.as_ref();
+            followed.is_none_or(|followed| followed.hearing.ended.is_some())
         };
         if !ended {
             let (answered, hear) = self.ask_peers().await;
@@ -143,7 +143,7 @@
             let reading = state.reading.as_ref();
             let read = reading.and_then(Reading::last_duty);
             let read = read.map_or(0, |(duty, _)| duty.token);
-            let told = state.post.as_ref().map_or(0, |post| post.token);
+            let told = state.followed.as_ref().map_or(0, |followed| followed.token);
             let floor = resume::floor(reading.map_or(Era::default(), |r| r.era));
             // No row of the duty counts: the one of an earlier era is replaced.
             let version = match state.watch.version() {
@@ -167,15 +167,15 @@
                     version,
                     number: 0,
                     since: now,
-                    handing: false,
-                    ordering: 0,
-                    valid: now,
+                    handing_over: false,
+                    running_orders: 0,
+                    orders_from: now,
                 });
                 true
             }
             // If an answer was lost, the next reading shows who holds the duty.
             Ok(Err(_)) | Err(_) => {
-                self.state.borrow_mut().looked = None;
+                self.state.borrow_mut().refreshed = None;
                 false
             }
         }
@@ -195,15 +195,15 @@
             return;
         }
         let silent = state
-            .post
+            .followed
             .as_ref()
-            .map(|post| held.since.since(post.hearing.since).0 / 1_000);
+            .map(|followed| held.since.since(followed.hearing.since).0 / 1_000);
         log::warn!(vm:% = self.id, token, version:% = held.version, silent_ms:? = silent; "this VM is the steward");
-        state.heard.clear();
+        state.heartbeats.clear();
         let before = silent_before(&state);
-        state.heard.extend(before);
+        state.heartbeats.extend(before);
         state.held = Some(held);
-        state.post = None;
+        state.followed = None;
         state.tried.clear();
         drop(state);
         errands::start(self, token);
@@ -225,7 +225,7 @@
     pub(super) fn nudge_all(self: &Rc<Self>) {
         let now = self.now();
         let vms = self.setup.shared.look().fellows.list().len();
-        let Some(at) = self.state.borrow_mut().nudge.ask(now, vms) else {
+        let Some(at) = self.state.borrow_mut().pings.ask(now, vms) else {
             return;
         };
         if at <= now {
@@ -375,7 +375,7 @@
             let members = state.reading.iter().flat_map(|reading| &reading.members);
             let heard = members.filter(|(id, (member, _))| {
                 let heard = state
-                    .heard
+                    .heartbeats
                     .get(*id)
                     .filter(|heard| heard.life == member.life);
                 !member.evicted && heard.is_some_and(|heard| now < heard.at + HEARD)
@@ -403,13 +403,13 @@
         let token = self.state.borrow().held.as_ref().map(|held| held.token);
         let Some(token) = token else { return true };
         if let Some(held) = self.state.borrow_mut().held(token) {
-            held.handing = true;
+            held.handing_over = true;
         }
         while self
             .state
             .borrow_mut()
             .held(token)
-            .is_some_and(|held| held.ordering > 0)
+            .is_some_and(|held| held.running_orders > 0)
         {
             tokio::time::sleep(ORDER_ENDS).await;
         }
@@ -433,8 +433,8 @@
         }
         let now = self.now();
         if let Some(held) = self.state.borrow_mut().held(token) {
-            held.handing = false;
-            held.valid = now;
+            held.handing_over = false;
+            held.orders_from = now;
         }
         log::warn!(token, reason; "no VM takes the duty over");
         false
@@ -474,13 +474,13 @@
 }
 
 /// The steward before counts as silent since it was last heard here, not only since now.
-fn silent_before(state: &State) -> Option<(MemberId, Beaten)> {
-    let post = state.post.as_ref()?;
+fn silent_before(state: &State) -> Option<(MemberId, LastHeartbeat)> {
+    let followed = state.followed.as_ref()?;
     let mut members = state.reading.as_ref()?.members.iter();
-    let (id, (member, _)) = members.find(|(_, (m, _))| m.address == post.address)?;
-    let beaten = Beaten {
+    let (id, (member, _)) = members.find(|(_, (m, _))| m.address == followed.address)?;
+    let beaten = LastHeartbeat {
         life: member.life,
-        at: post.hearing.since,
+        at: followed.hearing.since,
         reports: BTreeMap::new(),
     };
     Some((id.clone(), beaten))
--- a/src/direct/control/errands.rs
+++ b/src/direct/control/errands.rs
@@ -7,7 +7,7 @@
 use crate::direct::control::probe;
 use crate::direct::control::promotion::Word;
 use crate::direct::control::rows::{MemberId, duty_row, encode, lead_row, member_row};
-use crate::direct::control::state::{Beaten, Topic};
+use crate::direct::control::state::{LastHeartbeat, Topic};
 use crate::direct::control::steward::{Errand, Scene, Told, survey};
 use crate::direct::control::{Control, resume};
 use crate::direct::lead::Lead;
@@ -87,7 +87,7 @@
         if rows.is_ok() && register.is_ok() {
             backoff.reset();
             control.keep_links().await;
-            control.store.say_quiet().await;
+            control.store.record_quiet().await;
             if offered + OFFER_EVERY <= began && control.yield_to_stronger().await {
                 offered = control.now();
             }
@@ -135,7 +135,7 @@
             return (Vec::new(), None);
         };
         let config = self.setup.shared.look().config.clone();
-        let told = state.heard.iter().map(|(id, heard)| {
+        let told = state.heartbeats.iter().map(|(id, heard)| {
             let told = Told {
                 life: heard.life,
                 at: heard.at,
@@ -164,18 +164,21 @@
     /// What this VM itself saw counts like what the others told.
     fn note_own(&self, now: Time) {
         let reports = self.setup.shared.look().reports.all(now);
-        let own = Beaten {
+        let own = LastHeartbeat {
             life: self.setup.life,
             at: now,
             reports: reports.into_iter().collect(),
         };
-        self.state.borrow_mut().heard.insert(self.id.clone(), own);
+        self.state
+            .borrow_mut()
+            .heartbeats
+            .insert(self.id.clone(), own);
     }
 
     fn changes_under_way(&self) -> usize {
         let state = self.state.borrow();
         let groups = state
-            .busy
+            .running
             .iter()
             .filter(|topic| matches!(topic, Topic::Group(_)));
         groups.count()
@@ -187,7 +190,7 @@
         let mut new = Vec::new();
         for errand in errands {
             if let Errand::Create(group, primary) = errand
-                && self.state.borrow_mut().busy.insert(errand.topic())
+                && self.state.borrow_mut().running.insert(errand.topic())
             {
                 new.push((group.clone(), primary.clone()));
             }
@@ -203,7 +206,7 @@
             control.nudge_all();
             let mut state = control.state.borrow_mut();
             for (group, _) in new {
-                state.busy.remove(&Topic::Group(group));
+                state.running.remove(&Topic::Group(group));
             }
             drop(state);
             control.wake.notify_one();
@@ -219,13 +222,13 @@
             // The next survey finds it again, as each change that ends wakes this VM.
             return;
         }
-        if !self.state.borrow_mut().busy.insert(topic.clone()) {
+        if !self.state.borrow_mut().running.insert(topic.clone()) {
             return;
         }
         let control = self.clone();
         actix_rt::spawn(async move {
             control.run(errand, token).await;
-            control.state.borrow_mut().busy.remove(&topic);
+            control.state.borrow_mut().running.remove(&topic);
             control.wake.notify_one();
         });
     }
@@ -421,7 +424,7 @@
             }
             Some(_) => {
                 // It lives, and beats at once.
-                if let Some(heard) = self.state.borrow_mut().heard.get_mut(id) {
+                if let Some(heard) = self.state.borrow_mut().heartbeats.get_mut(id) {
                     heard.at = self.now();
                 }
                 tokio::time::sleep(Duration::from(CALL)).await;
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -2,7 +2,7 @@
 //! who replaces a primary that is lost.
 //!
 //! A VM that starts has its row written with those of others (`enroll`); of many VMs a few read the
-//! store for all ([`reader`]), and pass on what is long (`bulk`). Every VM beats to the steward (`heartbeat`, `news`), follows the configuration (`watch`), and
+//! store for all ([`reader`]), and pass on what is long (`bulk`). Every VM beats to the steward (`heartbeat`, [`update`]), follows the configuration (`watch`), and
 //! reads the store itself while it hears no steward (`own`); meanwhile its leases go on by the word
 //! of others (`vouch`). One VM at a time is the steward: it
 //! takes and renews the duty in the store (`duty`, [`takeover`]), reads for the others and looks
@@ -12,16 +12,15 @@
 pub mod backoff;
 mod bulk;
 mod change;
-pub mod detour;
 mod duty;
 mod enroll;
 pub mod era;
 mod errands;
 pub mod evidence;
 mod heartbeat;
+pub mod indirect;
 mod join;
 pub mod lateness;
-pub mod news;
 pub mod nudge;
 mod order;
 mod own;
@@ -35,6 +34,7 @@
 pub mod steward;
 pub mod store;
 pub mod takeover;
+pub mod update;
 mod vouch;
 mod watch;
 
@@ -172,7 +172,7 @@
             lateness: lateness::Lateness::default(),
             setup,
         });
-        control.store.set_detour(detour::by_others(&control));
+        control.store.set_forwarder(indirect::forwarder(&control));
         actix_rt::spawn(watch::run(control.clone()));
         actix_rt::spawn(bulk::run(control.clone()));
         actix_rt::spawn(heartbeat::run(control.clone()));
@@ -185,10 +185,10 @@
         let control = self.clone();
         Box::pin(async move {
             match question {
-                Question::Beat(beat) => Answer::News(Box::new(control.answer_beat(beat))),
+                Question::Beat(beat) => Answer::News(Box::new(control.answer_heartbeat(beat))),
                 Question::Read(beat) => {
                     control.read_for_others().await;
-                    Answer::News(Box::new(control.answer_beat(beat)))
+                    Answer::News(Box::new(control.answer_heartbeat(beat)))
                 }
                 Question::Enroll {
                     beat,
@@ -209,7 +209,7 @@
                     let applicant = Applicant { id, member, expect };
                     // What became of it is told by the reading that follows.
                     let _ = control.enroll(applicant).await;
-                    Answer::News(Box::new(control.answer_beat(beat)))
+                    Answer::News(Box::new(control.answer_heartbeat(beat)))
                 }
                 Question::Drop {
                     group,
@@ -289,12 +289,14 @@
     pub fn knowledge(&self) -> Knowledge {
         let state = self.state.borrow();
         let now = self.now();
-        let post = state.post.as_ref();
+        let followed = state.followed.as_ref();
         let held = state.held.as_ref().map(|held| held.token);
         Knowledge {
             steward: held.is_some(),
-            token: held.max(post.map(|post| post.token)).unwrap_or_default(),
-            heard: post.map(|post| now.since(post.hearing.since)),
+            token: held
+                .max(followed.map(|followed| followed.token))
+                .unwrap_or_default(),
+            heard: followed.map(|followed| now.since(followed.hearing.since)),
             members: self.setup.shared.look().fellows.list().len(),
             register_age: state.register.asked().map(|asked| now.since(asked)),
             config: state.newest.max(self.config_version()),
