--- a/tests/direct_failures.rs
+++ b/tests/direct_failures.rs
@@ -1,4 +1,4 @@
-//! Failures of databases, each played in a world of stand-ins.
+//! Failures of databases, each in a simulated deployment.
 
 mod scene;
 
@@ -12,15 +12,15 @@
 
 /// Nothing fails, and every statement is done.
 #[test]
-fn quiet_day() {
+fn no_failures() {
     play(Setup::default(), |scene| async move {
         let told = scene.passes().await.told;
         assert_eq!(told.promised + told.failed + told.untold, 0, "{told:?}");
     });
 }
 
-/// Writes stop for as long as the promotion takes (1 s) and little more, because a connection that
-/// is refused tells each VM at once that the primary is gone, and each drops it when it is asked.
+/// Writes stop for as long as the promotion takes (1 s) and little more, because a refused
+/// connection shows each VM at once that the primary is gone, and each releases it when asked.
 #[test]
 fn primary_crashes() {
     play(Setup::default(), |scene| async move {
@@ -31,9 +31,9 @@
     });
 }
 
-/// The primary says nothing any more, to anybody. Statements on it end without an answer; it is
-/// replaced once several VMs have waited in vain, and stays out of use when it is back and still
-/// takes itself for the primary.
+/// The primary does not answer any VM. Statements on it end without an answer; it is replaced once
+/// several VMs have waited in vain, and stays out of use when it is back and still reports that it
+/// is primary.
 #[test]
 fn primary_goes_dark_and_returns() {
     play(Setup::default(), |scene| async move {
@@ -45,8 +45,8 @@
     });
 }
 
-/// The primary says that it will end. It is replaced before, once the transactions on it are over;
-/// no caller hears more of it than that one statement has to be repeated.
+/// The primary announces that it will end. It is replaced before, once the transactions on it are
+/// over; the only effect on callers is that a statement may have to be repeated.
 #[test]
 fn primary_leaves() {
     play(Setup::default(), |scene| async move {
@@ -59,10 +59,10 @@
     });
 }
 
-/// A replica receives nothing for a while, and the primary crashes. The other one is promoted,
-/// and no acknowledged write is lost, because the furthest is chosen of those that answer.
+/// A replica receives nothing for a while, and the primary crashes. The other replica is promoted,
+/// and no acknowledged write is lost, because the one that is furthest in the log is chosen.
 #[test]
-fn deaf_replica_does_not_win() {
+fn replica_that_receives_nothing_is_not_promoted() {
     play(Setup::default(), |scene| async move {
         scene.until(4_000).await;
         Fault::Deaf(db("db0b")).begin(&scene.world);
@@ -87,8 +87,8 @@
     });
 }
 
-/// The primary is cut from its replicas and from two of three VMs; the third still reaches it,
-/// and must not have a write acknowledged there once another leads.
+/// The primary is cut from its replicas and from two of three VMs. The third still reaches it, and
+/// must not have a write acknowledged there once another database leads.
 #[test]
 fn primary_cut_with_one_vm_beside_it() {
     play(Setup::default(), |scene| async move {
@@ -108,9 +108,9 @@
     });
 }
 
-/// Two primaries are lost within a second, the second one while it is promoted; the first is back
-/// by then and takes itself for the primary still. (Schedule 239: a write was acknowledged on it
-/// in its old term.)
+/// Two primaries are lost within a second, the second one while it is promoted. The first is back
+/// by then and still reports that it is primary. Guards against a write acknowledged on it in its
+/// old term (seen in schedule 239).
 #[test]
 fn replaced_primary_is_promoted_again() {
     play(Setup::default(), |scene| async move {
@@ -120,8 +120,8 @@
     });
 }
 
-/// A database runs statements and its answers are lost. Reads are done all the same, as they are
-/// sent again; a write is not, and its caller is told that it may have run.
+/// A database runs statements and its answers are lost. Reads are sent again and done; writes are
+/// not, and their callers are informed that they may have run.
 #[test]
 fn answers_are_lost() {
     play(Setup::default(), |scene| async move {
@@ -143,8 +143,8 @@
     });
 }
 
-/// Open connections go silent for good while new ones work. Statements on them end in time, and
-/// callers are served by new ones.
+/// Open connections stop answering for good, while new ones work. Statements on them end in time,
+/// and callers are served by new ones.
 #[test]
 fn connections_go_silent() {
     play(Setup::default(), |scene| async move {
@@ -156,8 +156,8 @@
     });
 }
 
-/// Databases take few connections and work slowly. What does not fit is told not to have run;
-/// nothing is in doubt.
+/// Databases accept few connections and work slowly. Statements beyond their capacity are refused
+/// as not run; no outcome is unknown.
 #[test]
 fn too_much_to_do() {
     let setup = Setup {
@@ -175,8 +175,8 @@
     });
 }
 
-/// A replica applies what it receives 5 s later. Reads that may be old still see what they have
-/// to, and are done elsewhere.
+/// A replica applies what it receives 5 s later. Reads that may be old still see the writes that
+/// they have to see, or are done elsewhere.
 #[test]
 fn replica_is_far_behind() {
     play(Setup::default(), |scene| async move {
--- a/tests/direct_takeover.rs
+++ b/tests/direct_takeover.rs
@@ -1,4 +1,4 @@
-//! Replacements of a primary that meet each other, each played in a world of stand-ins.
+//! Overlapping replacements of a primary, each in a simulated deployment.
 
 mod scene;
 
@@ -8,8 +8,8 @@
 use scene::{db, play, vm};
 use std::time::Duration;
 
-/// Milliseconds after a primary fell silent, around the order that another one leads, and for as
-/// long as that takes to come true.
+/// Milliseconds after a primary stopped answering, around the order to promote another one and the
+/// time that the promotion takes.
 const STEPS: [u64; 7] = [500, 650, 800, 1_000, 1_200, 1_500, 1_800];
 
 fn setup() -> Setup {
@@ -19,10 +19,10 @@
     }
 }
 
-/// A primary falls silent, the steward orders that another leads, and dies; while that order comes
-/// true, the old primary is reached again and takes itself for the primary still. Whoever goes on
-/// must not name the old one: the platform would say that nothing has to be done, and a moment
-/// later the other one leads. (Seen on a day with a split cut.)
+/// A primary stops answering, and the steward orders a promotion and dies. While the promotion is
+/// in progress, the old primary is reachable again and still reports that it is primary. The next
+/// steward must not name the old one: the platform would report that nothing has to be done, and a
+/// moment later the other one leads. (Seen in a run with a split cut.)
 #[test]
 fn old_primary_returns_while_another_is_promoted() {
     for step in STEPS {
@@ -41,18 +41,19 @@
     }
 }
 
-/// A primary falls silent, another database is ordered to lead, and is not reached until that has come
-/// true, while the old one is reached again and takes itself for the primary still. Were the other
-/// one named before it says that it leads, it would be lost in its turn, and the old one named: the
-/// platform would say that nothing has to be done, and a moment later the other one leads.
+/// A primary stops answering, another database is ordered to lead and is unreachable until its
+/// promotion is complete; meanwhile the old one is reachable again and still reports that it is
+/// primary. If the other one were named before it reports that it leads, it would be replaced in
+/// its turn, and the old one named: the platform would report that nothing has to be done, and a
+/// moment later the other one leads.
 #[test]
 fn old_primary_returns_while_its_successor_is_unreached() {
     successor_is_unreached(Duration::from_millis(2_600));
 }
 
-/// The same, and the successor is not reached for longer than the steward waits for it. The old
-/// primary is ordered in its turn: its word that it leads is still that of its old term, as another
-/// one was ordered before, and leads until that order has come true.
+/// The same, but the successor is unreachable for longer than the steward waits for it, and the old
+/// primary is ordered to lead. Its report that it is primary is still of its old term, because
+/// another one was ordered before and leads once that promotion is complete.
 #[test]
 fn old_primary_is_ordered_after_its_successor() {
     successor_is_unreached(Duration::from_millis(4_000));
@@ -84,9 +85,9 @@
 }
 
 /// Two VMs and the primary are on one side of a cut, two VMs, the replicas and the store on the
-/// other. The side without the store goes on until its leases end, and what it was told is true;
+/// other. The side without the store continues until its leases end, and its answers are true;
 /// after that only the other side acknowledges, by another primary within 13 s: the steward is
-/// replaced, the leases are waited out, the promotion takes a second. Once the cut heals all agree.
+/// replaced, the leases expire, the promotion takes a second. Once the cut heals all VMs agree.
 #[test]
 fn primary_and_half_the_vms_are_split_off() {
     play(setup(), |scene| async move {
