--- a/src/direct/control/change.rs
+++ b/src/direct/control/change.rs
@@ -1,4 +1,4 @@
-//! Replaces a group's primary, step by step. docs/PLATFORM.md gives the reasons for the order.
+//! Replaces a group's primary, step by step. docs/PLATFORM.md explains the order of the steps.
 
 use crate::clock::{Span, Time};
 use crate::direct::config::Database;
@@ -6,8 +6,8 @@
 use crate::direct::control::backoff::Backoff;
 use crate::direct::control::duty::{Extra, Renewed};
 use crate::direct::control::evidence;
-use crate::direct::control::order::Chosen;
-use crate::direct::control::promotion::{Drops, Word};
+use crate::direct::control::order::Successor;
+use crate::direct::control::promotion::{Drops, Reply};
 use crate::direct::control::rows::{Member, MemberId, encode, lead_row};
 use crate::direct::control::steward::Cause;
 use crate::direct::lead::{Epoch, Lead};
@@ -20,42 +20,42 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long work on a primary that still runs may take to end.
-const PATIENCE: Span = Span::from_secs(1);
+/// How long work on a primary that still runs may take to end in a planned replacement.
+const WORK_TIMEOUT: Span = Span::from_secs(1);
 
-/// How long a VM may take to answer beyond that.
-const CALL: Span = Span::from_millis(400);
+/// How long a VM may take to answer, in addition to the time given to its work.
+const ANSWER_MARGIN: Span = Span::from_millis(400);
 
-/// The pause before a VM or a database is asked again.
-pub(super) const AGAIN: Duration = Duration::from_millis(30);
+/// The delay before a VM or a database is asked again.
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// Changes of a primary that still runs are this far apart at least.
-const DAMPING: Span = Span::from_secs(10);
+/// The minimum interval between replacements of a primary that still runs.
+const MIN_CHANGE_INTERVAL: Span = Span::from_secs(10);
 
-/// A replacement under way.
+/// A replacement in progress.
 #[derive(Debug, Clone)]
-pub(super) struct Work {
+pub(super) struct Replacement {
     pub token: u64,
     pub group: GroupId,
     pub epoch: Epoch,
     pub old: DatabaseId,
-    /// When the old primary had started.
+    /// The start of the old primary's process.
     pub born: Option<Birth>,
     pub cause: Cause,
-    /// The version of the lead row with the intent.
+    /// The version of the lead row that holds the intent.
     pub version: Version,
-    /// When the intent was certainly there.
+    /// A time at which the intent was certainly written.
     pub intent: Time,
 }
 
-impl Work {
-    /// Whether a database is the old primary, started again with nothing.
+impl Replacement {
+    /// Whether a database is the old primary, restarted without its data.
     pub fn is_reborn(&self, database: &Database) -> bool {
         database.id == self.old && database.born != self.born
     }
 }
 
-/// Why a replacement ended early: the duty or the row is somebody else's.
+/// A replacement ended early because another VM holds the duty or changed the row.
 pub(super) struct Lost;
 
 impl Control {
@@ -73,9 +73,11 @@
                 );
             }
             Ok(None) => {}
-            Err(Lost) => log::warn!(group:%, token; "a replacement is left to another VM"),
+            Err(Lost) => {
+                log::warn!(group:%, token; "a replacement ended: another VM holds the duty or changed the row")
+            }
         }
-        // The next look must not work with rows from before.
+        // The next check must not work with rows from before the replacement.
         let _ = self.read_rows().await;
     }
 
@@ -84,15 +86,15 @@
         let lead = state.reading.as_ref().and_then(|r| r.leads.get(group));
         let Some((lead, _)) = lead else { return };
         let now = self.now();
-        let witnesses = state.heard.values().map(|heard| evidence::Witness {
-            heard: heard.at,
+        let observations = state.heard.values().map(|heard| evidence::Observation {
+            received: heard.at,
             report: heard
                 .reports
                 .get(&lead.primary)
                 .copied()
                 .unwrap_or_default(),
         });
-        let votes = evidence::count(witnesses, now);
+        let votes = evidence::count(observations, now);
         let ago = |at: Option<Time>| at.map(|at| now.since(at).0 / 1_000);
         let tried = state.tried.get(&lead.primary);
         log::warn!(
@@ -111,29 +113,29 @@
         group: &GroupId,
         cause: Cause,
     ) -> Result<Option<DatabaseId>, Lost> {
-        let Some(work) = self.intend(token, group, cause).await? else {
+        let Some(replacement) = self.write_intent(token, group, cause).await? else {
             return Ok(None);
         };
-        self.drop_everywhere(&work).await;
-        self.wait_for_strangers().await;
+        self.revoke_leases(&replacement).await;
+        self.wait_for_earlier_era().await;
         log::info!(
-            group:%, epoch = work.epoch, took_ms = self.now().since(work.intent).0 / 1_000;
+            group:%, epoch = replacement.epoch, took_ms = self.now().since(replacement.intent).0 / 1_000;
             "no VM acts on the old primary any more"
         );
-        let target = self.old_position(&work).await;
-        let primary = self.order(&work, target).await?;
+        let target = self.old_position(&replacement).await;
+        let primary = self.order(&replacement, target).await?;
         let id = primary.id.clone();
-        self.publish_lead(&work, primary).await?;
+        self.publish_lead(&replacement, primary).await?;
         Ok(Some(id))
     }
 
-    /// Writes that a replacement is under way, unless that is written already.
-    async fn intend(
+    /// Writes the intent to replace the primary, unless it is written already.
+    async fn write_intent(
         self: &Rc<Self>,
         token: u64,
         group: &GroupId,
         cause: Cause,
-    ) -> Result<Option<Work>, Lost> {
+    ) -> Result<Option<Replacement>, Lost> {
         let known = {
             let state = self.state.borrow();
             let reading = state.reading.as_ref();
@@ -147,7 +149,7 @@
             damper
                 .entry(group.clone())
                 .or_default()
-                .promoted(self.now(), DAMPING);
+                .promoted(self.now(), MIN_CHANGE_INTERVAL);
         }
         if !lead.changing {
             let changing = Lead {
@@ -166,7 +168,7 @@
             }
             intent = self.now();
         }
-        Ok(Some(Work {
+        Ok(Some(Replacement {
             token,
             group: group.clone(),
             epoch: lead.epoch,
@@ -178,20 +180,23 @@
         }))
     }
 
-    /// Has every VM that may hold a lease give the epoch up, or waits until its lease has lapsed.
-    async fn drop_everywhere(self: &Rc<Self>, work: &Work) {
-        let (members, read) = self.members_after(work.intent).await;
+    /// Asks every VM that may hold a lease to release the epoch, and waits for those that do not
+    /// answer until their lease has expired.
+    async fn revoke_leases(self: &Rc<Self>, replacement: &Replacement) {
+        let (members, read) = self.members_after(replacement.intent).await;
         let since = |id: &MemberId, member: &Member| {
             let marked = self.state.borrow().evicted.get(id).map(|(_, seen)| *seen);
-            let since = marked.filter(|_| member.evicted).unwrap_or(work.intent);
-            since.min(work.intent)
+            let since = marked
+                .filter(|_| member.evicted)
+                .unwrap_or(replacement.intent);
+            since.min(replacement.intent)
         };
-        let waited = members.iter().map(|(id, m)| (id.clone(), since(id, m)));
-        let mut drops = Drops::new(waited, read);
+        let pending = members.iter().map(|(id, m)| (id.clone(), since(id, m)));
+        let mut drops = Drops::new(pending, read);
         let mut calls = FuturesUnordered::new();
         for (id, member) in members {
-            let until = drops.until(&id).unwrap_or(work.intent);
-            calls.push(self.drop_at(work, id, member.address, until));
+            let until = drops.until(&id).unwrap_or(replacement.intent);
+            calls.push(self.revoke_at(replacement, id, member.address, until));
         }
         while let Some(end) = drops.end() {
             let left = Duration::from(end.since(self.now()));
@@ -199,16 +204,16 @@
                 biased;
                 Some((id, how)) = calls.next() => {
                     drops.done(&id, self.now());
-                    if how != "given up" {
-                        log::info!(vm:% = id, group:% = work.group, epoch = work.epoch, how; "a VM holds no lease");
+                    if how != "released" {
+                        log::info!(vm:% = id, group:% = replacement.group, epoch = replacement.epoch, how; "a VM holds no lease");
                     }
                 }
                 () = tokio::time::sleep(left) => {
                     let now = self.now();
                     for id in drops.waited() {
                         let lapsed = drops.until(id).is_none_or(|until| until <= now);
-                        let how = if lapsed { "lapsed" } else { "nobody left to vouch" };
-                        log::info!(vm:% = id, group:% = work.group, epoch = work.epoch, how; "a VM holds no lease");
+                        let how = if lapsed { "lapsed" } else { "too few VMs left to extend it" };
+                        log::info!(vm:% = id, group:% = replacement.group, epoch = replacement.epoch, how; "a VM holds no lease");
                     }
                     return;
                 }
@@ -216,19 +221,21 @@
         }
     }
 
-    /// Waits until no VM holds a lease that was registered in an earlier era of the store and is in no row of this one.
-    async fn wait_for_strangers(&self) {
+    /// Waits until no VM can hold a lease from an earlier era of the store, whose row this era's
+    /// store may lack.
+    async fn wait_for_earlier_era(&self) {
         let Some(until) = self.store.strangers_until() else {
             return;
         };
         let left = until.since(self.now());
         if left > Span::ZERO {
-            log::info!(left_ms = left.0 / 1_000; "VMs of an earlier era of the store may hold leases");
+            log::info!(left_ms = left.0 / 1_000; "waiting for leases of an earlier era of the store");
             tokio::time::sleep(left.into()).await;
         }
     }
 
-    /// The VMs' rows, read after the intent was there, and by when.
+    /// Reads the VMs' rows after the intent was written; returns them and when the reading was
+    /// complete.
     async fn members_after(self: &Rc<Self>, intent: Time) -> (BTreeMap<MemberId, Member>, Time) {
         let mut backoff = Backoff::default();
         loop {
@@ -244,80 +251,84 @@
         }
     }
 
-    async fn drop_at(
+    async fn revoke_at(
         self: &Rc<Self>,
-        work: &Work,
+        replacement: &Replacement,
         id: MemberId,
         address: SocketAddr,
         until: Time,
     ) -> (MemberId, &'static str) {
-        let patience = if work.cause.is_planned() {
-            PATIENCE
+        let timeout = if replacement.cause.is_planned() {
+            WORK_TIMEOUT
         } else {
             Span::ZERO
         };
         if id == self.id {
-            self.drop_epoch(work.group.clone(), work.epoch, patience)
+            self.drop_epoch(replacement.group.clone(), replacement.epoch, timeout)
                 .await;
-            return (id, "given up");
+            return (id, "released");
         }
         while self.now() < until {
             let question = Question::Drop {
-                group: work.group.clone(),
-                epoch: work.epoch,
-                patience,
+                group: replacement.group.clone(),
+                epoch: replacement.epoch,
+                patience: timeout,
             };
             let left = until.since(self.now());
-            match (self.setup.call)(address, question, left.min(patience + CALL)).await {
-                Some(Answer::Dropped(_)) => return (id, "given up"),
+            match (self.setup.call)(address, question, left.min(timeout + ANSWER_MARGIN)).await {
+                Some(Answer::Dropped(_)) => return (id, "released"),
                 Some(Answer::Absent) => return (id, "ended"),
-                _ => tokio::time::sleep(AGAIN).await,
+                _ => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
         (id, "lapsed")
     }
 
-    /// What the old primary has, now that nobody writes there: a replica that has it loses
+    /// The old primary's log position, now that no VM writes there: a replica that reaches it loses
     /// nothing.
-    async fn old_position(&self, work: &Work) -> Option<Position> {
-        if !work.cause.is_planned() {
+    async fn old_position(&self, replacement: &Replacement) -> Option<Position> {
+        if !replacement.cause.is_planned() {
             return None;
         }
-        let old = self.registered(&work.old)?;
+        let old = self.registered(&replacement.old)?;
         for _ in 0..5 {
-            let word = self.standing(&old).await;
-            if let Word::Stands(standing) = word {
+            let reply = self.standing(&old).await;
+            if let Reply::Stands(standing) = reply {
                 return Some(standing.received);
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         None
     }
 
-    /// Writes who leads now, and tells every VM.
-    async fn publish_lead(self: &Rc<Self>, work: &Work, primary: Chosen) -> Result<(), Lost> {
+    /// Writes the new lead to the store and pings every VM.
+    async fn publish_lead(
+        self: &Rc<Self>,
+        replacement: &Replacement,
+        primary: Successor,
+    ) -> Result<(), Lost> {
         let lead = Lead {
-            epoch: work.epoch + 1,
+            epoch: replacement.epoch + 1,
             primary: primary.id,
             born: primary.born,
             changing: false,
             continues: None,
         };
         let extra = Extra {
-            row: lead_row(&work.group),
-            expect: work.version,
+            row: lead_row(&replacement.group),
+            expect: replacement.version,
             value: encode(&lead),
         };
-        match self.renew(work.token, Some(&extra)).await {
-            Renewed::Done { version, .. } => self.learn_written(&work.group, lead, version),
+        match self.renew(replacement.token, Some(&extra)).await {
+            Renewed::Done { version, .. } => self.learn_written(&replacement.group, lead, version),
             Renewed::Conflict | Renewed::Lost => return Err(Lost),
         }
-        self.nudge_all();
+        self.ping_all();
         Ok(())
     }
 
-    /// Learns what was written here, as if the last reading had shown it. Its time stays: it is
-    /// when the VMs' rows were seen.
+    /// Records a lead row that this VM wrote as if the last reading had shown it. The reading's
+    /// time stays: it is when the VMs' rows were read.
     pub(super) fn learn_written(&self, group: &GroupId, lead: Lead, version: Version) {
         let mut state = self.state.borrow_mut();
         state.note_written(group, lead.clone(), version);
--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -1,11 +1,12 @@
-//! The duty of promotions: taken, renewed and handed over by compare-and-set.
+//! The duty (the steward's lease in the store), which is taken, renewed and handed over by
+//! compare-and-set.
 
 use crate::clock::{Span, Time};
 use crate::direct::control::backoff::Backoff;
 use crate::direct::control::rows::{Duty, MemberId, Reading, duty_row, encode};
 use crate::direct::control::state::{Beaten, Held, State};
-use crate::direct::control::takeover::ORDERS_END;
-use crate::direct::control::{Control, errands, reader, resume};
+use crate::direct::control::takeover::ORDER_EXPIRY;
+use crate::direct::control::{Control, reader, resume, tasks};
 use crate::direct::mesh::{Answer, Question};
 use crate::direct::table::{Change, Era, Fault, Row, RowId, Version};
 use crate::direct::tenure::HEARD;
@@ -18,24 +19,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a VM that is offered the duty may take to answer: two calls of the store.
-const OFFER: Span = Span::from_millis(700);
+/// How long a VM may take to answer an offer of the duty: two calls of the store.
+const OFFER_TIMEOUT: Span = Span::from_millis(700);
 
-/// A VM with less than this leaves the duty to others for [`MODESTY`] at a first start: VMs start within
-/// 0.3 s of each other, and read the rows half a second later at the latest.
-const STRONG: Cores = Cores::from_thousandths(250);
-const MODESTY: Span = Span::from_millis(600);
+/// At a first start, a VM with less than [`MIN_STRONG_CORES`] leaves the duty to others for
+/// [`WEAK_DELAY`]: VMs start within 0.3 s of each other, and read the rows half a second later at
+/// the latest.
+const MIN_STRONG_CORES: Cores = Cores::from_thousandths(250);
+const WEAK_DELAY: Span = Span::from_millis(600);
 
-/// A renewal without an answer that took this long is asked again without a pause.
-const WAITED: Span = Span::from_millis(200);
+/// A renewal that took this long without an answer is repeated without a pause.
+const SLOW_RENEWAL: Span = Span::from_millis(200);
 
-/// How often it is looked whether an order that is under way has ended.
-const ORDER_ENDS: Duration = Duration::from_millis(20);
+/// How often to check whether an order in flight has ended.
+const ORDER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A row to write beside the duty's.
+/// A row to write together with the duty's.
 #[derive(Debug, Clone)]
 pub(super) struct Extra {
-    /// Which.
+    /// Its id.
     pub row: RowId,
     /// The version that it must have.
     pub expect: Version,
@@ -46,16 +48,16 @@
 /// How a renewal of the duty ended.
 #[derive(Debug)]
 pub(super) enum Renewed {
-    /// The duty was still held when the store took it.
+    /// The store accepted it, so the duty was still held.
     Done {
-        /// When that was asked.
+        /// When it was requested.
         asked: Time,
         /// The version of the rows written.
         version: Version,
     },
-    /// The other row is not as expected.
+    /// The other row does not have the expected version.
     Conflict,
-    /// The duty is not held here any more.
+    /// This VM does not hold the duty any more.
     Lost,
 }
 
@@ -76,7 +78,7 @@
         })
     }
 
-    /// From when on this VM may take the duty.
+    /// When this VM may take the duty. None if it may not at present.
     pub(super) fn takes_at(&self, now: Time) -> Option<Time> {
         if self.setup.shared.look().stopping || !self.is_member() {
             return None;
@@ -86,8 +88,8 @@
         let holder = reading.duty.as_ref().map(|(duty, _)| duty.address);
         let members = reading.members.iter();
         let others = members.filter(|(_, (m, _))| !m.evicted && Some(m.address) != holder);
-        // Those that have most processor, as all others beat to whoever holds the duty; and of these the
-        // ones that read for others, as they know the row's version.
+        // VMs with the most cores come first, because all others send their heartbeats to the
+        // steward; among equals those that read for others, because they know the row's version.
         let readers = reader::all(self.setup.shared.look().fellows.list());
         let place = |id, cores, address| (Reverse(cores), !readers.contains(address), id);
         let own = place(&self.id, self.setup.cores, &self.setup.address);
@@ -97,43 +99,44 @@
         let hearing = state.post.as_ref().map(|post| &post.hearing);
         let at = state.watch.takes_at(hearing, rank, now)?;
         let is_first = state.watch.version().is_none();
-        Some(if is_first { at + self.modesty() } else { at })
+        Some(if is_first { at + self.weak_delay() } else { at })
     }
 
-    /// How long a VM leaves the duty to stronger ones that it may not know of yet, when nobody ever held it.
+    /// How long a weak VM leaves the duty to stronger ones that it may not know yet, if no VM ever
+    /// held it.
     ///
-    /// **Pattern answered.** All VMs start for the first time at one moment, and the first one that reads
-    /// the rows finds hardly any. **Without it** a VM with an eighth of a core becomes steward of hundreds,
-    /// answers late, and another takes the duty in the middle of the start.
-    fn modesty(&self) -> Span {
+    /// When all VMs start for the first time at once, the first one that reads the rows finds
+    /// hardly any. Without the delay a VM with an eighth of a core could become the steward of
+    /// hundreds, answer late, and lose the duty to another in the middle of the start.
+    fn weak_delay(&self) -> Span {
         let cores = self.setup.cores;
-        match cores != Cores::default() && cores < STRONG {
-            true => MODESTY,
+        match cores != Cores::default() && cores < MIN_STRONG_CORES {
+            true => WEAK_DELAY,
             false => Span::ZERO,
         }
     }
 
-    /// Takes the duty, unless most other VMs that answer hear the steward: then it is this VM's
-    /// path that is broken.
-    pub(super) async fn take_if_alone(self: &Rc<Self>) {
+    /// Takes the duty, unless at least half of the other VMs that answer are in contact with the
+    /// steward: then only this VM's path to it is broken.
+    pub(super) async fn take_unless_followed(self: &Rc<Self>) {
         let ended = {
             let state = self.state.borrow();
             let post = state.post.as_ref();
             post.is_none_or(|post| post.hearing.ended.is_some())
         };
         if !ended {
-            let (answered, hear) = self.ask_peers().await;
-            if hear > 0 && hear * 2 >= answered {
-                log::info!(answered, hear; "the steward is silent here only: it stays");
+            let (answered, in_contact) = self.ask_peers().await;
+            if in_contact > 0 && in_contact * 2 >= answered {
+                log::info!(answered, hear = in_contact; "the steward is silent to this VM only: not replacing it");
                 return;
             }
         }
-        if self.misses_steward() {
+        if self.steward_is_silent() {
             self.take().await;
         }
     }
 
-    /// Takes the duty by compare-and-set from the version of its row that is known.
+    /// Takes the duty by compare-and-set from the known version of its row.
     async fn take(self: &Rc<Self>) -> bool {
         if self.is_steward() {
             return false;
@@ -143,16 +146,16 @@
             let reading = state.reading.as_ref();
             let read = reading.and_then(Reading::last_duty);
             let read = read.map_or(0, |(duty, _)| duty.token);
-            let told = state.post.as_ref().map_or(0, |post| post.token);
+            let followed = state.post.as_ref().map_or(0, |post| post.token);
             let floor = resume::floor(reading.map_or(Era::default(), |r| r.era));
-            // No row of the duty counts: the one of an earlier era is replaced.
+            // There is no valid row of the duty: the one of an earlier era is replaced.
             let version = match state.watch.version() {
                 version if version.is_none() => {
                     reading.map_or(Version::NONE, Reading::duty_version)
                 }
                 version => version,
             };
-            (version, read.max(told).max(floor) + 1)
+            (version, read.max(followed).max(floor) + 1)
         };
         let change = Change {
             expect: vec![(duty_row(), version)],
@@ -181,7 +184,7 @@
         }
     }
 
-    /// This VM holds the duty from now on.
+    /// Starts the steward's tasks, as this VM holds the duty from now on.
     pub(super) fn become_steward(self: &Rc<Self>, held: Held) {
         let stopping = self.setup.shared.look().stopping;
         if stopping || self.state.borrow().stopped {
@@ -190,7 +193,8 @@
         let token = held.token;
         let mut state = self.state.borrow_mut();
         if let Some(known) = state.held(token) {
-            // A reading showed the row before the answer to its write was there: the tasks run already.
+            // A reading showed the row before the answer to its write arrived: the tasks run
+            // already.
             known.version = known.version.max(held.version);
             return;
         }
@@ -200,45 +204,45 @@
             .map(|post| held.since.since(post.hearing.since).0 / 1_000);
         log::warn!(vm:% = self.id, token, version:% = held.version, silent_ms:? = silent; "this VM is the steward");
         state.heard.clear();
-        let before = silent_before(&state);
+        let before = former_steward(&state);
         state.heard.extend(before);
         state.held = Some(held);
         state.post = None;
         state.tried.clear();
         drop(state);
-        errands::start(self, token);
-        self.nudge_all();
+        tasks::start(self, token);
+        self.ping_all();
     }
 
-    /// Gives the duty up.
+    /// Releases the duty.
     pub(super) fn resign(&self, reason: &str) {
         let held = self.state.borrow_mut().held.take();
         self.links.borrow_mut().clear();
         if let Some(held) = held {
-            log::warn!(vm:% = self.id, token = held.token, reason; "this VM is no steward any more");
+            log::warn!(vm:% = self.id, token = held.token, reason; "this VM is no longer the steward");
             self.wake.notify_one();
-            self.nudged.notify_one();
+            self.pinged.notify_one();
         }
     }
 
-    /// Has every VM send a heartbeat now, or in a moment if all were asked just before.
-    pub(super) fn nudge_all(self: &Rc<Self>) {
+    /// Asks every VM to send a heartbeat now, or after a delay if all were asked just before.
+    pub(super) fn ping_all(self: &Rc<Self>) {
         let now = self.now();
         let vms = self.setup.shared.look().fellows.list().len();
         let Some(at) = self.state.borrow_mut().nudge.ask(now, vms) else {
             return;
         };
         if at <= now {
-            return self.nudge_each();
+            return self.send_pings();
         }
         let control = self.clone();
         actix_rt::spawn(async move {
             tokio::time::sleep(Duration::from(at.since(now))).await;
-            control.nudge_each();
+            control.send_pings();
         });
     }
 
-    fn nudge_each(&self) {
+    fn send_pings(&self) {
         let token = self.state.borrow().held.as_ref().map(|held| held.token);
         let Some(token) = token else { return };
         for (_, address) in self.others() {
@@ -247,20 +251,20 @@
                 address: address_here,
                 token,
             };
-            let call = (self.setup.call)(address, question, OFFER);
+            let call = (self.setup.call)(address, question, OFFER_TIMEOUT);
             actix_rt::spawn(async move {
                 let _ = call.await;
             });
         }
     }
 
-    /// The VMs that the duty is offered to.
+    /// The VMs that the duty is offered to: those that read the store for others.
     ///
-    /// **Pattern answered.** The store is away for all, and the steward offers its duty every two
-    /// seconds. **Without it** each offer is a reading by every VM and by those that it asks for help:
-    /// up to 780 calls of 195 VMs, worked out. **Why it suffices.** Some that read for others are in each failure
-    /// domain; where the store turns a third of the VMs away, one of twelve is answered.
-    fn successors(&self) -> Vec<(MemberId, SocketAddr)> {
+    /// While the store is away for all, the steward offers the duty every two seconds. Each offer
+    /// to all VMs would cause a reading by every VM and by those that it asks for help: by
+    /// calculation up to 780 calls of 195 VMs. Some readers are in each failure domain; where the
+    /// store turns a third of the VMs away, it answers at least one of twelve.
+    fn handover_candidates(&self) -> Vec<(MemberId, SocketAddr)> {
         let readers = reader::all(self.setup.shared.look().fellows.list());
         let mut others = self.others();
         others.retain(|(_, address)| readers.contains(address));
@@ -280,8 +284,8 @@
             .collect()
     }
 
-    /// Renews the duty, and changes a row with it if there is `extra`: both or none. Goes on until
-    /// the store has said what holds.
+    /// Renews the duty, and with `extra` writes another row in the same transaction: both or
+    /// neither. Repeats the call until the store's state is known.
     pub(super) async fn renew(self: &Rc<Self>, token: u64, extra: Option<&Extra>) -> Renewed {
         let _one = self.writing.lock().await;
         let mut backoff = Backoff::default();
@@ -297,17 +301,18 @@
                     self.note_renewal(token, version, held.number + 1);
                     return Renewed::Done { asked, version };
                 }
-                Ok(Err(rows)) => match self.settle(&held, extra, &rows) {
-                    Settled::Again => {}
-                    Settled::Landed(version) => return Renewed::Done { asked, version },
-                    Settled::Conflict => return Renewed::Conflict,
-                    Settled::Lost => {
-                        self.resign("another VM has taken it");
+                Ok(Err(rows)) => match self.resolve(&held, extra, &rows) {
+                    Resolution::Retry => {}
+                    Resolution::Applied(version) => return Renewed::Done { asked, version },
+                    Resolution::Conflict => return Renewed::Conflict,
+                    Resolution::Lost => {
+                        self.resign("another VM has taken the duty");
                         return Renewed::Lost;
                     }
                 },
-                // Its condition holds as long as nothing was done: it may be asked again at once.
-                Err(Fault::Unknown(_)) if self.now() >= asked + WAITED => {}
+                // The condition still holds if nothing was written, so the call may be repeated at
+                // once.
+                Err(Fault::Unknown(_)) if self.now() >= asked + SLOW_RENEWAL => {}
                 Err(_) => backoff.wait(self.chance()).await,
             }
         }
@@ -334,39 +339,42 @@
         }
     }
 
-    /// A renewal met rows that are not as expected: perhaps it landed before, with its answer
-    /// lost.
-    fn settle(&self, held: &Held, extra: Option<&Extra>, rows: &[Row]) -> Settled {
+    /// Resolves a renewal that met rows with other versions than expected. An earlier attempt may
+    /// have been applied while its answer was lost.
+    fn resolve(&self, held: &Held, extra: Option<&Extra>, rows: &[Row]) -> Resolution {
         let found = |id: &RowId| rows.iter().find(|row| row.id == *id);
         let Some(row) = found(&duty_row()) else {
-            return Settled::Conflict;
+            return Resolution::Conflict;
         };
         let value = row.value.as_deref().unwrap_or_default();
         let duty = serde_json::from_slice::<Duty>(value).ok();
         let ours = duty.filter(|duty| duty.token == held.token && duty.life == self.setup.life);
         let Some(duty) = ours else {
-            return Settled::Lost;
+            return Resolution::Lost;
         };
         self.note_renewal(held.token, row.version, duty.number);
         let Some(extra) = extra else {
-            return Settled::Again;
+            return Resolution::Retry;
         };
         match found(&extra.row) {
-            Some(row) if row.version == extra.expect => Settled::Again,
-            Some(row) if row.value.as_ref() == Some(&extra.value) => Settled::Landed(row.version),
-            Some(_) => Settled::Conflict,
-            None if extra.expect.is_none() => Settled::Again,
-            None => Settled::Conflict,
+            Some(row) if row.version == extra.expect => Resolution::Retry,
+            Some(row) if row.value.as_ref() == Some(&extra.value) => {
+                Resolution::Applied(row.version)
+            }
+            Some(_) => Resolution::Conflict,
+            None if extra.expect.is_none() => Resolution::Retry,
+            None => Resolution::Conflict,
         }
     }
 
-    /// Offers the duty to the strongest VM that is heard, if this one is not [`STRONG`]; whether there is one.
+    /// Offers the duty to the VM with the most cores that sends heartbeats, if this one has less
+    /// than [`MIN_STRONG_CORES`]. Returns whether there is such a VM.
     ///
-    /// A weak steward of a large fleet answers late and evicts VMs for its own lateness. The duty does not come
-    /// back: it goes to a VM that never offers it for this reason.
+    /// A weak steward of a large fleet answers late and evicts VMs because of its own delay. The
+    /// duty does not come back, because it goes to a VM that never offers it for this reason.
     pub(super) async fn yield_to_stronger(self: &Rc<Self>) -> bool {
         let own = self.setup.cores;
-        if own == Cores::default() || own >= STRONG {
+        if own == Cores::default() || own >= MIN_STRONG_CORES {
             return false;
         }
         let now = self.now();
@@ -380,25 +388,25 @@
                     .filter(|heard| heard.life == member.life);
                 !member.evicted && heard.is_some_and(|heard| now < heard.at + HEARD)
             });
-            let strong = heard.filter(|(_, (member, _))| member.cores >= STRONG);
+            let strong = heard.filter(|(_, (member, _))| member.cores >= MIN_STRONG_CORES);
             let strongest = strong.max_by_key(|(_, (member, _))| member.cores);
             strongest.map(|(id, (member, _))| (id.clone(), member.address))
         };
         let Some(stronger) = stronger else {
             return false;
         };
-        self.offer("another VM has more processor", vec![stronger])
+        self.offer("another VM has more cores", vec![stronger])
             .await;
         true
     }
 
     /// Offers the duty to VMs that read for others.
     pub(super) async fn hand_over(self: &Rc<Self>, reason: &str) -> bool {
-        self.offer(reason, self.successors()).await
+        self.offer(reason, self.handover_candidates()).await
     }
 
-    /// Offers the duty to other VMs. While that lasts nothing is ordered,
-    /// so the one that takes it need not wait.
+    /// Offers the duty to other VMs. No order is sent meanwhile, so the VM that takes it has no
+    /// wait.
     async fn offer(self: &Rc<Self>, reason: &str, to: Vec<(MemberId, SocketAddr)>) -> bool {
         let token = self.state.borrow().held.as_ref().map(|held| held.token);
         let Some(token) = token else { return true };
@@ -411,16 +419,17 @@
             .held(token)
             .is_some_and(|held| held.ordering > 0)
         {
-            tokio::time::sleep(ORDER_ENDS).await;
+            tokio::time::sleep(ORDER_POLL_INTERVAL).await;
         }
         let version = self.state.borrow_mut().held(token).map(|held| held.version);
         let Some(version) = version else { return true };
         let calls = to.into_iter().map(|(vm, address)| {
             let question = Question::HandOver { token, version };
-            let call = (self.setup.call)(address, question, OFFER);
+            let call = (self.setup.call)(address, question, OFFER_TIMEOUT);
             async move { (vm, address, call.await) }
         });
-        // All at once: where the store turns all away, one after the other would take seconds.
+        // All are asked at once: if the store refuses all of them, asking one after the other would
+        // take seconds.
         let mut calls: FuturesUnordered<_> = calls.collect();
         while let Some((vm, address, answer)) = calls.next().await {
             if answer == Some(Answer::Taken(true)) {
@@ -436,17 +445,17 @@
             held.handing = false;
             held.valid = now;
         }
-        log::warn!(token, reason; "no VM takes the duty over");
+        log::warn!(token, reason; "no VM accepts the duty");
         false
     }
 
-    /// The steward offers the duty that it holds with this token and version, under which it orders
-    /// nothing any more.
+    /// Takes the duty that the steward offers, with this token and version. The steward sends no
+    /// order under this version any more.
     ///
-    /// **Failure answered.** The offer comes late: who made it went on, renewed the duty and orders.
-    /// **Symptom without it.** Two VMs promote in turns. **Why it suffices.** The order needs a
-    /// renewal, which changes the version; another version than the offered one is taken only
-    /// once no order can be under way by it.
+    /// The offer may arrive late, after the steward that made it went on, renewed the duty and sent
+    /// orders; two VMs would then promote in turn. Since an order needs a renewal, which changes
+    /// the version, a version other than the offered one is taken over only once no order by it can
+    /// be in flight.
     pub(super) async fn take_offer(self: &Rc<Self>, token: u64, version: Version) -> bool {
         let refuses = self.is_steward() || self.setup.shared.look().stopping;
         if refuses || self.read_rows().await.is_err() || !self.is_member() {
@@ -456,8 +465,8 @@
             return false;
         };
         if found != version {
-            log::info!(token, version:%, found:%; "the duty offered has changed: waiting for its orders to end");
-            tokio::time::sleep(ORDERS_END.into()).await;
+            log::info!(token, version:%, found:%; "the offered duty has changed: waiting until its orders have expired");
+            tokio::time::sleep(ORDER_EXPIRY.into()).await;
             if self.read_rows().await.is_err() || self.duty_version(token) != Some(found) {
                 return false;
             }
@@ -473,8 +482,8 @@
     }
 }
 
-/// The steward before counts as silent since it was last heard here, not only since now.
-fn silent_before(state: &State) -> Option<(MemberId, Beaten)> {
+/// The former steward counts as silent since its last contact with this VM, not only from now on.
+fn former_steward(state: &State) -> Option<(MemberId, Beaten)> {
     let post = state.post.as_ref()?;
     let mut members = state.reading.as_ref()?.members.iter();
     let (id, (member, _)) = members.find(|(_, (m, _))| m.address == post.address)?;
@@ -486,13 +495,13 @@
     Some((id.clone(), beaten))
 }
 
-enum Settled {
-    /// Ask again: only the version that was expected was old.
-    Again,
-    /// It was done before.
-    Landed(Version),
-    /// Another row is not as expected.
+enum Resolution {
+    /// Repeat the renewal: only the expected version was out of date.
+    Retry,
+    /// An earlier attempt was applied.
+    Applied(Version),
+    /// The other row does not have the expected version.
     Conflict,
-    /// The duty is somebody else's.
+    /// Another VM holds the duty.
     Lost,
 }
--- a/src/direct/control/evidence.rs
+++ b/src/direct/control/evidence.rs
@@ -1,76 +1,75 @@
-//! Whether a primary is lost, by what all VMs saw of it.
+//! Decides whether a primary is lost, by what all VMs observed of it.
 //!
-//! **Pattern answered.** A primary that crashed or went dark, beside one that is slow, and one
-//! that only some VMs cannot reach.
-//! **Without it** one VM's broken path, or a burst that makes answers late, replaces a primary
-//! that works: each change costs a second without writes and rolls transactions back.
-//! **Thresholds.** A statement takes 6 to 50 ms and a connection 12 ms beside a round trip of
-//! 24 ms: 400 ms without a single answer while something was tried is not load. A primary that
-//! some VMs reach is left for 1.2 s, as a change costs all of them about that.
+//! It tells apart a primary that crashed or does not answer, one that is slow, and one that only
+//! some VMs cannot reach. Otherwise one VM's broken path, or a burst that makes answers late, would
+//! replace a working primary; each replacement costs a second without writes and rolls transactions
+//! back. A statement takes 6 to 50 ms and a connection 12 ms, besides a round trip of 24 ms, so 400
+//! ms without any answer to attempts is not load. A primary that some VMs reach is kept for 1.2 s,
+//! because a replacement costs all VMs about as much.
 //!
-//! Most VMs may reach a database by way of a few others and never try it: only those that it
-//! answered of late, or that see it fail, have an opinion.
+//! Most VMs may reach a database through a few others and never connect to it: only those that it
+//! answered recently, or that observe failures, have a vote.
 
 use crate::clock::{Span, Time};
 use crate::direct::view::Report;
 
-/// Silence of a database towards one VM that counts as a vote.
-const SILENT: Span = Span::from_millis(400);
+/// A database that has not answered a VM for this long gets a vote against it.
+const SILENCE_TIMEOUT: Span = Span::from_millis(400);
 
-/// An answer this recent is a vote for the database.
-const RECENT: Span = Span::from_secs(1);
+/// An answer at most this old is a vote for the database.
+const MAX_ANSWER_AGE: Span = Span::from_secs(1);
 
-/// A VM that was not heard for this long has no vote.
-const HEARD: Span = Span::from_millis(1_500);
+/// A VM whose last heartbeat is older than this has no vote.
+const MAX_REPORT_AGE: Span = Span::from_millis(1_500);
 
-/// How long a primary that only some VMs reach is left.
-const SPLIT: Span = Span::from_millis(1_200);
+/// How long a primary that only some VMs reach is kept.
+const SPLIT_TIMEOUT: Span = Span::from_millis(1_200);
 
-/// One in so many of the VMs with an opinion has to fail before a primary that others reach is
-/// replaced, and this many at least.
+/// A primary that some VMs reach is replaced only if one in `SPLIT_SHARE` of the VMs with a vote
+/// has failed for [`SPLIT_TIMEOUT`], and at least `MIN_SPLIT_VMS` of them.
 const SPLIT_SHARE: usize = 3;
-const SPLIT_LEAST: usize = 2;
+const MIN_SPLIT_VMS: usize = 2;
 
-/// How long the word of a connection attempt counts.
-const TRIED: Span = Span::from_secs(1);
+/// How long the result of a connection attempt is valid.
+const MAX_ATTEMPT_AGE: Span = Span::from_secs(1);
 
-/// How a connection attempt of the steward's own ended.
+/// The result of a connection attempt by the steward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Attempt {
     /// The database answered: it runs, perhaps slowly.
     Answered,
     /// Nothing listens at its address, or another database does.
     Refused,
-    /// No answer within the time.
+    /// It did not answer in time.
     Silent,
 }
 
-/// A connection attempt and when it ended.
+/// A connection attempt of the steward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Tried {
     /// When it began.
     pub began: Time,
     /// When it ended.
     pub ended: Time,
-    /// How.
+    /// Its result.
     pub attempt: Attempt,
 }
 
-/// What one VM saw of the database.
+/// What one VM observed of the database.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Witness {
-    /// When it told.
-    pub heard: Time,
-    /// What.
+pub struct Observation {
+    /// When its report arrived.
+    pub received: Time,
+    /// The report.
     pub report: Report,
 }
 
-/// What is believed of a primary.
+/// The verdict on a primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nobody says that it fails.
+    /// No VM reports a failure.
     Fine,
-    /// Somebody says so: try it, and look again.
+    /// Some VM reports a failure: the steward tries to connect, and checks again.
     Suspected,
     /// It is lost.
     Lost,
@@ -81,47 +80,47 @@
 /// The votes on a primary.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Votes {
-    /// VMs that it has not answered for [`SILENT`] although they tried.
+    /// VMs that it has not answered for [`SILENCE_TIMEOUT`] although they tried.
     pub silent: usize,
-    /// VMs that it has not answered for [`SPLIT`].
+    /// VMs that it has not answered for [`SPLIT_TIMEOUT`].
     pub long: usize,
-    /// VMs that it has answered of late, and that do not see it fail.
+    /// VMs that it has answered recently, and that observe no failure.
     pub fine: usize,
-    /// VMs that were heard, and that either see it fail or were answered of late.
+    /// VMs with a current report that either observe a failure or were answered recently.
     pub opinions: usize,
-    /// When the first failure was that no answer to that VM followed.
+    /// The time of the earliest failure that no answer to the same VM followed.
     pub since: Option<Time>,
     /// The last answer to any VM.
     pub answered: Option<Time>,
 }
 
 impl Votes {
-    /// Whether less than half as large a share of the VMs with an opinion sees it fail for long as
-    /// of those with one on `other`.
+    /// Whether the share of VMs with a vote that observe a long failure is less than half of that
+    /// of `other`.
     pub fn fails_less(&self, other: &Self) -> bool {
         self.long * other.opinions.max(1) * 2 < other.long * self.opinions.max(1)
     }
 }
 
-/// Counts what the VMs say.
-pub fn count(witnesses: impl IntoIterator<Item = Witness>, now: Time) -> Votes {
+/// Counts the votes.
+pub fn count(observations: impl IntoIterator<Item = Observation>, now: Time) -> Votes {
     let mut votes = Votes::default();
-    for Witness { heard, report } in witnesses {
-        if heard + HEARD < now {
+    for Observation { received, report } in observations {
+        if received + MAX_REPORT_AGE < now {
             continue;
         }
-        let answered = report.answered.map(|ago| heard - ago);
+        let answered = report.answered.map(|ago| received - ago);
         votes.answered = votes.answered.max(answered);
-        let Some(failing) = report.failing.map(|ago| heard - ago) else {
-            let fine = usize::from(answered.is_some_and(|at| at + RECENT >= now));
+        let Some(failing) = report.failing.map(|ago| received - ago) else {
+            let fine = usize::from(answered.is_some_and(|at| at + MAX_ANSWER_AGE >= now));
             votes.fine += fine;
             votes.opinions += fine;
             continue;
         };
         votes.opinions += 1;
         votes.since = Some(votes.since.map_or(failing, |since| since.min(failing)));
-        votes.silent += usize::from(failing + SILENT <= now);
-        votes.long += usize::from(failing + SPLIT <= now);
+        votes.silent += usize::from(failing + SILENCE_TIMEOUT <= now);
+        votes.long += usize::from(failing + SPLIT_TIMEOUT <= now);
     }
     votes
 }
@@ -131,10 +130,10 @@
     let Some(since) = votes.since else {
         return Verdict::Fine;
     };
-    let fresh = tried.filter(|tried| tried.began >= since && tried.ended + TRIED >= now);
+    let fresh = tried.filter(|tried| tried.began >= since && tried.ended + MAX_ATTEMPT_AGE >= now);
     // The steward may be the only one that reaches it.
     let reached = votes.fine > 0 || fresh.is_some_and(|t| t.attempt == Attempt::Answered);
-    let split = votes.long >= SPLIT_LEAST && votes.long * SPLIT_SHARE >= votes.opinions;
+    let split = votes.long >= MIN_SPLIT_VMS && votes.long * SPLIT_SHARE >= votes.opinions;
     if reached && split {
         return Verdict::Split;
     }
@@ -142,7 +141,7 @@
         let answered = votes.answered.is_some_and(|at| at > tried.began);
         match tried.attempt {
             Attempt::Answered => false,
-            // Nothing listens there: no need to wait for more voices.
+            // Nothing listens there, so there is no need to wait for more votes.
             Attempt::Refused => !answered,
             Attempt::Silent => !answered && votes.silent > 0 && votes.fine == 0,
         }
--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Each VM's heartbeat to the steward, and what it does while it hears none.
+//! Sends this VM's heartbeats to the steward, and refreshes its state by other means while the
+//! steward does not answer.
 
 use crate::clock::Span;
 use crate::direct::control::backoff::Backoff;
@@ -11,158 +12,159 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a VM beats. A lease of 8 s needs far less; a lost primary is seen by its own alarm,
-/// and this bounds how long a dead steward goes unnoticed.
-const EVERY: Span = Span::from_millis(500);
+/// How often a VM sends a heartbeat. A lease of 8 s needs far fewer, and a lost primary raises its
+/// own alarm; this bounds how long a dead steward goes unnoticed.
+const HEARTBEAT_INTERVAL: Span = Span::from_millis(500);
 
-/// The least pause between two beats, however many alarms there are.
-const PAUSE: Span = Span::from_millis(50);
+/// The minimum interval between two heartbeats, whatever the number of alarms.
+const MIN_INTERVAL: Span = Span::from_millis(50);
 
-/// How long a beat's answer is waited for: two round trips and a slow VM's turn.
-const PATIENCE: Span = Span::from_millis(400);
+/// How long to wait for the answer to a heartbeat: two round trips and a slow VM's processing.
+const ANSWER_TIMEOUT: Span = Span::from_millis(400);
 
-/// After this long without an answer the rows are read meanwhile, to know since when the duty's
-/// row has the version that it has.
-const LATE: Span = Span::from_millis(150);
+/// After this long without an answer the rows are read in parallel, to know since when the duty's
+/// row has had its version.
+const LATE_ANSWER_DELAY: Span = Span::from_millis(150);
 
-/// How long it is waited for by a VM that already misses the steward's word: the VM has to look
-/// after itself meanwhile.
-const SHORT: Span = Span::from_millis(150);
+/// How long to wait for the answer once the steward has missed more than one heartbeat: the VM has
+/// to refresh its own state meanwhile.
+const SHORT_TIMEOUT: Span = Span::from_millis(150);
 
-/// How often a VM that does not hear the steward reads the rows, and how old the steward's own
-/// reading may be before it does so too.
-const LOOK_EVERY: Span = Span::from_secs(1);
-const STALE: Span = Span::from_secs(3);
+/// How often a VM that the steward does not answer reads the rows, and the age of the steward's own
+/// reading from which on a VM does so too.
+const READ_INTERVAL: Span = Span::from_secs(1);
+const MAX_LEAD_AGE: Span = Span::from_secs(3);
 
-/// How often a VM reads the rows itself while those that read for it can't.
-const SELDOM: Span = Span::from_secs(4);
+/// How often a VM reads the rows itself while the VMs that read for it cannot.
+const FALLBACK_READ_INTERVAL: Span = Span::from_secs(4);
 
-/// How often a VM looks whether its turn to take over has come.
-const TURN: Span = Span::from_millis(100);
+/// How often a VM checks whether it may take over the duty.
+const TAKEOVER_CHECK_INTERVAL: Span = Span::from_millis(100);
 
-/// How many others a VM asks that hears no steward.
-const PEERS: usize = 4;
+/// How many peers a VM asks while the steward does not answer.
+const MAX_PEERS_ASKED: usize = 4;
 
-/// Beats until the process ends.
+/// Sends heartbeats until the process ends.
 pub(super) async fn run(control: Rc<Control>) {
     let alarm = control.setup.shared.look().reports.alarm();
     let mut backoff = Backoff::default();
     while !control.state.borrow().stopped {
-        let turned = control.turn().await;
-        control.setup.shared.quietly().blind = turned.is_err();
-        let wait = match turned {
+        let outcome = control.heartbeat_once().await;
+        control.setup.shared.quietly().blind = outcome.is_err();
+        let wait = match outcome {
             Ok(wait) => {
                 backoff.reset();
                 wait
             }
-            Err(_) => control.rest(&mut backoff).await,
+            Err(_) => control.back_off(&mut backoff).await,
         };
-        tokio::time::sleep(Duration::from(PAUSE.min(wait))).await;
+        tokio::time::sleep(Duration::from(MIN_INTERVAL.min(wait))).await;
         tokio::select! {
             biased;
-            () = tokio::time::sleep(Duration::from(Span(wait.0.saturating_sub(PAUSE.0)))) => {}
+            () = tokio::time::sleep(Duration::from(Span(wait.0.saturating_sub(MIN_INTERVAL.0)))) => {}
             () = alarm.notified() => {}
-            () = control.nudged.notified() => {}
+            () = control.pinged.notified() => {}
             () = control.setup.shared.wants_config.notified() => {}
         }
     }
 }
 
-/// The longest pause between two readings of a VM that holds no lease.
+/// The longest delay between two readings of a VM that holds no lease.
 ///
-/// **Pattern answered.** All VMs lose power while the store takes no calls, and have nothing until
-/// it does. **Without it** they come back to the store up to a second after it is there again, by
-/// pauses that have grown to 0.8 s and peers that do not answer. **Threshold.** Four readings a second
-/// of every VM are a tenth of what the store takes.
-const WITHOUT_LEASE: Span = Span::from_millis(250);
+/// If all VMs lose power while the store is down, they have no state until the store is back.
+/// Because of delays that have grown to 0.8 s and peers that do not answer, they would reach it up
+/// to a second after it is back. Four readings a second of every VM are a tenth of the store's
+/// capacity.
+const MAX_DELAY_WITHOUT_LEASE: Span = Span::from_millis(250);
 
 impl Control {
-    /// What a VM does after a reading that failed: it asks others what they know, for as long as it
-    /// pauses. Returns what is left of the pause.
-    async fn rest(&self, backoff: &mut Backoff) -> Span {
+    /// Asks peers for updates after a failed reading, for as long as the retry delay lasts. Returns
+    /// what is left of the delay.
+    async fn back_off(&self, backoff: &mut Backoff) -> Span {
         let pause = backoff.step(self.chance());
         if self.is_member() {
             self.ask_peers().await;
             return pause;
         }
         let began = self.now();
-        let pause = pause.min(WITHOUT_LEASE);
+        let pause = pause.min(MAX_DELAY_WITHOUT_LEASE);
         let _ = tokio::time::timeout(Duration::from(pause), self.ask_peers()).await;
         Span(pause.0.saturating_sub(self.now().since(began).0))
     }
 
-    /// One beat, and what is due without a steward; returns when the next one is.
-    async fn turn(self: &Rc<Self>) -> Result<Span, Fault> {
+    /// Sends one heartbeat, and does what is due if the steward does not answer. Returns the delay
+    /// until the next one.
+    async fn heartbeat_once(self: &Rc<Self>) -> Result<Span, Fault> {
         if self.is_steward() {
-            // Its own reports are looked at by its own tasks.
+            // The steward's own tasks check its reports.
             self.wake.notify_one();
             let now = self.now();
             if self.hears_most(now) {
                 self.setup.shared.quietly().tenure.heard(now);
             }
-            return Ok(EVERY);
+            return Ok(HEARTBEAT_INTERVAL);
         }
         let post = self.state.borrow().post.clone();
         let Some(post) = post.filter(|_| self.is_member()) else {
-            return self.look().await;
+            return self.refresh().await;
         };
-        let heard = self.beat_or_look(&post).await?;
-        let silent = self.misses_steward();
-        self.note_contact(heard);
-        let due = self.may_look() && (silent || !heard || self.is_stale());
+        let answered = self.heartbeat_or_refresh(&post).await?;
+        let silent = self.steward_is_silent();
+        self.notify_if_lost(answered);
+        let due = self.may_refresh() && (silent || !answered || self.is_stale());
         match (due || !self.is_member(), silent) {
-            (true, _) => self.look().await,
-            (false, true) => self.consider(),
-            (false, false) if heard => Ok(EVERY),
-            (false, false) => Ok(TURN),
+            (true, _) => self.refresh().await,
+            (false, true) => self.consider_takeover(),
+            (false, false) if answered => Ok(HEARTBEAT_INTERVAL),
+            (false, false) => Ok(TAKEOVER_CHECK_INTERVAL),
         }
     }
 
-    /// Beats; reads the rows meanwhile if the answer is late.
-    async fn beat_or_look(self: &Rc<Self>, post: &Post) -> Result<bool, Fault> {
-        let mut beat = std::pin::pin!(self.beat_to(post));
-        let late = tokio::time::timeout(Duration::from(LATE), &mut beat).await;
-        if let Ok(heard) = late {
-            return Ok(heard);
+    /// Sends a heartbeat, and reads the rows in parallel if the answer is late.
+    async fn heartbeat_or_refresh(self: &Rc<Self>, post: &Post) -> Result<bool, Fault> {
+        let mut heartbeat = std::pin::pin!(self.send_heartbeat(post));
+        let answer = tokio::time::timeout(Duration::from(LATE_ANSWER_DELAY), &mut heartbeat).await;
+        if let Ok(answered) = answer {
+            return Ok(answered);
         }
-        if !self.may_look() {
-            return Ok(beat.await);
+        if !self.may_refresh() {
+            return Ok(heartbeat.await);
         }
-        let (heard, looked) = tokio::join!(beat, self.look());
-        looked.map(|_| heard)
+        let (answered, refreshed) = tokio::join!(heartbeat, self.refresh());
+        refreshed.map(|_| answered)
     }
 
-    fn may_look(&self) -> bool {
+    fn may_refresh(&self) -> bool {
         let looked = self.state.borrow().looked;
-        looked.is_none_or(|at| at + LOOK_EVERY <= self.now())
+        looked.is_none_or(|at| at + READ_INTERVAL <= self.now())
     }
 
-    async fn beat_to(&self, post: &Post) -> bool {
-        let patience = if post.hearing.missed > 1 {
-            SHORT
+    async fn send_heartbeat(&self, post: &Post) -> bool {
+        let timeout = if post.hearing.missed > 1 {
+            SHORT_TIMEOUT
         } else {
-            PATIENCE
+            ANSWER_TIMEOUT
         };
         let asked = self.now();
         let question = Question::Beat(self.beat());
-        let answer = (self.setup.call)(post.address, question, patience).await;
+        let answer = (self.setup.call)(post.address, question, timeout).await;
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let same = |known: &&mut Post| known.token == post.token;
-        let Some(known) = state.post.as_mut().filter(same) else {
-            // Another one is followed meanwhile.
+        let same = |followed: &&mut Post| followed.token == post.token;
+        let Some(followed) = state.post.as_mut().filter(same) else {
+            // This VM follows another steward by now.
             return true;
         };
         match answer {
             Some(Answer::News(news)) if news.steward => {
-                known.hearing.answered(asked);
+                followed.hearing.answered(asked);
                 state.told = Some(now);
                 if let Some(version) = news.duty.as_ref().and_then(|duty| duty.version) {
-                    // Whatever this version allows to be ordered was asked before now.
+                    // Every order that this version allows was requested before now.
                     state.watch.note(version, now);
                 }
                 // The steward's reading may be older than this VM's row.
-                let settled = state.looked.is_none_or(|at| at + STALE < now);
+                let settled = state.looked.is_none_or(|at| at + MAX_LEAD_AGE < now);
                 drop(state);
                 if settled || news.member {
                     self.member.set(news.member);
@@ -171,21 +173,21 @@
                 true
             }
             Some(Answer::News(news)) => {
-                known.hearing.missed += 1;
+                followed.hearing.missed += 1;
                 drop(state);
                 self.follow_heard(news.duty.as_ref(), now);
                 self.take_news(*news, post.address, asked);
                 false
             }
             Some(Answer::Absent) => {
-                if known.hearing.ended.is_none() {
+                if followed.hearing.ended.is_none() {
                     log::warn!(address:% = post.address, token = post.token; "the steward has ended");
                 }
-                known.hearing.end(now);
+                followed.hearing.end(now);
                 false
             }
             _ => {
-                known.hearing.missed += 1;
+                followed.hearing.missed += 1;
                 false
             }
         }
@@ -196,13 +198,13 @@
         heard: Option<&crate::direct::mesh::Heard>,
         now: crate::clock::Time,
     ) {
-        let fresh = heard.filter(|heard| heard.age < LOOK_EVERY);
+        let fresh = heard.filter(|heard| heard.age < READ_INTERVAL);
         if let Some(heard) = fresh {
             self.follow(heard.address, heard.token, now);
         }
     }
 
-    /// Follows a steward, unless a newer one is followed already.
+    /// Follows a steward, unless this VM already follows a newer one.
     pub(super) fn follow(&self, address: SocketAddr, token: u64, now: crate::clock::Time) {
         if address == self.setup.address {
             return;
@@ -213,7 +215,7 @@
     }
 
     /// Whether the steward counts as silent.
-    pub(super) fn misses_steward(&self) -> bool {
+    pub(super) fn steward_is_silent(&self) -> bool {
         let state = self.state.borrow();
         let now = self.now();
         state
@@ -222,7 +224,7 @@
             .is_none_or(|post| post.hearing.is_silent(now))
     }
 
-    /// Whether the steward answers, and the configuration may be had from it.
+    /// Whether the steward answers, so that the configuration can be requested from it.
     pub(super) fn hears_steward(&self) -> bool {
         let state = self.state.borrow();
         let post = state.post.as_ref();
@@ -230,48 +232,48 @@
             && state.held.is_none()
     }
 
-    fn note_contact(&self, heard: bool) {
-        if !heard {
+    fn notify_if_lost(&self, answered: bool) {
+        if !answered {
             self.lost.notify_waiters();
         }
     }
 
-    /// Whether what is known of who leads is older than the steward's readings should be: it may
-    /// be turned away by the store, while this VM is not.
+    /// Whether this VM's record of who leads is older than the steward's readings should be: the
+    /// store may refuse the steward but not this VM.
     fn is_stale(&self) -> bool {
         let now = self.now();
         let view = self.setup.shared.look();
         let old = |group| {
             let known = view.book.known(group);
-            known.is_some_and(|(lead, asked)| !lead.changing && asked + STALE < now)
+            known.is_some_and(|(lead, asked)| !lead.changing && asked + MAX_LEAD_AGE < now)
         };
         view.book.groups().any(old)
     }
 
-    /// Is told by VMs near by who leads, or reads the rows and, if it is due, the register for itself;
-    /// then sees to the duty.
-    async fn look(self: &Rc<Self>) -> Result<Span, Fault> {
+    /// Gets the leads from nearby VMs, or reads the rows and, if due, the register from the store;
+    /// then checks whether to take the duty.
+    async fn refresh(self: &Rc<Self>) -> Result<Span, Fault> {
         let first = self.state.borrow().looked.is_none();
         self.state.borrow_mut().looked = Some(self.now());
         if first && self.join().await {
-            return self.consider();
+            return self.consider_takeover();
         }
         if !first && !self.reads() && !self.has_to_read().await {
-            return self.consider();
+            return self.consider_takeover();
         }
         self.state.borrow_mut().read_at = Some(self.now());
         self.read_rows().await?;
-        if first || self.misses_steward() {
+        if first || self.steward_is_silent() {
             self.read_register().await?;
         }
-        self.consider()
+        self.consider_takeover()
     }
 
-    /// Whether a VM that is told by others what the store holds has to read it itself.
+    /// Whether a VM that receives the store's rows from others has to read them itself.
     ///
-    /// **Pattern answered.** The store is away for all. **Without it** each of 195 VMs tries it each
-    /// second, and has others try, up to 9 s long. **Why it suffices.** Those that read for others go on
-    /// trying; one that they have nothing for tries too, but seldom.
+    /// While the store is away for all, each of 195 VMs would otherwise try it every second for up
+    /// to 9 s, and ask others to try. The VMs that read for others go on trying; a VM for which
+    /// they have nothing tries too, but seldom.
     async fn has_to_read(&self) -> bool {
         match self
             .ask_readers(!self.is_large() && self.knows_nothing())
@@ -281,7 +283,7 @@
             Source::Unreached => true,
             Source::Stale => {
                 let last = self.state.borrow().read_at;
-                last.is_none_or(|at| at + SELDOM <= self.now())
+                last.is_none_or(|at| at + FALLBACK_READ_INTERVAL <= self.now())
             }
         }
     }
@@ -292,60 +294,60 @@
         view.config.is_none() || view.databases.is_empty()
     }
 
-    /// Takes the duty if it is this VM's turn; returns when to look again.
-    fn consider(self: &Rc<Self>) -> Result<Span, Fault> {
-        if self.is_steward() || !self.misses_steward() {
-            return Ok(TURN);
+    /// Takes the duty if this VM's turn has come. Returns the delay until the next check.
+    fn consider_takeover(self: &Rc<Self>) -> Result<Span, Fault> {
+        if self.is_steward() || !self.steward_is_silent() {
+            return Ok(TAKEOVER_CHECK_INTERVAL);
         }
         let now = self.now();
         let at = self.takes_at(now);
         match at {
             Some(at) if at <= now => {
                 let control = self.clone();
-                actix_rt::spawn(async move { control.take_if_alone().await });
-                Ok(EVERY)
+                actix_rt::spawn(async move { control.take_unless_followed().await });
+                Ok(HEARTBEAT_INTERVAL)
             }
-            Some(at) => Ok(at.since(now).min(TURN)),
-            None => Ok(TURN),
+            Some(at) => Ok(at.since(now).min(TAKEOVER_CHECK_INTERVAL)),
+            None => Ok(TAKEOVER_CHECK_INTERVAL),
         }
     }
 
-    /// Asks some other VMs what they know; returns how many answered, and how many of these hear
-    /// the steward that is followed here.
+    /// Asks some peers for updates. Returns how many answered, and how many of these are in contact
+    /// with the steward that this VM follows.
     pub(super) async fn ask_peers(&self) -> (usize, usize) {
         let asked = self.now();
         let calls = self.peers().into_iter().map(async |address| {
             let question = Question::Beat(self.beat());
             (
                 address,
-                (self.setup.call)(address, question, PATIENCE).await,
+                (self.setup.call)(address, question, ANSWER_TIMEOUT).await,
             )
         });
         let answers = futures_util::future::join_all(calls).await;
         let token = self.state.borrow().post.as_ref().map(|post| post.token);
-        let (mut answered, mut hear) = (0, 0);
+        let (mut answered, mut in_contact) = (0, 0);
         for (address, answer) in answers {
             let Some(Answer::News(news)) = answer else {
                 continue;
             };
             answered += 1;
             let heard = news.duty.as_ref();
-            let fresh = heard.is_some_and(|h| h.age < LOOK_EVERY && Some(h.token) == token);
-            hear += usize::from(fresh);
+            let fresh = heard.is_some_and(|h| h.age < READ_INTERVAL && Some(h.token) == token);
+            in_contact += usize::from(fresh);
             self.follow_heard(heard, self.now());
             self.take_news(*news, address, asked);
         }
-        (answered, hear)
+        (answered, in_contact)
     }
 
-    /// Some other VMs, without the steward.
+    /// Some peers, without the steward.
     fn peers(&self) -> Vec<SocketAddr> {
-        let fellows = self.setup.shared.look().fellows.list().clone();
-        let addresses = fellows.iter().map(|fellow| fellow.address);
+        let peers = self.setup.shared.look().fellows.list().clone();
+        let addresses = peers.iter().map(|peer| peer.address);
         self.some_of(addresses.collect())
     }
 
-    /// Some of those that read for others, without the steward.
+    /// Some of the VMs that read for others, without the steward.
     pub(super) fn other_readers(&self) -> Vec<SocketAddr> {
         let readers = reader::all(self.setup.shared.look().fellows.list());
         self.some_of(readers.into_iter().collect())
@@ -360,7 +362,7 @@
         peers.retain(|address| *address != self.setup.address && Some(*address) != steward);
         let start = self.chance() * peers.len() as f64;
         peers.rotate_left(start as usize);
-        peers.truncate(PEERS);
+        peers.truncate(MAX_PEERS_ASKED);
         peers
     }
 }
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -1,26 +1,27 @@
-//! The control path: which configuration is in force, which databases there are, who leads, and
-//! who replaces a primary that is lost.
+//! The control path: which configuration is in force, which databases exist, who leads each group,
+//! and the replacement of a lost primary.
 //!
-//! A VM that starts has its row written with those of others (`enroll`); of many VMs a few read the
-//! store for all ([`reader`]), and pass on what is long (`bulk`). Every VM beats to the steward (`heartbeat`, `news`), follows the configuration (`watch`), and
-//! reads the store itself while it hears no steward (`own`); meanwhile its leases go on by the word
-//! of others (`vouch`). One VM at a time is the steward: it
-//! takes and renews the duty in the store (`duty`, [`takeover`]), reads for the others and looks
-//! what has to be done (`errands`, [`steward`], [`evidence`]), and replaces primaries (`change`,
-//! `order`, [`promotion`], [`probe`]). What is kept in the store is in [`rows`].
+//! A VM that starts has its row written together with those of others (`enroll`). Of many VMs a few
+//! read the store for all ([`reader`]) and pass on large contents (`bulk`). Every VM sends
+//! heartbeats to the steward (`heartbeat`, `news`), follows the configuration (`watch`), and reads
+//! the store itself while the steward does not answer (`own`); meanwhile a quorum of peers extends
+//! its leases (`extension`). One VM at a time is the steward: it takes and renews the duty in the
+//! store (`duty`, [`takeover`]), reads for the others and decides what has to be done (`tasks`,
+//! [`steward`], [`evidence`]), and replaces primaries (`change`, `order`, [`promotion`],
+//! [`probe`]). [`rows`] defines what is kept in the store.
 
 pub mod backoff;
 mod bulk;
 mod change;
+pub mod delay;
 pub mod detour;
 mod duty;
 mod enroll;
 pub mod era;
-mod errands;
 pub mod evidence;
+mod extension;
 mod heartbeat;
 mod join;
-pub mod lateness;
 pub mod news;
 pub mod nudge;
 mod order;
@@ -35,7 +36,7 @@
 pub mod steward;
 pub mod store;
 pub mod takeover;
-mod vouch;
+mod tasks;
 mod watch;
 
 pub use state::Topic;
@@ -62,33 +63,33 @@
 use std::time::Duration;
 use tokio::sync::{Mutex, Notify};
 
-/// How often it is looked whether work on a primary is over, while something waits for that.
-const WORK_ENDS: Duration = Duration::from_millis(10);
+/// How often to check whether work on a primary has ended, while something waits for that.
+const WORK_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// From this many VMs on, bulk is read from the store by each, and calls of the store go by way of readers
-/// alone: a dozen readers serve ten VMs each.
-const LARGE: usize = 128;
+/// Above this many VMs, each reads large contents from the store itself, and calls of the store are
+/// relayed by readers alone: a dozen readers serve ten VMs each.
+const MIN_LARGE_VMS: usize = 128;
 
-/// What the control path is made from.
+/// The parameters of the control path.
 pub struct Setup {
     /// The platform.
     pub adapter: Adapter,
-    /// What this VM knows, shared with the sessions.
+    /// This VM's view, shared with the sessions.
     pub shared: Rc<Shared>,
     /// Calls of other VMs.
     pub call: Call,
     /// This VM.
     pub vm: VmId,
-    /// This life of its process.
+    /// The life, that is the incarnation, of its process.
     pub life: Life,
     /// Its failure domain.
     pub domain: Domain,
-    /// The processor that it has.
+    /// The processor cores that it has.
     pub cores: Cores,
-    /// Where it listens for other VMs. It has to listen before it starts the control path: a
-    /// refused connection tells others that the life which is registered there has ended.
+    /// The address at which it listens for other VMs. It has to listen before it starts the control
+    /// path: a refused connection shows others that the process registered there has ended.
     pub address: SocketAddr,
-    /// Where it relays other VMs' statements to databases, if it does.
+    /// The address at which it relays other VMs' statements to databases, if it does.
     pub relay: Option<SocketAddr>,
     /// Addresses of some other VMs, perhaps stale.
     pub seeds: Vec<SocketAddr>,
@@ -100,20 +101,20 @@
     }
 }
 
-/// What one VM knows of the others.
+/// A VM's state of the cluster, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Knowledge {
     /// Whether it is the steward.
     pub steward: bool,
     /// The token of the steward that it follows, or is.
     pub token: u64,
-    /// How long ago the steward that it follows was asked last of what it answered.
+    /// How long ago the last call that its steward answered was sent.
     pub heard: Option<Span>,
     /// How many VMs it knows to be registered.
     pub members: usize,
-    /// How old the newest reading of the register is that was told here.
+    /// The age of the newest reading of the register that this VM received.
     pub register_age: Option<Span>,
-    /// The newest configuration that is known to be there, in force here or not.
+    /// The newest configuration version known to exist, in force on this VM or not.
     pub config: Version,
 }
 
@@ -127,32 +128,33 @@
     /// The steward's sessions at databases.
     links: RefCell<BTreeMap<DatabaseId, Link>>,
     dampers: RefCell<BTreeMap<GroupId, Damper>>,
-    /// Whether the newest reading known here, or at the steward, shows this VM's row.
+    /// Whether the newest reading, of this VM or of the steward, shows this VM's row.
     member: Cell<bool>,
-    /// What this VM draws by chance. Seeded by its life, so that a world whose lives come from a seed
-    /// plays the same again.
+    /// The random number generator. Its seed is the process's life, so that a simulation whose
+    /// lives come from a seed can be replayed.
     chance: RefCell<ChaCha8Rng>,
-    /// When the rows were last read for others. One reading at a time: those that ask meanwhile are
-    /// told the same.
+    /// When the rows were last read for others. Only one reading runs at a time; requests that
+    /// arrive meanwhile share its result.
     reading: Mutex<Option<Time>>,
-    /// One renewal of the duty at a time: each needs the version that the one before left.
+    /// Allows one renewal of the duty at a time, because each needs the version that the one before
+    /// wrote.
     writing: Mutex<()>,
-    /// Something for the steward to look at.
+    /// Wakes the steward's tasks.
     wake: Notify,
-    /// A reason to send a heartbeat at once.
-    nudged: Notify,
-    /// The steward did not answer.
+    /// Requests a heartbeat at once.
+    pinged: Notify,
+    /// Signals that the steward did not answer.
     lost: Notify,
-    /// The first word of another VM has come, or none is waited for any more.
+    /// Signals that the first answer of another VM has arrived, or that none is awaited any more.
     joined: Notify,
-    /// There is a configuration that this VM was not told.
+    /// Signals that there is a configuration that this VM has not received.
     lacking: Notify,
-    /// How late this VM does what is due.
-    lateness: lateness::Lateness,
+    /// This VM's scheduling delay.
+    delay: delay::Delay,
 }
 
 impl Control {
-    /// Starts it, with its tasks on this thread.
+    /// Starts the control path, with its tasks on this thread.
     pub fn start(setup: Setup) -> Rc<Self> {
         let control = Rc::new(Self {
             id: MemberId::new(&setup.vm, setup.address.ip()),
@@ -165,18 +167,18 @@
             reading: Mutex::new(None),
             writing: Mutex::new(()),
             wake: Notify::new(),
-            nudged: Notify::new(),
+            pinged: Notify::new(),
             lost: Notify::new(),
             joined: Notify::new(),
             lacking: Notify::new(),
-            lateness: lateness::Lateness::default(),
+            delay: delay::Delay::default(),
             setup,
         });
         control.store.set_detour(detour::by_others(&control));
         actix_rt::spawn(watch::run(control.clone()));
         actix_rt::spawn(bulk::run(control.clone()));
         actix_rt::spawn(heartbeat::run(control.clone()));
-        actix_rt::spawn(vouch::run(control.clone()));
+        actix_rt::spawn(extension::run(control.clone()));
         control
     }
 
@@ -207,7 +209,7 @@
                     };
                     let id = MemberId::new(&beat.vm, beat.address.ip());
                     let applicant = Applicant { id, member, expect };
-                    // What became of it is told by the reading that follows.
+                    // The reading that follows shows the result.
                     let _ = control.enroll(applicant).await;
                     Answer::News(Box::new(control.answer_beat(beat)))
                 }
@@ -231,28 +233,28 @@
                 }
                 Question::Nudge { address, token } => {
                     control.follow(address, token, control.now());
-                    control.nudged.notify_one();
+                    control.pinged.notify_one();
                     Answer::Noted
                 }
             }
         })
     }
 
-    /// Lets nothing new start on an epoch, and gives it up once what is under way is over, or
-    /// `patience` is.
-    async fn drop_epoch(&self, group: GroupId, epoch: Epoch, patience: Span) {
+    /// Starts no new work on an epoch, and releases it once the work under way has ended or
+    /// `timeout` has passed.
+    async fn drop_epoch(&self, group: GroupId, epoch: Epoch, timeout: Span) {
         let shared = &self.setup.shared;
         shared.change(|view| view.book.close_epoch(&group, epoch));
-        let deadline = self.now() + patience;
+        let deadline = self.now() + timeout;
         while self.now() < deadline && shared.look().work.is_under_way(&group, epoch) {
-            tokio::time::sleep(WORK_ENDS).await;
+            tokio::time::sleep(WORK_POLL_INTERVAL).await;
         }
         let cut = shared.look().work.is_under_way(&group, epoch);
         shared.change(|view| view.book.drop_epoch(&group, epoch));
-        log::info!(group:%, epoch, patience_ms = patience.0 / 1_000, cut; "an epoch is given up");
+        log::info!(group:%, epoch, patience_ms = timeout.0 / 1_000, cut; "an epoch is given up");
     }
 
-    /// Whether callers may be sent here: it knows a configuration, and who leads.
+    /// Whether this VM is ready for callers: it has a configuration and knows who leads.
     pub fn is_ready(&self) -> bool {
         let now = self.now();
         let view = self.setup.shared.look();
@@ -263,29 +265,31 @@
         view.config.is_some() && !view.stopping && view.book.groups().any(fresh)
     }
 
-    /// Ends it: hands the duty over, waits until the callers are `served` and the last work on a
-    /// primary is over, and removes this VM's row. Nothing may be acted on afterwards.
+    /// Stops the control path: hands the duty over, waits until the callers are `served` and the
+    /// last work on a primary has ended, and removes this VM's row. No lease may be used
+    /// afterwards.
     ///
-    /// Between two statements there is no work for a moment. Were the leases dropped then, every
-    /// caller that the balancer still sends here would wait for a primary in vain.
+    /// Between two statements there is no work for a moment. If the leases were dropped then, every
+    /// caller that the balancer still sends here would wait in vain for a primary.
     pub async fn stop(self: &Rc<Self>, served: impl Future<Output = ()>) {
         self.setup.shared.change(|view| view.stopping = true);
         tokio::join!(self.hand_over("this VM stops"), served);
         while self.setup.shared.look().work.is_any() {
-            tokio::time::sleep(WORK_ENDS).await;
+            tokio::time::sleep(WORK_POLL_INTERVAL).await;
         }
         self.resign("this VM stops");
         self.state.borrow_mut().stopped = true;
-        // Before the row goes: without it nobody asks this VM to give an epoch up.
+        // This precedes the removal of the row, because without the row no VM asks this one to
+        // release an epoch.
         self.setup.shared.change(|view| view.book.drop_all());
         self.wake.notify_one();
-        self.nudged.notify_one();
+        self.pinged.notify_one();
         if let Err(reason) = self.unregister().await {
-            log::warn!(vm:% = self.id, reason:%; "this VM's row stays: the steward removes it");
+            log::warn!(vm:% = self.id, reason:%; "could not remove this VM's row: the steward will remove it");
         }
     }
 
-    /// What this VM knows of the others, for the scraper.
+    /// This VM's state of the cluster, for metrics.
     pub fn knowledge(&self) -> Knowledge {
         let state = self.state.borrow();
         let now = self.now();
@@ -301,25 +305,25 @@
         }
     }
 
-    /// How often the store was asked.
+    /// The numbers of calls of the store.
     pub fn counts(&self) -> Counts {
         self.store.counts()
     }
 
-    /// Whether there are so many VMs that what each of them does by way of a few is too much for these.
+    /// Whether there are so many VMs that a few cannot do the work for all of them.
     fn is_large(&self) -> bool {
         let state = self.state.borrow();
         let read = state.reading.as_ref().map_or(0, |r| r.members.len());
         let known = self.setup.shared.look().fellows.list().len();
-        state.many_rows || read.max(known) > LARGE
+        state.many_rows || read.max(known) > MIN_LARGE_VMS
     }
 
-    /// Whether this VM's row is there, as far as is known.
+    /// Whether this VM is registered, as far as it knows.
     fn is_member(&self) -> bool {
         self.member.get()
     }
 
-    /// A number from 0 to below 1, by chance.
+    /// A random number from 0 to below 1.
     fn chance(&self) -> f64 {
         self.chance.borrow_mut().random()
     }
--- a/src/direct/control/nudge.rs
+++ b/src/direct/control/nudge.rs
@@ -1,33 +1,35 @@
-//! When all VMs are asked to send a heartbeat at once.
+//! Limits how often the steward pings all VMs, that is, asks them to send a heartbeat at once.
 //!
-//! **Pattern answered.** The steward has news for all: a group's first primary, a replaced one,
-//! itself. At a first start that is so for each group in turn, some ten milliseconds apart.
-//! **Without it** 68 groups and 99 VMs are 6,700 nudges and as many heartbeats within a second, of
-//! which a steward with an eighth of a core can answer a part in time. A VM that is not answered
-//! reads the store for itself and connects anew, which is more work for the steward than an answer.
-//! **Thresholds.** The first nudge goes out at once, as a replaced primary is waited for. Those
-//! that follow within [`APART`] go out as one at its end: half of what a heartbeat waits anyway.
+//! The steward does so when it has an update for all: a group's first primary, a replaced one, or
+//! itself as the new steward. At a first start this happens for each group in turn, some ten
+//! milliseconds apart. Without the limit, 68 groups and 99 VMs make 6,700 pings and as many
+//! heartbeats within a second, of which a steward with an eighth of a core can answer only a part
+//! in time. A VM that gets no answer reads the store itself and connects anew, which is more work
+//! for the steward than an answer. The first ping is sent at once, because VMs wait for a replaced
+//! primary. Those that follow within [`MIN_INTERVAL`] are merged into one at its end, which is half
+//! the interval between heartbeats.
 
 use crate::clock::{Span, Time};
 
-/// How far apart nudges are.
-const APART: Span = Span::from_millis(250);
+/// The minimum interval between pings of all VMs.
+const MIN_INTERVAL: Span = Span::from_millis(250);
 
-/// How far apart they are for each VM: 400 nudges and heartbeats a second are
-/// a quarter of what an eighth of a core answers.
-const EACH: Span = Span(2_500);
+/// The minimum interval for each VM to be pinged: 400 pings and heartbeats a second are a quarter
+/// of what an eighth of a core answers.
+const INTERVAL_PER_VM: Span = Span(2_500);
 
-/// The nudges of a steward.
+/// Limits the rate of a steward's pings.
 #[derive(Debug, Default)]
 pub struct Nudge {
     last: Option<Time>,
 }
 
 impl Nudge {
-    /// There is news at `now` for so many VMs: when to nudge all, unless a nudge that is still to come tells it.
+    /// Requests a ping of `vms` VMs at `now`. Returns when to send it, or none if a scheduled ping
+    /// will cover it.
     pub fn ask(&mut self, now: Time, vms: usize) -> Option<Time> {
-        let apart = APART.max(Span(EACH.0 * vms as u64));
-        let at = self.last.map_or(now, |last| now.max(last + apart));
+        let interval = MIN_INTERVAL.max(Span(INTERVAL_PER_VM.0 * vms as u64));
+        let at = self.last.map_or(now, |last| now.max(last + interval));
         if self.last.is_some_and(|last| last > now) {
             return None;
         }
--- a/src/direct/control/order.rs
+++ b/src/direct/control/order.rs
@@ -1,13 +1,13 @@
-//! Chooses the next primary and orders that it leads.
+//! Chooses the next primary and orders its promotion.
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::{Promoted, Promotion};
 use crate::direct::config::Database;
 use crate::direct::control::Control;
 use crate::direct::control::backoff::Backoff;
-use crate::direct::control::change::{AGAIN, Lost, Work};
+use crate::direct::control::change::{Lost, RETRY_DELAY, Replacement};
 use crate::direct::control::duty::Renewed;
-use crate::direct::control::promotion::{Choice, Permit, Pick, Word};
+use crate::direct::control::promotion::{Choice, Permit, Pick, Reply};
 use crate::direct::control::steward::Cause;
 use crate::direct::statement::Standing;
 use crate::types::{Birth, DatabaseId, Domain, Position};
@@ -15,62 +15,64 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// By then a promotion that was taken has taken effect.
-const PROMOTED_WITHIN: Span = Span::from_millis(2_500);
+/// By this time after the order, a promotion that was accepted has taken effect.
+const MAX_PROMOTION_TIME: Span = Span::from_millis(2_500);
 
-/// How long a promotion may take before it is ordered again: a second as a rule.
-const LEADS_WITHIN: Span = Span::from_secs(3);
+/// How long a promotion may take before it is ordered again. It usually takes a second.
+const LEAD_TIMEOUT: Span = Span::from_secs(3);
 
 /// How long a database may refuse to be promoted before another one is chosen.
-const REFUSES: Span = Span::from_secs(3);
+const MAX_REFUSAL: Span = Span::from_secs(3);
 
-/// A database that is to lead.
+/// The database chosen to be the next primary.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Chosen {
-    /// Which.
+pub(super) struct Successor {
+    /// Its id.
     pub id: DatabaseId,
-    /// When it had started as it said how it stands.
+    /// The start of its process as known when it reported its state.
     pub born: Option<Birth>,
 }
 
 impl Control {
-    /// Chooses a database and has it promoted; returns it once it leads, or will in a moment.
+    /// Chooses a database and has it promoted. Returns once it leads.
     pub(super) async fn order(
         self: &Rc<Self>,
-        work: &Work,
+        replacement: &Replacement,
         target: Option<Position>,
-    ) -> Result<Chosen, Lost> {
+    ) -> Result<Successor, Lost> {
         let mut not_running = Vec::new();
         loop {
             let began = self.now();
-            let (chosen, standing) = self.choose(work, target, &not_running).await?;
+            let (chosen, standing) = self.choose(replacement, target, &not_running).await?;
             let id = &chosen.id;
             log::info!(
-                group:% = work.group, database:% = id, position:% = standing.received,
+                group:% = replacement.group, database:% = id, position:% = standing.received,
                 target:? = target.map(|t| t.to_string()),
                 took_ms = self.now().since(began).0 / 1_000; "a database is chosen to lead"
             );
             let only = not_running.is_empty();
-            match self.order_one(work, &chosen, standing, only).await? {
+            match self.order_one(replacement, &chosen, standing, only).await? {
                 true => return Ok(chosen),
                 false => not_running = vec![chosen.id],
             }
         }
     }
 
-    /// Orders one database to lead until that is certain; false if another has to be chosen: it does
-    /// not run any more, or started again and has nothing of what it was chosen for.
+    /// Orders the promotion of one database until it has certainly happened. Returns false if
+    /// another one has to be chosen, because this one does not run any more, keeps refusing, or
+    /// restarted without the data that it was chosen for.
     async fn order_one(
         self: &Rc<Self>,
-        work: &Work,
-        chosen: &Chosen,
+        replacement: &Replacement,
+        chosen: &Successor,
         before: Standing,
         only: bool,
     ) -> Result<bool, Lost> {
         let id = &chosen.id;
         let mut backoff = Backoff::default();
-        let mut unknown = false;
-        let began = self.now();
+        // Whether the outcome of an order is still open.
+        let mut open = false;
+        let from = self.now();
         loop {
             if self
                 .registered(id)
@@ -78,58 +80,58 @@
             {
                 return Ok(false);
             }
-            let asked = match self.renew(work.token, None).await {
+            let asked = match self.renew(replacement.token, None).await {
                 Renewed::Done { asked, .. } => asked,
                 Renewed::Conflict | Renewed::Lost => return Err(Lost),
             };
-            let Some(promoted) = self.order_once(work, id, asked).await else {
+            let Some(promoted) = self.order_once(replacement, id, asked).await else {
                 // The renewal took too long, or the duty is being handed over.
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
             log::info!(
-                group:% = work.group, database:% = id, token = work.token, outcome:? = promoted,
+                group:% = replacement.group, database:% = id, token = replacement.token, outcome:? = promoted,
                 renewed_ms = self.now().since(asked).0 / 1_000; "a promotion was ordered"
             );
             match promoted {
                 Promoted::Done => {
-                    if let Some(leads) = self.leads(work, id, before, only).await {
+                    if let Some(leads) = self.wait_until_leads(replacement, id, before, only).await
+                    {
                         return Ok(leads);
                     }
-                    unknown = true;
+                    open = true;
                 }
                 Promoted::NotRunning => return Ok(false),
-                Promoted::Refused if !unknown && began + REFUSES <= self.now() => return Ok(false),
+                Promoted::Refused if !open && from + MAX_REFUSAL <= self.now() => return Ok(false),
                 Promoted::Refused => {}
-                Promoted::Unknown if self.is_over(id).await => return Ok(false),
-                Promoted::Unknown => unknown = true,
+                Promoted::Unknown if self.has_ended(id).await => return Ok(false),
+                Promoted::Unknown => open = true,
             }
             backoff.wait(self.chance()).await;
         }
     }
 
-    /// Waits until a database that was ordered to lead does; false if it has ended, none if it
-    /// takes too long.
+    /// Waits until a database whose promotion was ordered leads. Returns false if it has ended,
+    /// none if it takes too long.
     ///
-    /// **Failure answered.** A promotion takes up to a second. Until then the database is a
-    /// replica: it answers reads by what it has applied, and if another replacement began now and
-    /// ordered the old primary, the platform would say that nothing has to be done.
-    /// **Symptom without it.** Reads that lack what was acknowledged; two databases that count as
-    /// primary in turn. **Why it suffices.** The new lead is written, and another replacement
-    /// begun, only once the database itself says that it leads.
+    /// A promotion takes up to a second, during which the database is still a replica and answers
+    /// reads by what it has applied. If a second replacement then ordered the old primary, the
+    /// platform would report that nothing has to be done: reads could miss acknowledged writes, and
+    /// two databases would be primary in turn. So the new lead is written, and a further
+    /// replacement begun, only once the database itself reports that it leads.
     ///
-    /// One that took itself for the primary before it was ordered to lead may do so by a term that
-    /// is over: its word counts once its term has risen, or once no promotion can be on its way.
-    async fn leads(
+    /// A database that reported to be primary before the order may do so in a term that is over. It
+    /// is trusted once its term has risen, or once no promotion can still be under way.
+    async fn wait_until_leads(
         &self,
-        work: &Work,
+        replacement: &Replacement,
         id: &DatabaseId,
         before: Standing,
         only: bool,
     ) -> Option<bool> {
-        let until = self.now() + LEADS_WITHIN;
-        let settled = self.now() + PROMOTED_WITHIN;
-        let trusted = !before.primary || (only && *id == work.old);
+        let until = self.now() + LEAD_TIMEOUT;
+        let settled = self.now() + MAX_PROMOTION_TIME;
+        let trusted = !before.primary || (only && *id == replacement.old);
         let is_new = |standing: Standing| trusted || standing.term > before.term;
         while self.now() < until {
             let known = self.registered(id);
@@ -137,102 +139,112 @@
                 return Some(false);
             };
             match self.standing(&database).await {
-                Word::Stands(standing)
+                Reply::Stands(standing)
                     if standing.primary && (is_new(standing) || self.now() >= settled) =>
                 {
-                    log::info!(group:% = work.group, database:% = id, term:% = standing.term; "it leads");
+                    log::info!(group:% = replacement.group, database:% = id, term:% = standing.term; "it leads");
                     return Some(true);
                 }
-                Word::Absent => return Some(false),
-                _ => tokio::time::sleep(AGAIN).await,
+                Reply::Absent => return Some(false),
+                _ => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
         None
     }
 
-    /// Whether a database has ended, as far as can be told.
-    async fn is_over(&self, id: &DatabaseId) -> bool {
+    /// Whether a database has ended, as far as this VM can find out.
+    async fn has_ended(&self, id: &DatabaseId) -> bool {
         let known = self.registered(id);
         match known {
             None => true,
-            Some(database) => self.standing(&database).await == Word::Absent,
+            Some(database) => self.standing(&database).await == Reply::Absent,
         }
     }
 
-    async fn order_once(&self, work: &Work, id: &DatabaseId, asked: Time) -> Option<Promoted> {
+    async fn order_once(
+        &self,
+        replacement: &Replacement,
+        id: &DatabaseId,
+        asked: Time,
+    ) -> Option<Promoted> {
         let now = self.now();
         let deadline = Permit::new(asked).deadline(now)?;
         {
             let mut state = self.state.borrow_mut();
-            let held = state.held(work.token)?;
+            let held = state.held(replacement.token)?;
             if held.handing || asked < held.valid {
                 return None;
             }
             held.ordering += 1;
         }
         let order = Promotion {
-            group: work.group.clone(),
+            group: replacement.group.clone(),
             database: id.clone(),
             holder: self.setup.vm.clone(),
-            token: work.token,
+            token: replacement.token,
             deadline,
         };
         let promoted = (self.setup.adapter.promote)(order).await;
-        if let Some(held) = self.state.borrow_mut().held(work.token) {
+        if let Some(held) = self.state.borrow_mut().held(replacement.token) {
             held.ordering -= 1;
         }
         Some(promoted)
     }
 
-    /// The databases that may lead now.
-    fn candidates(&self, work: &Work, not: &[DatabaseId]) -> Vec<Database> {
+    /// The databases that may be promoted, without those in `excluded`.
+    fn candidates(&self, replacement: &Replacement, excluded: &[DatabaseId]) -> Vec<Database> {
         let view = self.setup.shared.look();
         let stays = |d: &&Database| {
-            // The old primary is one only if it was lost. A steward before may have ordered another
-            // database to lead, which takes effect whatever the old one says now.
-            let out = work.cause.is_planned() || work.cause == Cause::Unfinished;
-            let old = out && d.id == work.old;
-            !old && !not.contains(&d.id)
+            // The old primary is a candidate only if it was lost. After an unfinished replacement
+            // it is none: the earlier steward may have ordered the promotion of another database,
+            // which takes effect whatever the old primary reports now.
+            let out = replacement.cause.is_planned() || replacement.cause == Cause::Unfinished;
+            let old = out && d.id == replacement.old;
+            !old && !excluded.contains(&d.id)
         };
-        let members = view.members(&work.group).filter(stays);
-        let (reborn, members): (Vec<_>, Vec<_>) = members.cloned().partition(|d| work.is_reborn(d));
+        let members = view.members(&replacement.group).filter(stays);
+        let (reborn, members): (Vec<_>, Vec<_>) =
+            members.cloned().partition(|d| replacement.is_reborn(d));
         let staying: Vec<_> = members.iter().filter(|d| !d.leaving).cloned().collect();
-        // The old primary without its log leads only where nobody else is left to.
+        // The old primary without its data is chosen only if there is no other candidate.
         [staying, members, reborn]
             .into_iter()
             .find(|some| !some.is_empty())
             .unwrap_or_default()
     }
 
-    fn domain(&self, work: &Work) -> Option<Domain> {
+    fn domain(&self, replacement: &Replacement) -> Option<Domain> {
         let view = self.setup.shared.look();
-        view.databases.get(&work.old).map(|d| d.domain.clone())
+        view.databases
+            .get(&replacement.old)
+            .map(|d| d.domain.clone())
     }
 
     async fn choose(
         &self,
-        work: &Work,
+        replacement: &Replacement,
         target: Option<Position>,
-        not: &[DatabaseId],
-    ) -> Result<(Chosen, Standing), Lost> {
-        let mut asked: Vec<Chosen> = Vec::new();
+        excluded: &[DatabaseId],
+    ) -> Result<(Successor, Standing), Lost> {
+        let mut asked: Vec<Successor> = Vec::new();
         let mut choice = Choice::new(self.now(), None, None, []);
         loop {
-            if self.state.borrow_mut().held(work.token).is_none() {
+            if self.state.borrow_mut().held(replacement.token).is_none() {
                 return Err(Lost);
             }
-            let candidates = self.candidates(work, not);
-            // One that started again meanwhile has to say anew how it stands.
-            let lives = candidates.iter().map(|database| Chosen {
+            let candidates = self.candidates(replacement, excluded);
+            // A database that restarted in the meantime has to report its state again.
+            let incarnations = candidates.iter().map(|database| Successor {
                 id: database.id.clone(),
                 born: database.born,
             });
-            let lives: Vec<_> = lives.collect();
-            if lives != asked || choice.pick(self.now()) == Pick::Nobody {
+            let incarnations: Vec<_> = incarnations.collect();
+            if incarnations != asked || choice.pick(self.now()) == Pick::Nobody {
                 let named = candidates.iter();
-                let named = named.map(|d| (d.id.clone(), d.domain.clone(), d.id == work.old));
-                choice = Choice::new(self.now(), self.domain(work), target, named);
-                asked = lives;
+                let named =
+                    named.map(|d| (d.id.clone(), d.domain.clone(), d.id == replacement.old));
+                choice = Choice::new(self.now(), self.domain(replacement), target, named);
+                asked = incarnations;
             }
             if let Some(id) = self.ask_round(&candidates, &mut choice).await
                 && let Some(standing) = choice.standing(&id)
@@ -240,26 +252,26 @@
             {
                 return Ok((chosen.clone(), standing));
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Asks the candidates once how they stand, until the choice can be made.
+    /// Asks each candidate once for its state, until the choice can be made.
     async fn ask_round(&self, candidates: &[Database], choice: &mut Choice) -> Option<DatabaseId> {
         let mut asks = FuturesUnordered::new();
         for database in candidates {
             asks.push(async move { (database.id.clone(), self.standing(database).await) });
         }
         loop {
-            // One that says nothing is asked for longer than the choice waits for it.
+            // A database that does not answer may be asked for longer than the choice waits for it.
             let left = match choice.pick(self.now()) {
                 Pick::Take(id, _) => return Some(id),
                 Pick::Wait(until) => until.since(self.now()),
                 Pick::Nobody => return None,
             };
             match tokio::time::timeout(Duration::from(left), asks.next()).await {
-                Ok(Some((id, word))) if choice.say(&id, word) => {
-                    log::info!(database:% = id, word:?; "a candidate says how it stands");
+                Ok(Some((id, reply))) if choice.record(&id, reply) => {
+                    log::info!(database:% = id, word:? = reply; "a candidate reports its state");
                 }
                 Ok(Some(_)) | Err(_) => {}
                 Ok(None) => return None,
--- a/src/direct/control/probe.rs
+++ b/src/direct/control/probe.rs
@@ -1,11 +1,11 @@
-//! The steward's own connections to databases: whether one runs, how it stands, and the order to
-//! step down.
+//! The steward's own connections to databases, by which it finds out whether one runs, asks for its
+//! state, and orders it to step down.
 
 use crate::clock::Span;
 use crate::direct::adapter::{Adapter, Stream, Wire};
 use crate::direct::config::Database;
 use crate::direct::control::evidence::Attempt;
-use crate::direct::control::promotion::Word;
+use crate::direct::control::promotion::Reply;
 use crate::direct::statement::{Answer, Code, End, Order};
 use bytes::BytesMut;
 use std::fmt;
@@ -13,16 +13,17 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// How long an answer may take. A round trip takes 24 ms and a new connection 12 ms; a database
-/// that is five times as slow still answers within this.
-pub const PATIENCE: Span = Span::from_millis(350);
+/// How long an answer may take. A round trip takes 24 ms and a new connection 12 ms, so a database
+/// that is five times as slow still answers in time.
+pub const ANSWER_TIMEOUT: Span = Span::from_millis(350);
 
-/// The question takes a slot. A database whose slots are all taken says so at once, and one is
-/// free again within some milliseconds: the gap in service ends sooner if it is asked again soon.
-const BUSY_TRIES: u32 = 10;
-const BUSY_PAUSE: Duration = Duration::from_millis(5);
+/// The number of tries, and the delay between them, while all slots of a database are taken. It
+/// refuses the question at once, and a slot is free again within some milliseconds: a short delay
+/// shortens the gap in service.
+const MAX_BUSY_TRIES: u32 = 10;
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// A session of the steward's own at a database.
+/// A session of the steward at a database.
 pub struct Link {
     stream: Box<dyn Stream>,
     input: BytesMut,
@@ -35,12 +36,12 @@
     }
 }
 
-/// How opening a session ended.
+/// The result of opening a session.
 #[derive(Debug)]
 pub enum Opened {
     /// It is open.
     Link(Link),
-    /// The database runs and takes no session now.
+    /// The database runs but accepts no session at present.
     Full,
     /// Nothing listens there, or another database does.
     Refused,
@@ -49,7 +50,7 @@
 }
 
 impl Opened {
-    /// What this says of the database.
+    /// The result as evidence on the database.
     pub fn attempt(&self) -> Attempt {
         match self {
             Self::Link(_) | Self::Full => Attempt::Answered,
@@ -59,9 +60,10 @@
     }
 }
 
-/// Opens a session at a database, which has to be the one that is registered there.
+/// Opens a session at a database, and checks that it is the one registered at this address.
 pub async fn open(adapter: &Adapter, database: &Database) -> Opened {
-    let opened = tokio::time::timeout(Duration::from(PATIENCE), start(adapter, database)).await;
+    let opened =
+        tokio::time::timeout(Duration::from(ANSWER_TIMEOUT), start(adapter, database)).await;
     match opened {
         Ok(Ok(opened)) => opened,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => Opened::Refused,
@@ -70,7 +72,7 @@
 }
 
 async fn start(adapter: &Adapter, database: &Database) -> io::Result<Opened> {
-    let stream = (adapter.connect)(database.address, PATIENCE).await?;
+    let stream = (adapter.connect)(database.address, ANSWER_TIMEOUT).await?;
     let mut link = Link {
         stream,
         input: BytesMut::new(),
@@ -91,10 +93,10 @@
 }
 
 impl Link {
-    /// Gives an order; no answer, or a broken one, is none.
+    /// Sends an order. Returns none if there is no answer, or a malformed one.
     pub async fn ask(&mut self, order: &Order) -> Option<Answer> {
-        let asked = self.exchange(order);
-        let answer = tokio::time::timeout(Duration::from(PATIENCE), asked).await;
+        let exchange = self.exchange(order);
+        let answer = tokio::time::timeout(Duration::from(ANSWER_TIMEOUT), exchange).await;
         answer.ok()?.ok()
     }
 
@@ -118,27 +120,27 @@
     }
 }
 
-/// Asks a database how it stands, by a session that is open already or a new one, which is kept
-/// for the next time if it still works.
-pub async fn standing(adapter: &Adapter, database: &Database, link: &mut Option<Link>) -> Word {
+/// Asks a database for its state, by an open session or a new one. The session is kept in `link` if
+/// it still works.
+pub async fn standing(adapter: &Adapter, database: &Database, link: &mut Option<Link>) -> Reply {
     let mut open = match link.take() {
         Some(open) => open,
         None => match self::open(adapter, database).await {
             Opened::Link(open) => open,
-            Opened::Refused => return Word::Absent,
-            Opened::Full | Opened::Silent => return Word::Pending,
+            Opened::Refused => return Reply::Absent,
+            Opened::Full | Opened::Silent => return Reply::Pending,
         },
     };
-    for _ in 0..BUSY_TRIES {
+    for _ in 0..MAX_BUSY_TRIES {
         let Some(answer) = open.ask(&Order::Standing).await else {
-            return Word::Pending;
+            return Reply::Pending;
         };
         if let Some(standing) = (adapter.wire.read_standing)(&answer) {
             *link = Some(open);
-            return Word::Stands(standing);
+            return Reply::Stands(standing);
         }
-        tokio::time::sleep(BUSY_PAUSE).await;
+        tokio::time::sleep(BUSY_RETRY_DELAY).await;
     }
     *link = Some(open);
-    Word::Pending
+    Reply::Pending
 }
--- a/src/direct/control/promotion.rs
+++ b/src/direct/control/promotion.rs
@@ -1,145 +1,149 @@
-//! The steps of replacing a primary, as decisions: who is still waited for, which database is
-//! chosen, and until when the order may be sent.
+//! Decisions in the replacement of a primary: which VMs to wait for, which database to choose, and
+//! until when an order may be sent.
 
 use crate::clock::{Span, Time};
 use crate::direct::control::rows::MemberId;
-use crate::direct::control::takeover::ORDER_WITHIN;
+use crate::direct::control::takeover::ORDER_TIMEOUT;
 use crate::direct::lead::{LEASE, TERM, UNHEARD};
 use crate::direct::statement::Standing;
 use crate::types::{DatabaseId, Domain, Position, Term};
 use std::collections::BTreeMap;
 
-/// For clocks that run unlike.
+/// Allows for clocks that run at different rates.
 const MARGIN: Span = Span::from_millis(250);
 
-/// What an order needs to arrive and be answered; with less time left the duty is renewed first.
-const ORDER_NEEDS: Span = Span::from_millis(300);
+/// The time an order needs to arrive and be answered. With less time left, the duty is renewed
+/// first.
+const MIN_ORDER_TIME: Span = Span::from_millis(300);
 
-/// How much sooner than it has to be an order is broken off.
+/// How long before its deadline an order is cancelled.
 const ORDER_MARGIN: Span = Span::from_millis(100);
 
-/// How long a replica that does not answer is waited for once another did.
+/// How long to wait for replicas that do not answer once another one did.
 ///
-/// **Pattern answered.** The replica with the most of the log is slow for a moment, and one that
-/// has received nothing answers at once. **Without it** the one that is behind wins, and what the
-/// other had is lost. **Threshold.** Five slow answers at a database that is five times as slow;
-/// longer would add to the gap more than a crashed replica's refusal, which ends the wait at once.
-const ANSWERS_WITHIN: Span = Span::from_millis(900);
+/// Without the wait, a replica that has received nothing and answers at once would be chosen over
+/// one that has more of the log but is slow for a moment, and the difference would be lost. 900 ms
+/// covers five slow answers from a database that is five times as slow; more would add to the gap
+/// in service. A crashed replica refuses the connection, which ends the wait at once.
+const ANSWER_TIMEOUT: Span = Span::from_millis(900);
 
-/// How long the old primary is waited for. If it is back, or was only cut off, it has all that
-/// was acknowledged; but as a rule it is why this happens, and each wait is a gap in service.
-const OLD_WITHIN: Span = Span::from_millis(150);
+/// How long to wait for the old primary. If it is back, or was only cut off, it has everything that
+/// was acknowledged; but it is usually the reason for the replacement, and each wait prolongs the
+/// gap in service.
+const OLD_PRIMARY_TIMEOUT: Span = Span::from_millis(150);
 
-/// How long a replica may take to get what the old primary has, when that one still runs.
-const CATCH_UP: Span = Span::from_millis(2_500);
+/// How long a replica may take to catch up with an old primary that still runs.
+const CATCH_UP_TIMEOUT: Span = Span::from_millis(2_500);
 
-/// Until when VMs that may hold a lease of the old epoch are waited for.
+/// Tracks the VMs that may still hold a lease of the old epoch, and until when to wait for them.
 ///
-/// **Failure answered.** A VM that is frozen or cut off goes on acting on the old primary.
-/// **Symptom without it.** It acknowledges what the new primary lacks. **Why it suffices.** Every
-/// reading that shows the old lead was asked before the intent was there, so its lease ends
-/// [`LEASE`] after that at the latest. For a VM that was evicted the same holds of that moment,
-/// as later readings are no leases for it. Its own word, or its end, makes it sooner.
+/// A VM that is frozen or cut off would otherwise go on acting on the old primary and acknowledge
+/// writes that the new primary lacks. Every reading that shows the old lead was requested before
+/// the intent was written, so its lease expires within [`LEASE`] of the intent. For an evicted VM
+/// the same holds from its eviction on, because later readings grant it no lease. The wait ends
+/// sooner if the VM releases the epoch or has ended.
 ///
-/// Once no more than [`UNHEARD`] are left, [`TERM`] from there is enough: beyond [`TERM`] since
-/// the intent a lease needs a voucher that is not among these. That one has dropped the epoch, or
-/// has ended, or has no young reading any more, so it was asked before. A VM that was no member
-/// any more when the rows were read had stopped to vouch by then.
+/// Once no more than [`UNHEARD`] VMs are left, [`TERM`] from then on is enough. More than [`TERM`]
+/// after the intent, a lease is only extended if a VM outside that set confirms it. Such a VM has
+/// released the epoch, has ended, or has no recent reading, so the confirmation was requested
+/// before. A VM that was not registered any more when the rows were read had stopped confirming by
+/// then.
 #[derive(Debug, Default)]
 pub struct Drops {
-    waited: BTreeMap<MemberId, Time>,
-    /// When few enough were left.
-    few: Option<Time>,
+    pending: BTreeMap<MemberId, Time>,
+    /// When few enough VMs were left.
+    few_since: Option<Time>,
 }
 
 impl Drops {
-    /// Waits for VMs, each by when the intent, or its eviction if that was sooner, was there. The
-    /// reading that showed them was asked after the intent, and was there at `read`.
+    /// Waits for the given VMs. Each comes with the time at which the intent was written, or of its
+    /// eviction if that was earlier. The reading that listed them was requested after the intent
+    /// and was complete at `read`.
     pub fn new(members: impl IntoIterator<Item = (MemberId, Time)>, read: Time) -> Self {
         let members = members.into_iter();
         let mut drops = Self {
-            waited: members.map(|(id, since)| (id, lapsed_at(since))).collect(),
-            few: None,
+            pending: members.map(|(id, since)| (id, lapsed_at(since))).collect(),
+            few_since: None,
         };
         drops.count(read);
         drops
     }
 
-    /// A VM gave the epoch up, or ended, or its time is over, as is known at `now`.
+    /// Records at `now` that a VM released the epoch, has ended, or that its lease has expired.
     pub fn done(&mut self, member: &MemberId, now: Time) {
-        self.waited.remove(member);
+        self.pending.remove(member);
         self.count(now);
     }
 
-    /// Until when a VM is waited for if nothing is heard of the others.
+    /// Until when to wait for a VM if the others do not answer either.
     pub fn until(&self, member: &MemberId) -> Option<Time> {
-        self.waited.get(member).copied()
+        self.pending.get(member).copied()
     }
 
-    /// Until when any is waited for.
+    /// Until when to wait for any VM.
     pub fn end(&self) -> Option<Time> {
-        let last = self.waited.values().max().copied()?;
-        let short = self.few.map(|few| few + TERM + MARGIN);
+        let last = self.pending.values().max().copied()?;
+        let short = self.few_since.map(|few_since| few_since + TERM + MARGIN);
         Some(short.map_or(last, |short| short.min(last)))
     }
 
-    /// The VMs that are waited for.
+    /// The VMs that have not answered yet.
     pub fn waited(&self) -> impl Iterator<Item = &MemberId> {
-        self.waited.keys()
+        self.pending.keys()
     }
 
     fn count(&mut self, now: Time) {
-        if self.waited.len() <= UNHEARD {
-            self.few.get_or_insert(now);
+        if self.pending.len() <= UNHEARD {
+            self.few_since.get_or_insert(now);
         }
     }
 }
 
-/// From when on a VM that was evicted, as seen in a reading there at `seen`, holds no lease.
+/// When a VM that a reading complete at `seen` showed as evicted no longer holds a lease.
 pub fn lapsed_at(seen: Time) -> Time {
     seen + LEASE + MARGIN
 }
 
-/// A right to order: the duty was renewed, asked at this moment.
+/// Permission to send an order, which a renewal of the duty gives for a limited time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Permit {
     asked: Time,
 }
 
 impl Permit {
-    /// The duty was renewed by a call asked at `asked`.
+    /// Creates a permit from a renewal that was requested at `asked`.
     pub fn new(asked: Time) -> Self {
         Self { asked }
     }
 
-    /// Until when the order may be under way, or none if too little is left of that.
+    /// The deadline of an order, or none if too little time is left.
     pub fn deadline(&self, now: Time) -> Option<Time> {
-        let deadline = self.asked + ORDER_WITHIN - ORDER_MARGIN;
-        (now + ORDER_NEEDS <= deadline).then_some(deadline)
+        let deadline = self.asked + ORDER_TIMEOUT - ORDER_MARGIN;
+        (now + MIN_ORDER_TIME <= deadline).then_some(deadline)
     }
 }
 
-/// What a database said when asked how it stands.
+/// The answer of a database that was asked for its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
-    /// Nothing yet.
+pub enum Reply {
+    /// No answer yet.
     Pending,
-    /// It can't be reached, or is no candidate any more.
+    /// It cannot be reached, or is no longer a candidate.
     Absent,
-    /// How it stands.
+    /// Its state.
     Stands(Standing),
 }
 
 /// A database that may lead.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Which.
+    /// Its id.
     pub id: DatabaseId,
     /// Its failure domain.
     pub domain: Domain,
-    /// What it said.
-    pub word: Word,
-    /// Whether it is the old primary, which is hardly waited for.
+    /// Its answer.
+    pub reply: Reply,
+    /// Whether it is the old primary, for which the wait is short.
     pub old: bool,
 }
 
@@ -147,26 +151,26 @@
 #[derive(Debug)]
 pub struct Choice {
     began: Time,
-    /// The failure domain of the old primary, if that is known: callers are near it.
+    /// The failure domain of the old primary, if known: most callers are near it.
     near: Option<Domain>,
-    /// What the old primary had when nothing could be written there any more.
+    /// The old primary's log position once nothing more could be written there.
     target: Option<Position>,
     candidates: Vec<Candidate>,
 }
 
-/// What to do about the choice.
+/// The state of the choice.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// Ask again, and look again then at the latest.
+    /// Ask the candidates again, and decide again at this time at the latest.
     Wait(Time),
-    /// This one, which has the log up to there.
+    /// Promote this database, which has the log up to this position.
     Take(DatabaseId, Position),
-    /// No candidate is there.
+    /// There is no candidate.
     Nobody,
 }
 
 impl Choice {
-    /// Begins to choose.
+    /// Starts a choice at `now`.
     pub fn new(
         now: Time,
         near: Option<Domain>,
@@ -176,7 +180,7 @@
         let candidate = |(id, domain, old)| Candidate {
             id,
             domain,
-            word: Word::Pending,
+            reply: Reply::Pending,
             old,
         };
         Self {
@@ -187,70 +191,70 @@
         }
     }
 
-    /// The databases that may be chosen, and what they said.
+    /// The candidates and their answers.
     pub fn candidates(&self) -> &[Candidate] {
         &self.candidates
     }
 
-    /// How a database stands, if it said so.
+    /// The state that a database reported, if any.
     pub fn standing(&self, id: &DatabaseId) -> Option<Standing> {
         let candidate = self.candidates.iter().find(|c| c.id == *id)?;
-        match candidate.word {
-            Word::Stands(standing) => Some(standing),
-            Word::Pending | Word::Absent => None,
+        match candidate.reply {
+            Reply::Stands(standing) => Some(standing),
+            Reply::Pending | Reply::Absent => None,
         }
     }
 
-    /// A database said how it stands; returns whether that is new. One that is too busy to say
-    /// it once more still has what it had.
-    pub fn say(&mut self, id: &DatabaseId, word: Word) -> bool {
+    /// Records a database's answer; returns whether it is new. A database that is too busy to
+    /// answer again keeps the state that it reported before.
+    pub fn record(&mut self, id: &DatabaseId, reply: Reply) -> bool {
         let mut candidates = self.candidates.iter_mut();
         let Some(candidate) = candidates.find(|c| c.id == *id) else {
             return false;
         };
-        if word == Word::Pending || word == candidate.word {
+        if reply == Reply::Pending || reply == candidate.reply {
             return false;
         }
-        candidate.word = word;
+        candidate.reply = reply;
         true
     }
 
-    /// Whether the choice may be made.
+    /// Returns the choice, or until when to wait for more answers.
     pub fn pick(&self, now: Time) -> Pick {
         let pending = |old: bool| {
             let mut candidates = self.candidates.iter();
-            candidates.any(|c| c.word == Word::Pending && c.old == old)
+            candidates.any(|c| c.reply == Reply::Pending && c.old == old)
         };
         let Some((id, position)) = self.best() else {
-            return match self.candidates.iter().any(|c| c.word == Word::Pending) {
-                true => Pick::Wait(now + ANSWERS_WITHIN),
+            return match self.candidates.iter().any(|c| c.reply == Reply::Pending) {
+                true => Pick::Wait(now + ANSWER_TIMEOUT),
                 false => Pick::Nobody,
             };
         };
-        let answers = self.began + ANSWERS_WITHIN;
+        let answers = self.began + ANSWER_TIMEOUT;
         if pending(false) && now < answers {
             return Pick::Wait(answers);
         }
-        let old = self.began + OLD_WITHIN;
+        let old = self.began + OLD_PRIMARY_TIMEOUT;
         if pending(true) && now < old {
             return Pick::Wait(old);
         }
         let behind = self.target.is_some_and(|target| position < target);
-        let catch_up = self.began + CATCH_UP;
+        let catch_up = self.began + CATCH_UP_TIMEOUT;
         if behind && now < catch_up {
             return Pick::Wait(catch_up);
         }
         Pick::Take(id, position)
     }
 
-    /// Whether the choice would lose what the old primary has.
+    /// Whether promoting a database at this position would lose writes of the old primary.
     pub fn loses(&self, position: Position) -> bool {
         self.target.is_some_and(|target| position < target)
     }
 
     fn best(&self) -> Option<(DatabaseId, Position)> {
-        let standing = |c: &Candidate| match c.word {
-            Word::Stands(standing) => Some(standing),
+        let standing = |c: &Candidate| match c.reply {
+            Reply::Stands(standing) => Some(standing),
             _ => None,
         };
         let ranked = self
@@ -259,7 +263,7 @@
             .filter_map(|c| Some((c, standing(c)?)));
         let best = ranked.max_by_key(|(c, standing)| {
             let near = self.near.as_ref() == Some(&c.domain);
-            // A primary of the newest term needs no time to become one.
+            // A database that is primary already needs no promotion.
             let leads = if standing.primary {
                 standing.term
             } else {
--- a/src/direct/control/steward.rs
+++ b/src/direct/control/steward.rs
@@ -1,9 +1,9 @@
-//! What the steward has to do, by what it knows.
+//! Decides what the steward (the VM elected to coordinate promotions) has to do, given its state.
 
 use crate::clock::{Span, Time};
 use crate::core::detect::Damper;
 use crate::direct::config::{Config, Database};
-use crate::direct::control::evidence::{Attempt, Tried, Verdict, Votes, Witness, count, judge};
+use crate::direct::control::evidence::{Attempt, Observation, Tried, Verdict, Votes, count, judge};
 use crate::direct::control::promotion::lapsed_at;
 use crate::direct::control::rows::{MemberId, Reading};
 use crate::direct::control::state::Topic;
@@ -13,28 +13,30 @@
 use crate::types::{DatabaseId, GroupId, Life};
 use std::collections::BTreeMap;
 
-/// How long a VM may be silent before the steward finds out why: its row costs the next
-/// replacement a wait of a lease, unless it is marked before.
-const MEMBER_SILENT: Span = Span::from_millis(1_200);
+/// How long a VM may send no heartbeat before the steward pings it. Unless its row is marked as
+/// evicted in time, the next replacement has to wait for its lease to expire.
+const MEMBER_TIMEOUT: Span = Span::from_millis(1_200);
 
-/// The pause between two attempts to reach a database that is said to fail, and after one that it
-/// answered: each takes a connection for 12 ms.
-const TRY_EVERY: Span = Span::from_millis(150);
-const TRY_ANSWERED: Span = Span::from_millis(600);
+/// The pause between two attempts to reach a database that is reported to fail, and the pause after
+/// an attempt that it answered. Each attempt takes a connection for 12 ms.
+const TRY_INTERVAL: Span = Span::from_millis(150);
+const TRY_INTERVAL_ANSWERED: Span = Span::from_millis(600);
 
-/// How long a primary may be registered as a replica before it is believed: a promotion takes up
-/// to a second, and its report to the register another two.
-const UNLED: Span = Span::from_secs(5);
+/// How long a primary has to be registered as a replica before the steward acts on it: a promotion
+/// takes up to a second, and its report to the register another two.
+const UNLED_DELAY: Span = Span::from_secs(5);
 
-/// How long a VM has to know the register before an entry that it never had counts as gone: those
-/// that expired in an outage are back within 2 s of its end, and a VM may start just then.
-const ENTERED: Span = Span::from_millis(2_500);
+/// How long a VM has to know the register before it treats an entry that it never had as gone:
+/// entries that expired in a store outage are back within 2 s of its end, and a VM may start just
+/// then.
+const REGISTER_DELAY: Span = Span::from_millis(2_500);
 
-/// How long a group without a lead row may have no database that takes itself for the primary.
-const HEADLESS: Span = Span::from_secs(6);
+/// How long a steward waits for a primary to appear in a group without a lead row before it assigns
+/// any database of that group.
+const NO_PRIMARY_DELAY: Span = Span::from_secs(6);
 
-/// How soon the steward looks again while anything is suspicious.
-const AGAIN: Span = Span::from_millis(50);
+/// How soon the steward checks again while a primary is suspected.
+const RECHECK_INTERVAL: Span = Span::from_millis(50);
 
 /// Why a primary is replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -47,140 +49,141 @@
     Leaving,
     /// Many VMs do not reach it, others do.
     Split,
-    /// It takes itself for a replica, and nobody leads.
+    /// It reports that it is a replica, and no other database leads.
     Unled,
-    /// It started again under its id, and has nothing of what it had.
+    /// It restarted under the same id and lost its data.
     Reborn,
-    /// A steward before began to replace it.
+    /// An earlier steward began to replace it and did not finish.
     Unfinished,
 }
 
 impl Cause {
-    /// Whether work on the old primary may end, and the old primary is no candidate.
+    /// Whether work under way on the old primary is given time to end, and the old primary is
+    /// excluded from the candidates.
     pub fn is_planned(self) -> bool {
         matches!(self, Self::Leaving | Self::Split)
     }
 }
 
-/// Something to do.
+/// A task for the steward.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Errand {
+pub enum Action {
     /// Write a new group's first lead row.
     Create(GroupId, DatabaseId),
     /// Replace a group's primary.
     Change(GroupId, Cause),
     /// Try to reach a database.
     Try(DatabaseId),
-    /// Tell a database that another one leads.
+    /// Order a database to step down because another one leads.
     StepDown(GroupId, DatabaseId),
-    /// Find out about a VM that is silent.
-    Call(MemberId),
-    /// Remove the row of a VM that can hold no lease.
+    /// Ping a VM that is silent, to find out whether it has ended.
+    Ping(MemberId),
+    /// Remove the row of a VM that can no longer hold a lease.
     Remove(MemberId, Version),
 }
 
-impl Errand {
-    /// What it is about.
+impl Action {
+    /// The group, database or VM that the task concerns. One task at a time runs for each topic.
     pub fn topic(&self) -> Topic {
         match self {
             Self::Create(group, _) | Self::Change(group, _) => Topic::Group(group.clone()),
             Self::Try(database) => Topic::Database(database.clone()),
             Self::StepDown(_, database) => Topic::StepDown(database.clone()),
-            Self::Call(member) | Self::Remove(member, _) => Topic::Member(member.clone()),
+            Self::Ping(member) | Self::Remove(member, _) => Topic::Member(member.clone()),
         }
     }
 }
 
-/// What a VM told, as the survey needs it.
+/// The last heartbeat of a VM, as far as [`plan`] needs it.
 #[derive(Debug, Clone)]
-pub struct Told<'a> {
-    /// Its life.
+pub struct Status<'a> {
+    /// The incarnation of its process.
     pub life: Life,
-    /// When.
+    /// When it arrived.
     pub at: Time,
-    /// How databases answered it.
+    /// How databases answered the VM.
     pub reports: &'a BTreeMap<DatabaseId, Report>,
 }
 
-/// What the steward knows.
+/// The steward's state, on which it decides.
 #[derive(Debug)]
-pub struct Scene<'a> {
+pub struct Snapshot<'a> {
     /// The time.
     pub now: Time,
-    /// Since when this VM is the steward.
+    /// When this VM became the steward.
     pub since: Time,
     /// This VM.
     pub own: &'a MemberId,
-    /// The rows.
+    /// The rows read from the store.
     pub reading: &'a Reading,
     /// The databases.
     pub databases: &'a BTreeMap<DatabaseId, Database>,
-    /// The configuration: a group that it does not name gets no primary, as anybody may write an
-    /// entry of one into the register.
+    /// The configuration. A group that it does not name gets no primary, because anyone can write
+    /// an entry for a group into the register.
     pub config: Option<&'a Config>,
-    /// When the first reading of the register was asked that is known here.
+    /// When the first reading of the register that this VM has was requested.
     pub began: Option<Time>,
-    /// Since when the store answers each call.
+    /// Since when the store has answered every call.
     pub up: Option<Time>,
-    /// What VMs told, this one too.
-    pub told: &'a BTreeMap<MemberId, Told<'a>>,
+    /// The last heartbeat of each VM, including this one.
+    pub statuses: &'a BTreeMap<MemberId, Status<'a>>,
     /// The last attempts to reach databases.
     pub tried: &'a BTreeMap<DatabaseId, Tried>,
     /// When evicted VMs were first seen as such, by the version of their rows.
     pub evicted: &'a BTreeMap<MemberId, (Version, Time)>,
-    /// Since when groups have had their epochs.
+    /// Each group's epoch, and since when it has had it.
     pub epochs: &'a BTreeMap<GroupId, (u64, Time)>,
-    /// What keeps replacements of one group apart where the primary still runs.
+    /// Limits how often a group's primary is replaced while it still runs.
     pub dampers: &'a BTreeMap<GroupId, Damper>,
-    /// How much longer than usual a VM may be silent, as this one is late itself.
+    /// How much longer than usual a VM may be silent, because this VM is itself scheduled late.
     pub margin: Span,
 }
 
-/// What to do now, and when to look again if nothing happens before.
-pub fn survey(scene: &Scene) -> (Vec<Errand>, Option<Time>) {
-    let survey = Survey::new(scene);
-    let mut errands = Vec::new();
-    let mut suspicious = false;
-    for (group, (lead, _)) in &scene.reading.leads {
-        suspicious |= survey.look_at_group(group, lead, &mut errands);
+/// Returns what to do now, and when to check again if nothing happens before.
+pub fn plan(snapshot: &Snapshot) -> (Vec<Action>, Option<Time>) {
+    let planner = Planner::new(snapshot);
+    let mut actions = Vec::new();
+    let mut suspected = false;
+    for (group, (lead, _)) in &snapshot.reading.leads {
+        suspected |= planner.check_group(group, lead, &mut actions);
     }
-    survey.look_for_new_groups(&mut errands);
-    scene.look_at_members(&mut errands);
-    (errands, suspicious.then(|| scene.now + AGAIN))
+    planner.find_new_groups(&mut actions);
+    snapshot.check_members(&mut actions);
+    (actions, suspected.then(|| snapshot.now + RECHECK_INTERVAL))
 }
 
-/// A scene with its databases by group, and what was told by database.
+/// A snapshot indexed by group and by database.
 ///
-/// **Pattern answered.** Hundreds of groups and VMs, and a survey with each heartbeat that tells of
-/// something new. **Without it** each group goes through all databases and all VMs, and a steward with an
-/// eighth of a core answers no heartbeat meanwhile.
-struct Survey<'a> {
-    scene: &'a Scene<'a>,
+/// It is built once for each heartbeat that reports something new. With hundreds of groups and VMs,
+/// a search through all databases and VMs for each group would keep a steward with an eighth of a
+/// core from answering heartbeats.
+struct Planner<'a> {
+    snapshot: &'a Snapshot<'a>,
     groups: BTreeMap<&'a GroupId, Vec<&'a Database>>,
-    witnesses: BTreeMap<&'a DatabaseId, Vec<Witness>>,
+    observations: BTreeMap<&'a DatabaseId, Vec<Observation>>,
 }
 
-impl<'a> Survey<'a> {
-    fn new(scene: &'a Scene<'a>) -> Self {
+impl<'a> Planner<'a> {
+    fn new(snapshot: &'a Snapshot<'a>) -> Self {
         let mut groups = BTreeMap::<_, Vec<_>>::new();
-        for database in scene.databases.values() {
+        for database in snapshot.databases.values() {
             groups.entry(&database.group).or_default().push(database);
         }
-        let mut witnesses = BTreeMap::<_, Vec<_>>::new();
-        for told in scene.told.values() {
-            // A VM that never tried has no opinion.
-            for (database, report) in told.reports {
-                let witness = Witness {
-                    heard: told.at,
+        let mut observations = BTreeMap::<_, Vec<_>>::new();
+        for status in snapshot.statuses.values() {
+            // A VM that never tried to reach a database has no vote on it.
+            for (database, report) in status.reports {
+                let observation = Observation {
+                    received: status.at,
                     report: *report,
                 };
-                witnesses.entry(database).or_default().push(witness);
+                observations.entry(database).or_default().push(observation);
             }
         }
         Self {
-            scene,
+            snapshot,
             groups,
-            witnesses,
+            observations,
         }
     }
 
@@ -190,35 +193,39 @@
     }
 
     fn votes(&self, database: &DatabaseId) -> Votes {
-        let witnesses = self.witnesses.get(database);
-        count(witnesses.into_iter().flatten().copied(), self.scene.now)
+        let observations = self.observations.get(database);
+        count(
+            observations.into_iter().flatten().copied(),
+            self.snapshot.now,
+        )
     }
 
-    /// Returns whether something is suspicious.
-    fn look_at_group(&self, group: &GroupId, lead: &Lead, errands: &mut Vec<Errand>) -> bool {
+    /// Adds what has to be done for a group; returns whether its primary is suspected.
+    fn check_group(&self, group: &GroupId, lead: &Lead, actions: &mut Vec<Action>) -> bool {
         if lead.changing {
-            errands.push(Errand::Change(group.clone(), Cause::Unfinished));
+            actions.push(Action::Change(group.clone(), Cause::Unfinished));
             return false;
         }
-        self.look_for_old_primaries(group, lead, errands);
-        let Some(primary) = self.scene.databases.get(&lead.primary) else {
-            // A register that had the entry keeps it until it is believed to be gone.
+        self.find_old_primaries(group, lead, actions);
+        let Some(primary) = self.snapshot.databases.get(&lead.primary) else {
+            // A VM that knew the entry keeps it until the entry counts as gone, so only a new VM
+            // lacks it.
             let settled = self
-                .scene
+                .snapshot
                 .began
-                .is_some_and(|at| at + ENTERED <= self.scene.now);
+                .is_some_and(|at| at + REGISTER_DELAY <= self.snapshot.now);
             if settled && self.groups.contains_key(group) {
-                errands.push(Errand::Change(group.clone(), Cause::Gone));
+                actions.push(Action::Change(group.clone(), Cause::Gone));
             }
             return !settled;
         };
         if primary.born != lead.born {
-            errands.push(Errand::Change(group.clone(), Cause::Reborn));
+            actions.push(Action::Change(group.clone(), Cause::Reborn));
             return false;
         }
         let votes = self.votes(&primary.id);
-        let tried = self.scene.tried.get(&primary.id).copied();
-        let verdict = judge(&votes, tried, self.scene.now);
+        let tried = self.snapshot.tried.get(&primary.id).copied();
+        let verdict = judge(&votes, tried, self.snapshot.now);
         let cause = match verdict {
             Verdict::Lost => Some(Cause::Lost),
             Verdict::Split if self.may_split(group, primary) => Some(Cause::Split),
@@ -227,25 +234,30 @@
             _ => None,
         };
         if let Some(cause) = cause {
-            errands.push(Errand::Change(group.clone(), cause));
+            actions.push(Action::Change(group.clone(), cause));
             return false;
         }
-        let suspicious = verdict != Verdict::Fine;
-        let rested = tried.is_none_or(|tried| {
+        let suspected = verdict != Verdict::Fine;
+        let may_try = tried.is_none_or(|tried| {
             let answered = tried.attempt == Attempt::Answered;
-            let rest = if answered { TRY_ANSWERED } else { TRY_EVERY };
-            tried.ended + rest <= self.scene.now
+            let interval = if answered {
+                TRY_INTERVAL_ANSWERED
+            } else {
+                TRY_INTERVAL
+            };
+            tried.ended + interval <= self.snapshot.now
         });
-        if suspicious && rested {
-            errands.push(Errand::Try(primary.id.clone()));
+        if suspected && may_try {
+            actions.push(Action::Try(primary.id.clone()));
         }
-        suspicious
+        suspected
     }
 
-    /// A primary that some VMs reach is replaced only by one that more of them reach, and seldom.
+    /// A primary that some VMs reach is replaced only if a larger share of VMs reaches another
+    /// database, and at most once per damping interval.
     fn may_split(&self, group: &GroupId, primary: &Database) -> bool {
-        let damper = self.scene.dampers.get(group);
-        if damper.is_some_and(|damper| self.scene.now < damper.allows_at()) {
+        let damper = self.snapshot.dampers.get(group);
+        if damper.is_some_and(|damper| self.snapshot.now < damper.allows_at()) {
             return false;
         }
         let failing = self.votes(&primary.id);
@@ -261,55 +273,58 @@
     }
 
     fn is_unled(&self, group: &GroupId, primary: &Database) -> bool {
-        let settled = |at: Time| at + UNLED <= self.scene.now;
+        let settled = |at: Time| at + UNLED_DELAY <= self.snapshot.now;
         let epoch = self
-            .scene
+            .snapshot
             .reading
             .leads
             .get(group)
             .map(|(lead, _)| lead.epoch);
-        let known = self.scene.epochs.get(group);
+        let known = self.snapshot.epochs.get(group);
         let known = known.is_some_and(|(known, at)| Some(*known) == epoch && settled(*at));
-        !primary.primary && known && settled(self.scene.since) && self.scene.up.is_some_and(settled)
+        !primary.primary
+            && known
+            && settled(self.snapshot.since)
+            && self.snapshot.up.is_some_and(settled)
     }
 
-    /// One that came back, or never heard that another was promoted, still takes itself for the
-    /// primary.
-    fn look_for_old_primaries(&self, group: &GroupId, lead: &Lead, errands: &mut Vec<Errand>) {
+    /// Finds databases that still report that they are primary although another one leads: they
+    /// were unreachable, or did not learn of the promotion.
+    fn find_old_primaries(&self, group: &GroupId, lead: &Lead, actions: &mut Vec<Action>) {
         for old in self
             .members(group)
             .filter(|d| d.primary && d.id != lead.primary)
         {
-            errands.push(Errand::StepDown(group.clone(), old.id.clone()));
+            actions.push(Action::StepDown(group.clone(), old.id.clone()));
         }
     }
 
-    fn look_for_new_groups(&self, errands: &mut Vec<Errand>) {
-        let scene = self.scene;
+    fn find_new_groups(&self, actions: &mut Vec<Action>) {
+        let snapshot = self.snapshot;
         let named = |group| {
-            scene
+            snapshot
                 .config
                 .is_some_and(|config| config.groups.contains_key(group))
         };
         for (group, members) in &self.groups {
-            if !named(*group) || scene.reading.leads.contains_key(*group) {
+            if !named(*group) || snapshot.reading.leads.contains_key(*group) {
                 continue;
             }
-            // Where nobody leads and nobody ever did, any of them is named, and replaced as unled. Where somebody
-            // did in an earlier era of the store, that one counts.
-            let was_led = scene.reading.former.leads.contains_key(*group);
-            let headless = was_led || scene.since + HEADLESS <= scene.now;
-            let any = members.first().filter(|_| headless);
+            // A group that never had a leader gets any of its databases, which is then replaced as
+            // unled. If it had one in an earlier era of the store, that one is used.
+            let was_led = snapshot.reading.former.leads.contains_key(*group);
+            let may_assign = was_led || snapshot.since + NO_PRIMARY_DELAY <= snapshot.now;
+            let any = members.first().filter(|_| may_assign);
             let primary = members.iter().find(|d| d.primary).or(any);
             if let Some(primary) = primary {
-                errands.push(Errand::Create((*group).clone(), primary.id.clone()));
+                actions.push(Action::Create((*group).clone(), primary.id.clone()));
             }
         }
     }
 }
 
-impl Scene<'_> {
-    fn look_at_members(&self, errands: &mut Vec<Errand>) {
+impl Snapshot<'_> {
+    fn check_members(&self, actions: &mut Vec<Action>) {
         for (id, (member, version)) in &self.reading.members {
             if id == self.own {
                 continue;
@@ -317,14 +332,17 @@
             if member.evicted {
                 let seen = self.evicted.get(id).filter(|(known, _)| known == version);
                 if seen.is_some_and(|(_, seen)| lapsed_at(*seen) <= self.now) {
-                    errands.push(Errand::Remove(id.clone(), *version));
+                    actions.push(Action::Remove(id.clone(), *version));
                 }
                 continue;
             }
-            let told = self.told.get(id).filter(|told| told.life == member.life);
-            let heard = told.map_or(self.since, |told| told.at);
-            if heard + MEMBER_SILENT + self.margin <= self.now {
-                errands.push(Errand::Call(id.clone()));
+            let status = self
+                .statuses
+                .get(id)
+                .filter(|status| status.life == member.life);
+            let heard = status.map_or(self.since, |status| status.at);
+            if heard + MEMBER_TIMEOUT + self.margin <= self.now {
+                actions.push(Action::Ping(id.clone()));
             }
         }
     }
--- a/src/direct/control/takeover.rs
+++ b/src/direct/control/takeover.rs
@@ -1,57 +1,56 @@
-//! When this VM takes the duty of promotions.
+//! Decides when this VM takes over the duty (the steward's lease in the store).
 //!
-//! **Failure answered.** A steward that is replaced is frozen, cut off or slow, and orders a
-//! promotion after its successor did.
-//! **Symptom without it.** Two databases are made primary in turn, and the platform sees a fencing
-//! token that is lower than one before.
-//! **Why it suffices.** A steward renews its row before each order and orders within
-//! [`ORDER_WITHIN`] of when it asked for that. A row that has had one version since it was read
-//! allows no order from [`ORDER_WITHIN`] after that reading on; the take-over is written under the
-//! condition that the version is still that one. A steward that has ended, or that handed over,
-//! sends nothing, so nothing is waited for.
+//! A steward that was replaced may be frozen, cut off or slow, and order a promotion after its
+//! successor did. Two databases would be made primary in turn, and the platform would see a fencing
+//! token lower than an earlier one. Therefore a steward renews its row before each order, and
+//! orders within [`ORDER_TIMEOUT`] of the request of that renewal. If the row still has the version
+//! that was read at some time, no order can be sent by it from [`ORDER_TIMEOUT`] after that time
+//! on; the takeover is written under the condition that the version is unchanged. A steward that
+//! has ended or handed over sends no orders, so there is no wait for it.
 
 use crate::clock::{Span, Time};
 use crate::direct::table::Version;
 
-/// How long after a renewal was asked an order may be sent, and arrive.
-pub const ORDER_WITHIN: Span = Span::from_millis(1_500);
+/// The time after the request of a renewal within which an order may be sent and has to arrive.
+pub const ORDER_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// For clocks that run unlike, and for what an order needs to arrive.
+/// Allows for clocks that run at different rates, and for the time an order needs to arrive.
 const MARGIN: Span = Span::from_millis(300);
 
-/// How long the duty's row has to be unchanged before no order can be under way.
-pub const ORDERS_END: Span = Span(ORDER_WITHIN.0 + MARGIN.0);
+/// How long the duty's row has to be unchanged before no order can be in flight.
+pub const ORDER_EXPIRY: Span = Span(ORDER_TIMEOUT.0 + MARGIN.0);
 
 /// A steward that has not answered for this long, to several calls, is replaced.
-pub const SILENT: Span = Span::from_secs(1);
+pub const SILENCE_TIMEOUT: Span = Span::from_secs(1);
 
-/// Calls in a row without an answer before silence counts: a VM that was itself paused has been
-/// told nothing for long, and has to ask once before it blames the steward.
-const CALLS: u32 = 2;
+/// The number of consecutive unanswered calls before a steward counts as silent. A VM that was
+/// itself paused has received nothing for long, and has to call once before it suspects the
+/// steward.
+const MIN_MISSED_CALLS: u32 = 2;
 
-/// How long each VM waits for the one before it in rank: what a write in the store takes, and
-/// the nudge after it. Only the first [`IN_TURN`] wait for each other; see [`turn`].
-const TURN: Span = Span::from_millis(150);
-const IN_TURN: u64 = 4;
+/// How long each VM waits for the one before it in rank: the time of a write in the store and of
+/// the ping after it. Only the first [`RANKED_VMS`] wait for each other; see [`rank_delay`].
+const RANK_DELAY: Span = Span::from_millis(150);
+const RANKED_VMS: u64 = 4;
 
-/// How far apart those of a higher rank try: a third of what a write takes, so that two or three of
-/// them may be on their way at once, and how many such places there are.
-const STEP: Span = Span::from_millis(5);
-const STEPS: u64 = 80;
+/// The delay between VMs of a higher rank, and the number of such delays before they repeat. It is
+/// a third of the time of a write, so that two or three attempts may overlap.
+const HIGH_RANK_DELAY: Span = Span::from_millis(5);
+const HIGH_RANKS: u64 = 80;
 
-/// The steward as this VM hears it.
+/// This VM's contact with the steward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hearing {
-    /// When it last answered, or when this VM began to call it.
+    /// When the last answered call was sent, or when this VM began to call it.
     pub since: Time,
     /// Calls without an answer since then.
     pub missed: u32,
-    /// Since when it is known to have ended, or to have handed over.
+    /// Since when it is known to have ended or handed over.
     pub ended: Option<Time>,
 }
 
 impl Hearing {
-    /// A steward that has not been called yet.
+    /// The contact with a steward that has not been called yet.
     pub fn new(now: Time) -> Self {
         Self {
             since: now,
@@ -60,24 +59,25 @@
         }
     }
 
-    /// It answered a call asked at `asked`.
+    /// Records an answer to a call sent at `asked`.
     pub fn answered(&mut self, asked: Time) {
         self.since = self.since.max(asked);
         self.missed = 0;
     }
 
-    /// It is known since `now` that it has ended.
+    /// Records that the steward is known to have ended since `now`.
     pub fn end(&mut self, now: Time) {
         self.ended.get_or_insert(now);
     }
 
-    /// Whether it counts as silent.
+    /// Whether the steward counts as silent.
     pub fn is_silent(&self, now: Time) -> bool {
-        self.ended.is_some() || (self.missed >= CALLS && now >= self.since + SILENT)
+        self.ended.is_some()
+            || (self.missed >= MIN_MISSED_CALLS && now >= self.since + SILENCE_TIMEOUT)
     }
 }
 
-/// Since when the duty's row has had the version that it has.
+/// The version of the duty's row, and since when the row is known to have it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Watch {
     version: Version,
@@ -85,7 +85,8 @@
 }
 
 impl Watch {
-    /// A reading that was there at `answered` showed this version, or that there is no row that counts.
+    /// Records a reading that was complete at `answered`: the row's version, or none if no valid
+    /// row exists.
     pub fn note(&mut self, version: Version, answered: Time) {
         if self.since.is_none() || self.version != version {
             *self = Self {
@@ -95,38 +96,37 @@
         }
     }
 
-    /// The version noted, under whose condition the duty is taken.
+    /// The recorded version, which is the condition for taking the duty.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// From when the duty may be taken by the VM of this rank (0 is first), under the condition
-    /// that the row still has the version noted. None: not for now.
+    /// When the VM of this rank (0 is first) may take the duty, under the condition that the row
+    /// still has the recorded version. None if it may not at present.
     pub fn takes_at(&self, hearing: Option<&Hearing>, rank: usize, now: Time) -> Option<Time> {
-        let turn = turn(rank as u64);
+        let delay = rank_delay(rank as u64);
         let since = self.since?;
         if self.version.is_none() {
-            return Some(since + turn);
+            return Some(since + delay);
         }
         let hearing = hearing?;
         if let Some(ended) = hearing.ended {
-            return Some(since.max(ended) + turn);
+            return Some(since.max(ended) + delay);
         }
         let silent = hearing.is_silent(now);
-        silent.then(|| (since + ORDERS_END).max(hearing.since + SILENT) + turn)
+        silent.then(|| (since + ORDER_EXPIRY).max(hearing.since + SILENCE_TIMEOUT) + delay)
     }
 }
 
 /// How long the VM of a rank leaves the duty to those before it.
 ///
-/// **Failure answered.** Half of 63 VMs end with the steward, or a whole region is cut off: those
-/// that are first in rank are not there. **Symptom without it.** The first one that is there waits
-/// 150 ms for each of them, up to 9 s, and nobody replaces a primary meanwhile. **Why it suffices.**
-/// From the fifth on all try within 0.4 s, so the duty is taken within a second by whoever is
-/// there. Those that try together lose a write each: only one of them meets the row's version.
-fn turn(rank: u64) -> Span {
-    if rank < IN_TURN {
-        return Span(TURN.0 * rank);
+/// Half of 63 VMs may end with the steward, or a whole region may be cut off, and the first in rank
+/// with them. With 150 ms for each rank, the first VM left would wait up to 9 s, and no primary
+/// would be replaced meanwhile. From the fifth on, all VMs try within 0.4 s, so one takes the duty
+/// within a second. Those that try together waste a write each: only one meets the row's version.
+fn rank_delay(rank: u64) -> Span {
+    if rank < RANKED_VMS {
+        return Span(RANK_DELAY.0 * rank);
     }
-    Span(TURN.0 * IN_TURN + STEP.0 * ((rank - IN_TURN) % STEPS))
+    Span(RANK_DELAY.0 * RANKED_VMS + HIGH_RANK_DELAY.0 * ((rank - RANKED_VMS) % HIGH_RANKS))
 }
--- a/src/direct/control/errands.rs
+++ b/src/direct/control/tasks.rs
@@ -1,14 +1,14 @@
-//! The steward's tasks: it reads the store for all, looks what has to be done, and does it.
+//! The steward's tasks: it reads the store for all VMs, decides what has to be done, and does it.
 
 use crate::clock::{Span, Time};
 use crate::direct::config::Database;
 use crate::direct::control::backoff::Backoff;
 use crate::direct::control::evidence::Tried;
 use crate::direct::control::probe;
-use crate::direct::control::promotion::Word;
+use crate::direct::control::promotion::Reply;
 use crate::direct::control::rows::{MemberId, duty_row, encode, lead_row, member_row};
 use crate::direct::control::state::{Beaten, Topic};
-use crate::direct::control::steward::{Errand, Scene, Told, survey};
+use crate::direct::control::steward::{Action, Snapshot, Status, plan};
 use crate::direct::control::{Control, resume};
 use crate::direct::lead::Lead;
 use crate::direct::mesh::{Answer, Question};
@@ -18,57 +18,58 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often the rows and the register are read: a database that leaves, or a new configuration
-/// of the VMs, is known to all within this and a beat. Each reading is two calls of the store.
-const READ_EVERY: Span = Span::from_secs(1);
+/// How often the rows and the register are read. All VMs learn of a leaving database, or of a new
+/// configuration, within this interval and a heartbeat. Each reading is two calls of the store.
+const READ_INTERVAL: Span = Span::from_secs(1);
 
-/// A steward that the store has not answered for this long offers the duty to others: it may be
-/// turned away where they are not. One reading may be late without that.
-const TURNED_AWAY: Span = Span::from_millis(1_200);
+/// After this long without an answer of the store, the steward offers the duty to other VMs, which
+/// the store may still answer. A single late reading does not reach it.
+const STORE_TIMEOUT: Span = Span::from_millis(1_200);
 
-/// The pause between two such offers.
-const OFFER_EVERY: Span = Span::from_secs(2);
+/// The minimum interval between two such offers.
+const OFFER_INTERVAL: Span = Span::from_secs(2);
 
-/// The longest pause of a steward between readings that fail.
+/// The longest delay between the steward's readings while they fail.
 ///
-/// **Pattern answered.** The store is away for 6 s. **Without it** the steward reads again up to a second after
-/// it is back, and a VM that hears of it half a second later has lost the lease of its last reading by then.
-const STORE_AWAY: Span = Span::from_millis(300);
+/// After a store outage of 6 s, an unbounded delay would let the steward read up to a second after
+/// the store is back, and a VM that learns of it half a second later would have lost the lease of
+/// its last reading.
+const MAX_READ_DELAY: Span = Span::from_millis(300);
 
-/// How long a silent VM may take to answer.
-const CALL: Span = Span::from_millis(500);
+/// How long a silent VM may take to answer a ping.
+const PING_TIMEOUT: Span = Span::from_millis(500);
 
-/// The pause after an order to step down, given or not.
-const STEP_DOWN_EVERY: Duration = Duration::from_millis(500);
+/// The pause after an order to step down, whether it was sent or not.
+const STEP_DOWN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// First lead rows in one call of the store: a condition and a row each, and the duty's, of the 100
-/// entries that it may hold.
-const MOST_LEADS: usize = 48;
+/// The number of first lead rows in one call of the store. Each takes a condition and a write, and
+/// the duty's row is added, of the 100 entries that a call may hold.
+const MAX_LEADS_PER_CALL: usize = 48;
 
-/// Replacements at once: each asks every VM to give an epoch up, so that with 300 VMs these are some 10,000
-/// questions within a second.
-const MOST_CHANGES: usize = 32;
+/// The number of replacements in progress at once. Each asks every VM to release an epoch: with 300
+/// VMs these are some 10,000 questions within a second.
+const MAX_CHANGES: usize = 32;
 
-/// With more databases than this no session is kept open to each of them: these take a connection of
-/// every database, and a descriptor and memory each here.
-const MOST_LINKS: usize = 512;
+/// With more databases than this, no session is kept open to each of them, because every session
+/// takes a connection of the database, and a descriptor and memory on this VM.
+const MAX_LINKS: usize = 512;
 
-/// How often a steward looks how late it is.
-const LATENESS_EVERY: Span = Span::from_millis(100);
+/// How often the steward measures its scheduling delay.
+const DELAY_INTERVAL: Span = Span::from_millis(100);
 
-/// Starts the steward's tasks, which end with its duty.
+/// Starts the steward's tasks, which run until it loses the duty.
 pub(super) fn start(control: &Rc<Control>, token: u64) {
-    actix_rt::spawn(read(control.clone(), token));
-    actix_rt::spawn(look(control.clone(), token));
-    actix_rt::spawn(watch_lateness(control.clone(), token));
+    actix_rt::spawn(read_loop(control.clone(), token));
+    actix_rt::spawn(action_loop(control.clone(), token));
+    actix_rt::spawn(measure_delay(control.clone(), token));
 }
 
-/// Finds out how late this VM is, as long as it is the steward.
-async fn watch_lateness(control: Rc<Control>, token: u64) {
+/// Measures this VM's scheduling delay while it is the steward.
+async fn measure_delay(control: Rc<Control>, token: u64) {
     while holds(&control, token) {
-        let due = control.now() + LATENESS_EVERY;
-        tokio::time::sleep(LATENESS_EVERY.into()).await;
-        control.lateness.note(due, control.now());
+        let due = control.now() + DELAY_INTERVAL;
+        tokio::time::sleep(DELAY_INTERVAL.into()).await;
+        control.delay.record(due, control.now());
     }
 }
 
@@ -77,8 +78,8 @@
     !state.stopped && state.held(token).is_some()
 }
 
-async fn read(control: Rc<Control>, token: u64) {
-    let mut backoff = Backoff::up_to(STORE_AWAY);
+async fn read_loop(control: Rc<Control>, token: u64) {
+    let mut backoff = Backoff::up_to(MAX_READ_DELAY);
     let mut offered = Time::default();
     while holds(&control, token) {
         let began = control.now();
@@ -88,34 +89,34 @@
             backoff.reset();
             control.keep_links().await;
             control.store.say_quiet().await;
-            if offered + OFFER_EVERY <= began && control.yield_to_stronger().await {
+            if offered + OFFER_INTERVAL <= began && control.yield_to_stronger().await {
                 offered = control.now();
             }
-            let rest = READ_EVERY.0.saturating_sub(control.now().since(began).0);
+            let rest = READ_INTERVAL.0.saturating_sub(control.now().since(began).0);
             tokio::time::sleep(Duration::from(Span(rest))).await;
             continue;
         }
         let now = control.now();
         let answered = control.store.health().answered;
-        let turned_away = answered.is_none_or(|at| at + TURNED_AWAY <= now);
-        if turned_away && offered + OFFER_EVERY <= now {
-            control.hand_over("the store does not answer here").await;
+        let unanswered = answered.is_none_or(|at| at + STORE_TIMEOUT <= now);
+        if unanswered && offered + OFFER_INTERVAL <= now {
+            control.hand_over("the store does not answer this VM").await;
             offered = control.now();
         }
         backoff.wait(control.chance()).await;
     }
 }
 
-async fn look(control: Rc<Control>, token: u64) {
+async fn action_loop(control: Rc<Control>, token: u64) {
     while holds(&control, token) {
-        let (errands, again) = control.survey();
-        let (new, errands): (Vec<_>, Vec<_>) = errands
+        let (actions, again) = control.plan();
+        let (new, actions): (Vec<_>, Vec<_>) = actions
             .into_iter()
-            .partition(|errand| matches!(errand, Errand::Create(..)));
-        for errand in errands {
-            control.begin(errand, token);
+            .partition(|action| matches!(action, Action::Create(..)));
+        for action in actions {
+            control.spawn(action, token);
         }
-        control.begin_leads(&new, token);
+        control.spawn_creates(&new, token);
         let now = control.now();
         let again = again.map_or(Span::from_secs(60), |again| again.since(now));
         tokio::select! {
@@ -127,23 +128,23 @@
 }
 
 impl Control {
-    fn survey(&self) -> (Vec<Errand>, Option<Time>) {
+    fn plan(&self) -> (Vec<Action>, Option<Time>) {
         let now = self.now();
-        self.note_own(now);
+        self.record_own_reports(now);
         let state = self.state.borrow();
         let (Some(reading), Some(held)) = (&state.reading, &state.held) else {
             return (Vec::new(), None);
         };
         let config = self.setup.shared.look().config.clone();
-        let told = state.heard.iter().map(|(id, heard)| {
-            let told = Told {
+        let statuses = state.heard.iter().map(|(id, heard)| {
+            let status = Status {
                 life: heard.life,
                 at: heard.at,
                 reports: &heard.reports,
             };
-            (id.clone(), told)
+            (id.clone(), status)
         });
-        survey(&Scene {
+        plan(&Snapshot {
             now,
             since: held.since,
             own: &self.id,
@@ -152,17 +153,17 @@
             config: config.as_deref(),
             began: state.register.began(),
             up: self.store.health().up,
-            told: &told.collect(),
+            statuses: &statuses.collect(),
             tried: &state.tried,
             evicted: &state.evicted,
             epochs: &state.epochs,
             dampers: &self.dampers.borrow(),
-            margin: self.lateness.margin(),
+            margin: self.delay.margin(),
         })
     }
 
-    /// What this VM itself saw counts like what the others told.
-    fn note_own(&self, now: Time) {
+    /// Records this VM's own reports like those of the other VMs.
+    fn record_own_reports(&self, now: Time) {
         let reports = self.setup.shared.look().reports.all(now);
         let own = Beaten {
             life: self.setup.life,
@@ -181,13 +182,14 @@
         groups.count()
     }
 
-    /// Writes new groups' first lead rows, many in a call: of hundreds that come at once, written one by one,
-    /// the last would be led seconds later, and each write is news for all VMs.
-    fn begin_leads(self: &Rc<Self>, errands: &[Errand], token: u64) {
+    /// Writes the first lead rows of new groups, many in one call. Of hundreds of groups that
+    /// appear at once, written one by one, the last would get its leader seconds later, and each
+    /// write is an update for all VMs.
+    fn spawn_creates(self: &Rc<Self>, actions: &[Action], token: u64) {
         let mut new = Vec::new();
-        for errand in errands {
-            if let Errand::Create(group, primary) = errand
-                && self.state.borrow_mut().busy.insert(errand.topic())
+        for action in actions {
+            if let Action::Create(group, primary) = action
+                && self.state.borrow_mut().busy.insert(action.topic())
             {
                 new.push((group.clone(), primary.clone()));
             }
@@ -197,10 +199,10 @@
         }
         let control = self.clone();
         actix_rt::spawn(async move {
-            for some in new.chunks(MOST_LEADS) {
+            for some in new.chunks(MAX_LEADS_PER_CALL) {
                 control.create_leads(token, some).await;
             }
-            control.nudge_all();
+            control.ping_all();
             let mut state = control.state.borrow_mut();
             for (group, _) in new {
                 state.busy.remove(&Topic::Group(group));
@@ -210,13 +212,13 @@
         });
     }
 
-    /// Does an errand in a task of its own, unless one about the same is under way.
-    fn begin(self: &Rc<Self>, errand: Errand, token: u64) {
-        let topic = errand.topic();
-        if let Errand::Change(..) = errand
-            && self.changes_under_way() >= MOST_CHANGES
+    /// Performs an action in its own task, unless one on the same topic is in progress.
+    fn spawn(self: &Rc<Self>, action: Action, token: u64) {
+        let topic = action.topic();
+        if let Action::Change(..) = action
+            && self.changes_under_way() >= MAX_CHANGES
         {
-            // The next survey finds it again, as each change that ends wakes this VM.
+            // The next plan contains it again, because each change that ends wakes this VM.
             return;
         }
         if !self.state.borrow_mut().busy.insert(topic.clone()) {
@@ -224,24 +226,24 @@
         }
         let control = self.clone();
         actix_rt::spawn(async move {
-            control.run(errand, token).await;
+            control.run(action, token).await;
             control.state.borrow_mut().busy.remove(&topic);
             control.wake.notify_one();
         });
     }
 
-    async fn run(self: &Rc<Self>, errand: Errand, token: u64) {
-        match errand {
-            Errand::Create(group, primary) => self.create_leads(token, &[(group, primary)]).await,
-            Errand::Change(group, cause) => self.change_primary(token, &group, cause).await,
-            Errand::Try(database) => self.try_database(&database).await,
-            Errand::StepDown(group, old) => self.step_down(&group, &old).await,
-            Errand::Call(member) => self.call_member(&member).await,
-            Errand::Remove(member, version) => self.remove_member(&member, version).await,
+    async fn run(self: &Rc<Self>, action: Action, token: u64) {
+        match action {
+            Action::Create(group, primary) => self.create_leads(token, &[(group, primary)]).await,
+            Action::Change(group, cause) => self.change_primary(token, &group, cause).await,
+            Action::Try(database) => self.try_database(&database).await,
+            Action::StepDown(group, old) => self.step_down(&group, &old).await,
+            Action::Ping(member) => self.ping_member(&member).await,
+            Action::Remove(member, version) => self.remove_member(&member, version).await,
         }
     }
 
-    /// Writes first lead rows of new groups, as long as the duty is held.
+    /// Writes the first lead rows of new groups if the duty is still held.
     async fn create_leads(self: &Rc<Self>, token: u64, new: &[(GroupId, DatabaseId)]) {
         let first = |(group, named): &(GroupId, DatabaseId)| {
             let named = self.registered(named)?;
@@ -279,7 +281,7 @@
         }
     }
 
-    /// The first lead of a group in the store's era, and the version that its row has by now.
+    /// The first lead of a group in the store's era, and the current version of its row.
     fn first_lead(&self, group: &GroupId, named: &Database) -> (Lead, Version) {
         let now = self.now();
         let state = self.state.borrow();
@@ -295,34 +297,33 @@
         (resume::first(era, known.cloned(), held, named), version)
     }
 
-    /// A database as the register shows it.
+    /// The register's entry of a database.
     pub(super) fn registered(&self, id: &DatabaseId) -> Option<Database> {
         self.setup.shared.look().databases.get(id).cloned()
     }
 
-    /// Asks a database how it stands, by the session that is kept open to it.
-    pub(super) async fn standing(&self, database: &Database) -> Word {
+    /// Asks a database for its state, by the session that is kept open to it.
+    pub(super) async fn standing(&self, database: &Database) -> Reply {
         let mut link = self.links.borrow_mut().remove(&database.id);
         let kept = link.is_some();
-        let mut word = probe::standing(&self.setup.adapter, database, &mut link).await;
+        let mut reply = probe::standing(&self.setup.adapter, database, &mut link).await;
         if kept && link.is_none() {
-            // The session broke: that says nothing of the database.
-            word = probe::standing(&self.setup.adapter, database, &mut link).await;
+            // A broken session does not show that the database fails, so a new one is tried.
+            reply = probe::standing(&self.setup.adapter, database, &mut link).await;
         }
         if let Some(link) = link {
             self.links.borrow_mut().insert(database.id.clone(), link);
         }
-        word
+        reply
     }
 
-    /// Opens a session to each database that has none, and closes those to databases that are
-    /// gone.
+    /// Opens a session to each database that has none, and closes those to databases that are gone.
     ///
-    /// **Pattern answered.** A primary is lost, its load falls on the replicas, and they have no
-    /// connection left for whoever asks how far they are. **Without it** nothing is promoted until
-    /// the load falls, which it does not before something is promoted.
+    /// When a primary is lost, its load falls on the replicas, and they may have no connection left
+    /// for the steward's question of how far their logs are. Without an open session nothing would
+    /// be promoted until the load falls, which it does not before a promotion.
     async fn keep_links(&self) {
-        if self.setup.shared.look().databases.len() > MOST_LINKS {
+        if self.setup.shared.look().databases.len() > MAX_LINKS {
             return;
         }
         let databases: Vec<_> = {
@@ -364,12 +365,12 @@
         if known.is_none_or(|known| known.attempt != attempt) {
             log::info!(
                 database:% = id, attempt:?, took_ms = ended.since(began).0 / 1_000;
-                "a database that is said to fail was tried"
+                "tried to reach a database that is reported to fail"
             );
         }
     }
 
-    /// Tells a database that another one leads, by the term of that one.
+    /// Orders an old primary to step down, giving the term of the current one.
     async fn step_down(&self, group: &GroupId, old: &DatabaseId) {
         let (leader, database) = {
             let view = self.setup.shared.look();
@@ -381,22 +382,22 @@
         if let (Some(leader), Some(database)) = (leader, database) {
             let adapter = &self.setup.adapter;
             if let probe::Opened::Link(mut link) = probe::open(adapter, &database).await
-                && let Word::Stands(standing) = self.standing(&leader).await
+                && let Reply::Stands(standing) = self.standing(&leader).await
                 && standing.primary
             {
                 let answer = link.ask(&Order::StepDown(standing.term)).await;
                 log::info!(
                     group:%, database:% = old, term:% = standing.term, answered = answer.is_some();
-                    "a primary of an old term was told to step down"
+                    "an old primary was ordered to step down"
                 );
             }
         }
-        tokio::time::sleep(STEP_DOWN_EVERY).await;
+        tokio::time::sleep(STEP_DOWN_INTERVAL).await;
     }
 
-    /// Finds out why a VM is silent. One that has ended loses its row; one that does not answer
-    /// is marked, so that after a lease no replacement waits for it.
-    async fn call_member(&self, id: &MemberId) {
+    /// Pings a VM that is silent. If it has ended, its row is removed; if it does not answer, it is
+    /// marked as evicted, so that once a lease has passed no replacement waits for it.
+    async fn ping_member(&self, id: &MemberId) {
         let known = {
             let state = self.state.borrow();
             let reading = state.reading.as_ref();
@@ -413,18 +414,18 @@
             token,
         };
         let answer =
-            (self.setup.call)(member.address, question, CALL + self.lateness.margin()).await;
+            (self.setup.call)(member.address, question, PING_TIMEOUT + self.delay.margin()).await;
         match answer {
             Some(Answer::Absent) => {
                 log::info!(vm:% = id, life:% = member.life; "a VM has ended");
                 self.remove_member(id, version).await;
             }
             Some(_) => {
-                // It lives, and beats at once.
+                // It runs, and sends a heartbeat at once.
                 if let Some(heard) = self.state.borrow_mut().heard.get_mut(id) {
                     heard.at = self.now();
                 }
-                tokio::time::sleep(Duration::from(CALL)).await;
+                tokio::time::sleep(Duration::from(PING_TIMEOUT)).await;
             }
             None => {
                 log::warn!(vm:% = id, life:% = member.life; "a VM is silent: evicting it");
@@ -441,7 +442,7 @@
     }
 
     async fn remove_member(&self, id: &MemberId, version: Version) {
-        log::info!(vm:% = id; "removing the row of a VM that can hold no lease");
+        log::info!(vm:% = id; "removing the row of a VM that can no longer hold a lease");
         let row = member_row(id);
         let change = Change {
             expect: vec![(row.clone(), version)],
@@ -451,9 +452,9 @@
         self.write_member(change).await;
     }
 
-    /// Whatever became of the change, the next reading shows it; until then it is not asked again.
+    /// The next reading shows whether the change was applied; until then it is not attempted again.
     async fn write_member(&self, change: Change) {
         let _ = self.store.write(change).await;
-        tokio::time::sleep(Duration::from(READ_EVERY)).await;
+        tokio::time::sleep(Duration::from(READ_INTERVAL)).await;
     }
 }
--- a/tests/direct_control.rs
+++ b/tests/direct_control.rs
@@ -1,14 +1,14 @@
-//! The control path's decisions, by the time that they are told.
+//! Decisions of the control path, each at a given time.
 
 mod registered;
 
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::core::detect::Damper;
 use lentilspoke::direct::config::{self, Config, Database};
-use lentilspoke::direct::control::evidence::{Attempt, Tried, Verdict, Witness, count, judge};
-use lentilspoke::direct::control::promotion::{Choice, Permit, Pick, Word};
+use lentilspoke::direct::control::evidence::{Attempt, Observation, Tried, Verdict, count, judge};
+use lentilspoke::direct::control::promotion::{Choice, Permit, Pick, Reply};
 use lentilspoke::direct::control::rows::{Member, MemberId, Reading};
-use lentilspoke::direct::control::steward::{Cause, Errand, Scene, Told, survey};
+use lentilspoke::direct::control::steward::{Action, Cause, Snapshot, Status, plan};
 use lentilspoke::direct::control::store::Patience;
 use lentilspoke::direct::control::takeover::{Hearing, Watch};
 use lentilspoke::direct::lead::{Book, Lead};
@@ -25,9 +25,9 @@
     Span::from_millis(millis)
 }
 
-fn witness(heard: u64, answered: Option<u64>, failing: Option<u64>) -> Witness {
-    Witness {
-        heard: at(heard),
+fn observation(received: u64, answered: Option<u64>, failing: Option<u64>) -> Observation {
+    Observation {
+        received: at(received),
         report: Report {
             answered: answered.map(ms),
             failing: failing.map(ms),
@@ -43,14 +43,14 @@
     })
 }
 
-/// What is believed at 10 s of a primary, by what the VMs saw and the steward's own attempt.
+/// The verdict on a primary at 10 s, by the VMs' reports and the steward's own attempt.
 #[test]
 fn verdicts_on_a_primary() {
-    let fine = witness(9_900, Some(50), None);
-    let failing = |for_ms| witness(9_900, Some(for_ms + 100), Some(for_ms));
-    let untried = witness(9_900, None, None);
-    let old = witness(8_000, Some(100), Some(50));
-    let cases: [(&str, Vec<Witness>, Option<Tried>, Verdict); 11] = [
+    let fine = observation(9_900, Some(50), None);
+    let failing = |for_ms| observation(9_900, Some(for_ms + 100), Some(for_ms));
+    let untried = observation(9_900, None, None);
+    let old = observation(8_000, Some(100), Some(50));
+    let cases: [(&str, Vec<Observation>, Option<Tried>, Verdict); 11] = [
         ("nobody fails", vec![fine, fine], None, Verdict::Fine),
         (
             "one says so",
@@ -113,8 +113,8 @@
             Verdict::Fine,
         ),
     ];
-    for (name, witnesses, tried, expected) in cases {
-        let votes = count(witnesses, at(10_000));
+    for (name, observations, tried, expected) in cases {
+        let votes = count(observations, at(10_000));
         assert_eq!(
             judge(&votes, tried, at(10_000)),
             expected,
@@ -123,8 +123,9 @@
     }
 }
 
-/// A steward that is merely silent may still have an order under way: 1.5 s and a margin have to
-/// pass since its row was first seen with the version that it still has. One that ended has not.
+/// A silent steward may still have an order in flight: 1.5 s and a margin have to pass since its
+/// row was first read with its present version. A steward that has ended sends none, so there is no
+/// wait.
 #[test]
 fn silent_steward_is_waited_out_and_an_ended_one_is_not() {
     let mut watch = Watch::default();
@@ -158,7 +159,7 @@
 }
 
 /// Half of 63 VMs end together with the steward, and all that come first in rank are among them.
-/// Whoever is there takes the duty within a second, and does not wait for 32 others in turn.
+/// Some VM that is left takes the duty within a second, without waiting for 32 others in turn.
 #[test]
 fn duty_is_taken_soon_though_the_first_in_rank_are_gone() {
     let mut watch = Watch::default();
@@ -177,9 +178,10 @@
     }
 }
 
-/// A VM that was frozen was told nothing for seconds. It asks before it blames the steward.
+/// A VM that was frozen has received nothing for seconds. It calls the steward before it suspects
+/// it.
 #[test]
-fn frozen_vm_asks_before_it_blames_the_steward() {
+fn frozen_vm_calls_before_it_suspects_the_steward() {
     let mut hearing = Hearing::new(at(0));
     assert!(!hearing.is_silent(at(60_000)));
     hearing.missed = 1;
@@ -189,7 +191,7 @@
     assert!(!hearing.is_silent(at(60_900)) && hearing.is_silent(at(61_000)));
 }
 
-/// An order arrives within 1.5 s of when the renewal before it was asked, or is not sent.
+/// An order arrives within 1.5 s of the request of the renewal before it, or is not sent.
 #[test]
 fn order_needs_a_fresh_renewal() {
     let permit = Permit::new(at(1_000));
@@ -197,8 +199,8 @@
     assert_eq!(permit.deadline(at(2_200)), None);
 }
 
-fn stands(offset: u64, primary: bool) -> Word {
-    Word::Stands(Standing {
+fn state(offset: u64, primary: bool) -> Reply {
+    Reply::Stands(Standing {
         primary,
         term: Term(1),
         received: Position::new(Term(1), Offset(offset)),
@@ -208,13 +210,13 @@
 fn choice(target: Option<u64>) -> Choice {
     let target = target.map(|offset| Position::new(Term(1), Offset(offset)));
     let near = Some("near".parse().unwrap());
-    let named = [
+    let candidates = [
         ("a", "far", true),
         ("b", "far", false),
         ("c", "near", false),
     ];
-    let named = named.map(|(name, domain, old)| (id(name), domain.parse().unwrap(), old));
-    Choice::new(at(0), near, target, named)
+    let candidates = candidates.map(|(name, domain, old)| (id(name), domain.parse().unwrap(), old));
+    Choice::new(at(0), near, target, candidates)
 }
 
 fn taken(pick: Pick) -> Option<DatabaseId> {
@@ -224,56 +226,56 @@
     }
 }
 
-/// A replica that received nothing answers at once, the one that has the log is slow: the choice
-/// waits for it, but not for ever, and not for one that refuses.
+/// A replica that received nothing answers at once, and the one that has the log is slow: the
+/// choice waits for it for a limited time, and not at all for one that refuses the connection.
 #[test]
 fn furthest_replica_is_chosen() {
     let mut slow = choice(None);
-    slow.say(&id("a"), Word::Absent);
-    slow.say(&id("c"), stands(3, false));
+    slow.record(&id("a"), Reply::Absent);
+    slow.record(&id("c"), state(3, false));
     assert_eq!(slow.pick(at(100)), Pick::Wait(at(900)));
     assert_eq!(taken(slow.pick(at(900))), Some(id("c")));
-    slow.say(&id("b"), stands(9, false));
+    slow.record(&id("b"), state(9, false));
     assert_eq!(taken(slow.pick(at(200))), Some(id("b")));
     let mut refused = choice(None);
-    refused.say(&id("a"), Word::Absent);
-    refused.say(&id("b"), Word::Absent);
+    refused.record(&id("a"), Reply::Absent);
+    refused.record(&id("b"), Reply::Absent);
     assert_eq!(refused.pick(at(100)), Pick::Wait(at(1_000)));
-    refused.say(&id("c"), stands(3, false));
+    refused.record(&id("c"), state(3, false));
     assert_eq!(taken(refused.pick(at(100))), Some(id("c")));
-    refused.say(&id("c"), Word::Absent);
+    refused.record(&id("c"), Reply::Absent);
     assert_eq!(refused.pick(at(100)), Pick::Nobody);
 }
 
-/// Equal replicas: the nearer. The old primary is waited for shortly, and if it is there again it
+/// Of equal replicas the nearer is chosen. The wait for the old primary is short; if it is back, it
 /// has all that was acknowledged.
 #[test]
 fn nearer_replica_or_the_old_primary() {
     let mut choice = choice(None);
-    choice.say(&id("b"), stands(3, false));
-    choice.say(&id("c"), stands(3, false));
+    choice.record(&id("b"), state(3, false));
+    choice.record(&id("c"), state(3, false));
     assert_eq!(choice.pick(at(100)), Pick::Wait(at(150)));
     assert_eq!(taken(choice.pick(at(150))), Some(id("c")));
-    choice.say(&id("a"), stands(5, true));
+    choice.record(&id("a"), state(5, true));
     assert_eq!(taken(choice.pick(at(100))), Some(id("a")));
 }
 
-/// A planned change waits until the replica has what the old primary has.
+/// A planned replacement waits until the replica has all that the old primary has.
 #[test]
 fn planned_change_waits_for_the_replica() {
     let mut choice = choice(Some(9));
-    choice.say(&id("a"), Word::Absent);
-    choice.say(&id("b"), stands(8, false));
-    choice.say(&id("c"), Word::Absent);
+    choice.record(&id("a"), Reply::Absent);
+    choice.record(&id("b"), state(8, false));
+    choice.record(&id("c"), Reply::Absent);
     assert_eq!(choice.pick(at(100)), Pick::Wait(at(2_500)));
-    choice.say(&id("b"), stands(9, false));
+    choice.record(&id("b"), state(9, false));
     assert_eq!(taken(choice.pick(at(100))), Some(id("b")));
 }
 
-/// The store loses one answer in three: a write is asked again soon. It is slow: a write is waited
-/// for as long as it takes.
+/// If the store loses one answer in three, a write is soon repeated. If it is slow, the timeout of
+/// a write grows with its answers.
 #[test]
-fn patience_with_the_store() {
+fn store_timeout_follows_its_answers() {
     let mut patience = Patience::default();
     patience.written(ms(16));
     patience.missed();
@@ -298,10 +300,10 @@
     }
 }
 
-/// A VM is told to give an epoch up before any reading has shown it; the reading that was under
-/// way arrives afterwards. It must not act on what it shows.
+/// A VM is asked to release an epoch before any reading has shown it, and the reading in progress
+/// arrives afterwards. The VM must not act on the epoch that the reading shows.
 #[test]
-fn epoch_given_up_before_it_was_known_stays_given_up() {
+fn epoch_released_before_it_was_known_stays_released() {
     let group: GroupId = "g".parse().unwrap();
     let mut book = Book::default();
     book.drop_epoch(&group, 3);
@@ -311,9 +313,9 @@
     assert!(book.holds(&group, 4, at(1)));
 }
 
-/// A planned replacement: nothing new starts once it is known, what is under way may still be
-/// acknowledged, and neither a reading that shows the change nor a word that was asked for later
-/// lengthens the lease.
+/// In a planned replacement no new work starts once it is known, and work under way may still be
+/// acknowledged. Neither a reading that shows the change nor an extension that was requested later
+/// prolongs the lease.
 #[test]
 fn work_under_way_ends_during_a_planned_change() {
     let group: GroupId = "g".parse().unwrap();
@@ -348,7 +350,7 @@
     }
 }
 
-/// The steward's view of one group of three, at 20 s.
+/// The steward's state of one group of three databases, at 20 s.
 struct Fixture {
     reading: Reading,
     databases: BTreeMap<DatabaseId, Database>,
@@ -402,17 +404,17 @@
         }
     }
 
-    fn survey(&self) -> Vec<Errand> {
-        let told = |number: u32, at| {
-            let told = Told {
+    fn plan(&self) -> Vec<Action> {
+        let status = |number: u32, at| {
+            let status = Status {
                 life: Life(u64::from(number)),
                 at,
                 reports: &self.reports,
             };
-            (member(number), told)
+            (member(number), status)
         };
-        let told = BTreeMap::from([told(1, at(20_000)), told(2, self.heard)]);
-        let scene = Scene {
+        let statuses = BTreeMap::from([status(1, at(20_000)), status(2, self.heard)]);
+        let snapshot = Snapshot {
             now: at(20_000),
             since: at(0),
             own: &member(1),
@@ -421,56 +423,56 @@
             config: Some(&self.config),
             began: Some(self.began),
             up: Some(at(0)),
-            told: &told,
+            statuses: &statuses,
             tried: &self.tried,
             evicted: &self.evicted,
             epochs: &self.epochs,
             dampers: &self.dampers,
             margin: Span::ZERO,
         };
-        survey(&scene).0
+        plan(&snapshot).0
     }
 }
 
-fn change(cause: Cause) -> Vec<Errand> {
-    vec![Errand::Change("g".parse().unwrap(), cause)]
+fn change(cause: Cause) -> Vec<Action> {
+    vec![Action::Change("g".parse().unwrap(), cause)]
 }
 
-/// What the steward begins, by what changed against a quiet group.
+/// The steward's actions, by what differs from a group without faults.
 #[test]
-fn errands_of_the_steward() {
+fn actions_of_the_steward() {
     let group: GroupId = "g".parse().unwrap();
-    assert_eq!(Fixture::new().survey(), []);
+    assert_eq!(Fixture::new().plan(), []);
 
     let mut gone = Fixture::new();
     gone.databases.remove(&id("a"));
-    assert_eq!(gone.survey(), change(Cause::Gone));
+    assert_eq!(gone.plan(), change(Cause::Gone));
     gone.began = at(18_000);
-    assert_eq!(gone.survey(), [], "an outage's end may be as near");
+    assert_eq!(gone.plan(), [], "an outage's end may be as near");
 
     let mut leaving = Fixture::new();
     leaving.databases.get_mut(&id("a")).unwrap().leaving = true;
-    assert_eq!(leaving.survey(), change(Cause::Leaving));
+    assert_eq!(leaving.plan(), change(Cause::Leaving));
     leaving.databases.remove(&id("b"));
     leaving.databases.get_mut(&id("c")).unwrap().leaving = true;
-    assert_eq!(leaving.survey(), [], "nobody could lead instead");
+    assert_eq!(leaving.plan(), [], "nobody could lead instead");
 
     let mut unfinished = Fixture::new();
     unfinished
         .reading
         .leads
         .insert(group.clone(), (lead(1, true), version(6)));
-    assert_eq!(unfinished.survey(), change(Cause::Unfinished));
+    assert_eq!(unfinished.plan(), change(Cause::Unfinished));
 
     let mut unled = Fixture::new();
     unled.databases.get_mut(&id("a")).unwrap().primary = false;
-    assert_eq!(unled.survey(), change(Cause::Unled));
+    assert_eq!(unled.plan(), change(Cause::Unled));
     unled.epochs.insert(group.clone(), (1, at(18_000)));
-    assert_eq!(unled.survey(), [], "its report may be on its way");
+    assert_eq!(unled.plan(), [], "its report may be on its way");
 
     let mut second = Fixture::new();
     second.databases.get_mut(&id("b")).unwrap().primary = true;
-    assert_eq!(second.survey(), [Errand::StepDown(group.clone(), id("b"))]);
+    assert_eq!(second.plan(), [Action::StepDown(group.clone(), id("b"))]);
 
     let mut failing = Fixture::new();
     let report = Report {
@@ -478,41 +480,42 @@
         failing: Some(ms(500)),
     };
     failing.reports.insert(id("a"), report);
-    assert_eq!(failing.survey(), [Errand::Try(id("a"))]);
+    assert_eq!(failing.plan(), [Action::Try(id("a"))]);
     failing
         .tried
         .extend(tried(19_600, Attempt::Silent).map(|tried| (id("a"), tried)));
-    assert_eq!(failing.survey(), change(Cause::Lost));
+    assert_eq!(failing.plan(), change(Cause::Lost));
 
     let mut reborn = Fixture::new();
     reborn.databases.get_mut(&id("a")).unwrap().born = Some(Birth(7));
-    assert_eq!(reborn.survey(), change(Cause::Reborn));
+    assert_eq!(reborn.plan(), change(Cause::Reborn));
 
     let mut unknown = Fixture::new();
     unknown.reading.leads.clear();
-    assert_eq!(unknown.survey(), [Errand::Create(group, id("a"))]);
+    assert_eq!(unknown.plan(), [Action::Create(group, id("a"))]);
     unknown.config = config(&["other"]);
-    assert_eq!(unknown.survey(), [], "no configuration names its group");
+    assert_eq!(unknown.plan(), [], "no configuration names its group");
 }
 
-/// A VM that fell silent costs the next replacement a wait, unless its row is marked and then
-/// removed: the mark a lease before, so that nothing it read before the mark still counts.
+/// The next replacement would have to wait for a VM that fell silent, so its row is marked and then
+/// removed, a lease after the mark: by then nothing that the VM read before the mark is valid.
 #[test]
 fn silent_vm_is_called_marked_and_removed() {
     let mut fixture = Fixture::new();
     fixture.heard = at(18_700);
-    assert_eq!(fixture.survey(), [Errand::Call(member(2))]);
+    assert_eq!(fixture.plan(), [Action::Ping(member(2))]);
     let row = fixture.reading.members.get_mut(&member(2)).unwrap();
     row.0.evicted = true;
     fixture.evicted.insert(member(2), (version(1), at(12_000)));
-    assert_eq!(fixture.survey(), []);
+    assert_eq!(fixture.plan(), []);
     fixture.evicted.insert(member(2), (version(1), at(11_700)));
-    assert_eq!(fixture.survey(), [Errand::Remove(member(2), version(1))]);
+    assert_eq!(fixture.plan(), [Action::Remove(member(2), version(1))]);
 }
 
-/// A reading is a lease for a VM only if it shows the row of this life, not marked.
+/// A reading is a lease for a VM only if it shows a row of the VM's present life that is not
+/// marked.
 #[test]
-fn reading_is_a_lease_only_for_whom_it_shows() {
+fn reading_is_a_lease_only_for_vms_it_lists() {
     let mut reading = Fixture::new().reading;
     assert!(reading.is_lease_for(&member(2), Life(2)));
     assert!(!reading.is_lease_for(&member(2), Life(3)));
--- a/tests/direct_lateness.rs
+++ b/tests/direct_lateness.rs
@@ -1,23 +1,23 @@
-//! How long a steward that is late itself waits for other VMs.
+//! How long a steward that is itself scheduled late waits for other VMs.
 
 use lentilspoke::clock::{Span, Time};
-use lentilspoke::direct::control::lateness::Lateness;
+use lentilspoke::direct::control::delay::Delay;
 
 fn at(millis: u64) -> Time {
     Time(1_000_000_000) + Span::from_millis(millis)
 }
 
-/// A steward reads heartbeats half a second late for a while. It gives their senders two seconds more, and
-/// comes back to its usual patience within some looks after it has caught up.
+/// A steward reads heartbeats half a second late for a while. It gives their senders two seconds
+/// more, and returns to its usual timeout within some measurements after it has caught up.
 #[test]
-fn who_is_late_waits_longer_for_others() {
-    let lateness = Lateness::default();
-    lateness.note(at(0), at(0));
-    assert_eq!(lateness.margin(), Span::ZERO);
-    lateness.note(at(100), at(600));
-    assert_eq!(lateness.margin(), Span::from_millis(2_000));
+fn late_steward_waits_longer_for_others() {
+    let delay = Delay::default();
+    delay.record(at(0), at(0));
+    assert_eq!(delay.margin(), Span::ZERO);
+    delay.record(at(100), at(600));
+    assert_eq!(delay.margin(), Span::from_millis(2_000));
     for look in 7..30 {
-        lateness.note(at(look * 100), at(look * 100 + 1));
+        delay.record(at(look * 100), at(look * 100 + 1));
     }
-    assert!(lateness.margin() < Span::from_millis(20));
+    assert!(delay.margin() < Span::from_millis(20));
 }
