--- a/tests/direct_lease.rs
+++ b/tests/direct_lease.rs
@@ -1,4 +1,4 @@
-//! Leases that go on by the word of other VMs, against the wait of a replacement.
+//! Leases that peers extend, against the wait of a replacement for them to expire.
 
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::direct::control::promotion::Drops;
@@ -31,23 +31,23 @@
     MemberId::new(&format!("vm{number}").parse().unwrap(), ip)
 }
 
-/// A book that read epoch 1 at a moment.
+/// The leases of a VM whose reading of epoch 1 was requested at `asked`.
 fn book(asked: u64) -> Book {
     let mut book = Book::default();
     book.learn(&group(), lead(1, false), at(asked));
     book
 }
 
-/// Until when a book holds epoch 1, to 1 ms.
+/// Until when a VM holds epoch 1, to 1 ms.
 fn held(book: &Book) -> u64 {
     let held = |ms: &u64| book.holds(&group(), 1, at(*ms));
     (0..40_000).filter(held).max().map_or(0, |last| last + 1)
 }
 
-/// The word of others counts from when they were asked, never past the long lease, for the epoch
-/// that they named only; giving the epoch up or a change ends it.
+/// A confirmation extends a lease from the time it was requested, never past the long lease, and
+/// only for the epoch it names. Releasing the epoch, or a replacement, ends the lease.
 #[test]
-fn word_of_others_makes_a_lease_longer() {
+fn confirmations_extend_a_lease() {
     let mut lease = book(1_000);
     assert_eq!(held(&lease), 3_500);
     assert!(lease.vouch(&group(), 1, at(2_700)));
@@ -64,10 +64,10 @@
     assert!(!lease.holds(&group(), 2, at(3_001)));
 }
 
-/// A VM vouches for what it has neither given up, nor closed, nor sees being replaced, while its
-/// own reading is young; others' word does not make that longer.
+/// A VM confirms an epoch that it has neither released nor closed and that is not being replaced,
+/// while its own reading is recent; an extension by others does not prolong that.
 #[test]
-fn who_vouches() {
+fn when_a_lease_is_confirmed() {
     let mut open = book(1_000);
     open.vouch(&group(), 1, at(3_000));
     assert_eq!(open.vouches(at(8_999)), [(group(), 1)]);
@@ -84,13 +84,14 @@
     }
 }
 
-/// How long a replacement waits for those that give no word: `words` are when the others' came.
+/// How long a replacement waits for VMs that do not reply; `replies` are the times of the others'
+/// replies.
 #[test]
-fn how_long_silent_vms_are_waited_for() {
-    let wait = |silent: usize, words: &[u64], read: u64| {
-        let all = 0..silent + words.len();
+fn wait_for_silent_vms() {
+    let wait = |silent: usize, replies: &[u64], read: u64| {
+        let all = 0..silent + replies.len();
         let mut drops = Drops::new(all.map(|n| (member(n), at(INTENT))), at(INTENT + read));
-        for (number, word) in (silent..).zip(words) {
+        for (number, word) in (silent..).zip(replies) {
             drops.done(&member(number), at(INTENT + word));
         }
         drops.end().map_or(0, |end| end.0 / 1_000 - INTENT)
@@ -103,19 +104,20 @@
     assert_eq!(wait(2, &[7_000], 10), 8_250);
 }
 
-/// What a VM does after the intent.
+/// What a VM does after the intent is written.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Does {
-    /// It is not heard, and goes on.
+enum Behaviour {
+    /// It does not reply, and keeps its lease.
     Silent,
-    /// It gives its word so long after the intent.
+    /// It releases the epoch this many milliseconds after the intent.
     Word(u64),
     /// It stops just before the steward reads the rows, and is not among them.
     Stop,
 }
 
-/// A VM in a case: its reading was asked so long before the intent.
-type Vm = (u64, Does);
+/// A VM in a case: how many milliseconds before the intent its reading was requested, and what it
+/// does.
+type Vm = (u64, Behaviour);
 
 /// A safeguard that is left out.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -123,36 +125,36 @@
     None,
     /// Two VMs are a quorum.
     Two,
-    /// A VM that dropped the epoch still vouches for it.
+    /// A VM that released the epoch still confirms it.
     Kept,
-    /// A word counts from when the answer was there, not from when it was asked for.
+    /// An extension counts from the answer's arrival, not from the request.
     Answered,
     /// The short wait counts from the intent, not from when the rows were read.
     Intent,
 }
 
-/// When the steward has read the rows, after the intent.
+/// When the steward has read the rows, in milliseconds after the intent.
 const READ: u64 = 500;
 const READINGS: [u64; 2] = [1, 3_000];
-const DOES: [Does; 5] = [
-    Does::Silent,
-    Does::Word(READ),
-    Does::Word(2_500),
-    Does::Word(5_000),
-    Does::Stop,
+const BEHAVIOURS: [Behaviour; 5] = [
+    Behaviour::Silent,
+    Behaviour::Word(READ),
+    Behaviour::Word(2_500),
+    Behaviour::Word(5_000),
+    Behaviour::Stop,
 ];
 const STEP: usize = 250;
 
-/// How long an answer takes.
+/// How many milliseconds an answer takes.
 const ANSWER: u64 = 300;
 
-/// Plays a case: every VM asks all others each 250 ms and is answered by all, which is the most
-/// that a lease can gain. Returns a VM that holds the epoch when the promotion is ordered.
+/// Simulates a case: every VM asks all others every 250 ms and is answered by all, which extends a
+/// lease the most. Returns a VM that holds the epoch when the promotion is ordered.
 fn holder(vms: &[Vm], flaw: Flaw) -> Option<(usize, u64)> {
     let mut books: Vec<_> = vms.iter().map(|(age, _)| book(INTENT - age)).collect();
     let undropped = books.clone();
-    let seen = |(number, (_, does)): (usize, &Vm)| {
-        (*does != Does::Stop).then(|| (member(number), at(INTENT)))
+    let seen = |(number, (_, behaviour)): (usize, &Vm)| {
+        (*behaviour != Behaviour::Stop).then(|| (member(number), at(INTENT)))
     };
     let read = if flaw == Flaw::Intent { 0 } else { READ };
     let members = vms.iter().enumerate().filter_map(seen);
@@ -165,21 +167,21 @@
         } else {
             &books
         };
-        let stand = asked
+        let confirmations = asked
             .iter()
             .filter(|book| !book.vouches(at(now)).is_empty());
-        if stand.count() >= enough {
+        if confirmations.count() >= enough {
             for book in &mut books {
                 book.vouch(&group(), 1, at(now + late));
             }
         }
-        for (number, (_, does)) in vms.iter().enumerate() {
-            match does {
-                Does::Word(after) if INTENT + after == now => {
+        for (number, (_, behaviour)) in vms.iter().enumerate() {
+            match behaviour {
+                Behaviour::Word(after) if INTENT + after == now => {
                     books[number].drop_epoch(&group(), 1);
                     drops.done(&member(number), at(now));
                 }
-                Does::Stop if INTENT + READ == now => books[number].drop_all(),
+                Behaviour::Stop if INTENT + READ == now => books[number].drop_all(),
                 _ => {}
             }
         }
@@ -192,25 +194,25 @@
     panic!("no promotion is ever ordered: {vms:?}");
 }
 
-/// All cases of so many VMs, the last of which is the steward that gives its own word at once.
+/// All cases of this number of VMs, the last of which is the steward, which releases the epoch at
+/// once.
 fn cases(vms: usize) -> impl Iterator<Item = Vec<Vm>> {
-    let kinds = READINGS.len() * DOES.len();
+    let kinds = READINGS.len() * BEHAVIOURS.len();
     (0..kinds.pow(vms as u32 - 1)).map(move |mut case| {
         let mut all = Vec::new();
         for _ in 1..vms {
             let kind = case % kinds;
             case /= kinds;
-            all.push((READINGS[kind % 2], DOES[kind / 2]));
+            all.push((READINGS[kind % 2], BEHAVIOURS[kind / 2]));
         }
-        all.push((1, Does::Word(READ)));
+        all.push((1, Behaviour::Word(READ)));
         all
     })
 }
 
-/// Of all cases of three to five VMs there is none in which a VM still holds the old epoch when
-/// the promotion is ordered.
+/// In no case of three to six VMs does a VM still hold the old epoch when the promotion is ordered.
 #[test]
-fn nobody_holds_the_epoch_when_another_is_promoted() {
+fn no_vm_holds_the_epoch_when_another_is_promoted() {
     for vms in 3..=6 {
         for case in cases(vms) {
             assert_eq!(holder(&case, Flaw::None), None, "{case:?}");
@@ -218,7 +220,7 @@
     }
 }
 
-/// With any one safeguard left out there is a case in which a VM acts on the old primary while
+/// Without any one of the safeguards there is a case in which a VM acts on the old primary while
 /// another one is promoted.
 #[test]
 fn each_safeguard_is_needed() {
@@ -232,8 +234,9 @@
     insta::assert_snapshot!(found);
 }
 
-/// A replacement that waits for the short term only has not heard so many VMs; were they a quorum,
-/// they could vouch for each other, and one of them act on the old primary.
+/// A replacement that waits only for the short term has had no reply from up to this many VMs. If
+/// they were a quorum, they could confirm each other's leases, and one of them act on the old
+/// primary.
 #[test]
 fn size_of_a_quorum() {
     assert_eq!((UNHEARD, QUORUM), (2, 3));
--- a/tests/direct_votes.rs
+++ b/tests/direct_votes.rs
@@ -1,8 +1,8 @@
-//! Verdicts on a database that few VMs try: the others reach it by way of those, and have no
-//! opinion of their own.
+//! Verdicts on a database that few VMs connect to: the others reach it through those, and have no
+//! vote.
 
 use lentilspoke::clock::{Span, Time};
-use lentilspoke::direct::control::evidence::{Attempt, Tried, Verdict, Witness, count, judge};
+use lentilspoke::direct::control::evidence::{Attempt, Observation, Tried, Verdict, count, judge};
 use lentilspoke::direct::view::Report;
 
 fn at(millis: u64) -> Time {
@@ -13,9 +13,9 @@
     at(10_000)
 }
 
-fn witness(answered: Option<u64>, failing: Option<u64>) -> Witness {
-    Witness {
-        heard: at(9_900),
+fn observation(answered: Option<u64>, failing: Option<u64>) -> Observation {
+    Observation {
+        received: at(9_900),
         report: Report {
             answered: answered.map(Span::from_millis),
             failing: failing.map(Span::from_millis),
@@ -23,8 +23,8 @@
     }
 }
 
-fn fails() -> Witness {
-    witness(Some(1_400), Some(1_300))
+fn fails() -> Observation {
+    observation(Some(1_400), Some(1_300))
 }
 
 fn tried(attempt: Attempt) -> Option<Tried> {
@@ -35,19 +35,19 @@
     })
 }
 
-fn verdict(few: &[Witness], others: Witness, tried: Option<Tried>) -> Verdict {
+fn verdict(few: &[Observation], others: Observation, tried: Option<Tried>) -> Verdict {
     let others = std::iter::repeat_n(others, 60);
     let votes = count(few.iter().copied().chain(others), now());
     judge(&votes, tried, now())
 }
 
-/// Callers of 63 VMs get no writes through: three VMs connect to the primary for all, and two of
-/// these have been cut from it for 1.3 s. The 60 others never tried it, or did so long ago: they
-/// must not outvote the two, as they would if each VM that is heard had a vote.
+/// Three of 63 VMs connect to the primary for all, and two of these have been cut from it for 1.3
+/// s, so callers get no writes through. The 60 others never tried it, or did so long ago, and must
+/// not outvote the two, as they would if each VM that sends heartbeats had a vote.
 #[test]
 fn two_of_three_owners_are_cut_off() {
-    let fine = witness(Some(50), None);
-    for others in [witness(None, None), witness(Some(5_000), None)] {
+    let fine = observation(Some(50), None);
+    for others in [observation(None, None), observation(Some(5_000), None)] {
         assert_eq!(
             verdict(&[fails(), fails(), fine], others, None),
             Verdict::Split
@@ -58,11 +58,11 @@
 }
 
 /// Both VMs that connect to a primary are cut from it, and the steward, which never needed it,
-/// reaches it. Nobody else has a word on it, so without the steward's own attempt as a vote it
-/// would be suspected for as long as the cut lasts.
+/// reaches it. No other VM has a vote on it, so without the steward's own attempt as a vote it
+/// would only be suspected for as long as the cut lasts.
 #[test]
 fn all_owners_are_cut_off_and_the_steward_is_not() {
-    let untried = witness(None, None);
+    let untried = observation(None, None);
     let both = [fails(), fails()];
     let reached = tried(Attempt::Answered);
     assert_eq!(verdict(&both, untried, reached), Verdict::Split);
@@ -72,11 +72,11 @@
     assert_eq!(verdict(&both, untried, silent), Verdict::Lost);
 }
 
-/// Two of three VMs do not reach the primary, two of 60 do not reach a replica. That replica is
-/// the better primary, although as many fail to reach it.
+/// Two of three VMs do not reach the primary, two of 60 do not reach a replica. That replica is the
+/// better primary, although as many fail to reach it.
 #[test]
 fn shares_are_compared_and_not_numbers() {
-    let fine = witness(Some(50), None);
+    let fine = observation(Some(50), None);
     let votes = |fine_ones| {
         let fine = std::iter::repeat_n(fine, fine_ones);
         count([fails(), fails()].into_iter().chain(fine), now())
