--- a/src/direct/control/change.rs
+++ b/src/direct/control/change.rs
@@ -7,7 +7,7 @@
 use crate::direct::control::duty::{Extra, Renewed};
 use crate::direct::control::evidence;
 use crate::direct::control::order::Successor;
-use crate::direct::control::promotion::{Drops, Reply};
+use crate::direct::control::promotion::{Reply, Revocation};
 use crate::direct::control::rows::{Member, MemberId, encode, lead_row};
 use crate::direct::control::steward::Cause;
 use crate::direct::lead::{Epoch, Lead};
@@ -192,26 +192,26 @@
             since.min(replacement.intent)
         };
         let pending = members.iter().map(|(id, m)| (id.clone(), since(id, m)));
-        let mut drops = Drops::new(pending, read);
+        let mut revocation = Revocation::new(pending, read);
         let mut calls = FuturesUnordered::new();
         for (id, member) in members {
-            let until = drops.until(&id).unwrap_or(replacement.intent);
+            let until = revocation.until(&id).unwrap_or(replacement.intent);
             calls.push(self.revoke_at(replacement, id, member.address, until));
         }
-        while let Some(end) = drops.end() {
+        while let Some(end) = revocation.end() {
             let left = Duration::from(end.since(self.now()));
             tokio::select! {
                 biased;
                 Some((id, how)) = calls.next() => {
-                    drops.done(&id, self.now());
+                    revocation.done(&id, self.now());
                     if how != "released" {
                         log::info!(vm:% = id, group:% = replacement.group, epoch = replacement.epoch, how; "a VM holds no lease");
                     }
                 }
                 () = tokio::time::sleep(left) => {
                     let now = self.now();
-                    for id in drops.waited() {
-                        let lapsed = drops.until(id).is_none_or(|until| until <= now);
+                    for id in revocation.pending() {
+                        let lapsed = revocation.until(id).is_none_or(|until| until <= now);
                         let how = if lapsed { "lapsed" } else { "too few VMs left to extend it" };
                         log::info!(vm:% = id, group:% = replacement.group, epoch = replacement.epoch, how; "a VM holds no lease");
                     }
--- a/src/direct/control/promotion.rs
+++ b/src/direct/control/promotion.rs
@@ -49,24 +49,24 @@
 /// before. A VM that was not registered any more when the rows were read had stopped confirming by
 /// then.
 #[derive(Debug, Default)]
-pub struct Drops {
+pub struct Revocation {
     pending: BTreeMap<MemberId, Time>,
     /// When few enough VMs were left.
     few_since: Option<Time>,
 }
 
-impl Drops {
+impl Revocation {
     /// Waits for the given VMs. Each comes with the time at which the intent was written, or of its
     /// eviction if that was earlier. The reading that listed them was requested after the intent
     /// and was complete at `read`.
     pub fn new(members: impl IntoIterator<Item = (MemberId, Time)>, read: Time) -> Self {
         let members = members.into_iter();
-        let mut drops = Self {
+        let mut revocation = Self {
             pending: members.map(|(id, since)| (id, lapsed_at(since))).collect(),
             few_since: None,
         };
-        drops.count(read);
-        drops
+        revocation.count(read);
+        revocation
     }
 
     /// Records at `now` that a VM released the epoch, has ended, or that its lease has expired.
@@ -88,7 +88,7 @@
     }
 
     /// The VMs that have not answered yet.
-    pub fn waited(&self) -> impl Iterator<Item = &MemberId> {
+    pub fn pending(&self) -> impl Iterator<Item = &MemberId> {
         self.pending.keys()
     }
 
--- a/src/model/vouch.rs
+++ b/src/model/vouch.rs
@@ -2,7 +2,7 @@
 //!
 //! Four or five VMs, of which two may be steward, their rows and the lead's in the store, and one
 //! group. What a VM believes, and what it vouches for, is the real `direct::lead::Book`; how long a
-//! steward waits is the real `direct::control::promotion::Drops`.
+//! steward waits is the real `direct::control::promotion::Revocation`.
 //!
 //! A step that does not happen was lost, cut off, or asleep, as in [`leads`](crate::model::leads).
 //! That specification has what is left out here: the duty is taken at any time, an order leaves and
--- a/src/model/vouch/steward.rs
+++ b/src/model/vouch/steward.rs
@@ -4,7 +4,7 @@
 use super::vm::{Age, Duty, Intent, Rows, Vm, Waits, Write};
 use super::{Event, NOW, OLD, Safeguard, Spec, State, TERM, TICK, VMS, give_up, with};
 use crate::clock::{Span, Time};
-use crate::direct::control::promotion::{Drops, lapsed_at};
+use crate::direct::control::promotion::{Revocation, lapsed_at};
 use crate::direct::control::rows::MemberId;
 use crate::direct::lead::{self, UNHEARD};
 use std::net::{IpAddr, Ipv4Addr};
@@ -247,19 +247,19 @@
 }
 
 /// The real wait for those that are left, of which few have been left since `few`.
-fn drops(waits: &Waits, few: Time) -> Drops {
+fn drops(waits: &Waits, few: Time) -> Revocation {
     let left = (0..VMS).filter(|v| waits.rest & (1 << v) != 0);
     let left = left.map(|v| (member(v), ago(waits.since[v])));
-    Drops::new(left, few)
+    Revocation::new(left, few)
 }
 
 /// What there is to remember of the real wait: since when few are left, where that ends it.
-fn noted(waits: Waits, drops: &Drops) -> Waits {
+fn noted(waits: Waits, drops: &Revocation) -> Waits {
     let mut since = [0; VMS];
     for (v, age) in since.iter_mut().enumerate() {
         *age = waits.since[v] * (waits.rest >> v & 1);
     }
-    let last = drops.waited().filter_map(|id| drops.until(id)).max();
+    let last = drops.pending().filter_map(|id| drops.until(id)).max();
     let short = drops.end().filter(|end| Some(*end) < last);
     let few = short.map(|end| {
         let began = end - lead::TERM - margin();
--- a/tests/direct_lease.rs
+++ b/tests/direct_lease.rs
@@ -1,7 +1,7 @@
 //! Leases that peers extend, against the wait of a replacement for them to expire.
 
 use lentilspoke::clock::{Span, Time};
-use lentilspoke::direct::control::promotion::Drops;
+use lentilspoke::direct::control::promotion::Revocation;
 use lentilspoke::direct::control::rows::MemberId;
 use lentilspoke::direct::lead::{Book, Lead, QUORUM, TERM, UNHEARD};
 use lentilspoke::types::GroupId;
@@ -90,11 +90,12 @@
 fn wait_for_silent_vms() {
     let wait = |silent: usize, replies: &[u64], read: u64| {
         let all = 0..silent + replies.len();
-        let mut drops = Drops::new(all.map(|n| (member(n), at(INTENT))), at(INTENT + read));
+        let mut revocation =
+            Revocation::new(all.map(|n| (member(n), at(INTENT))), at(INTENT + read));
         for (number, word) in (silent..).zip(replies) {
-            drops.done(&member(number), at(INTENT + word));
+            revocation.done(&member(number), at(INTENT + word));
         }
-        drops.end().map_or(0, |end| end.0 / 1_000 - INTENT)
+        revocation.end().map_or(0, |end| end.0 / 1_000 - INTENT)
     };
     assert_eq!(wait(0, &[20, 30], 10), 0);
     assert_eq!(wait(1, &[], 10), 2_760);
@@ -158,7 +159,7 @@
     };
     let read = if flaw == Flaw::Intent { 0 } else { READ };
     let members = vms.iter().enumerate().filter_map(seen);
-    let mut drops = Drops::new(members, at(INTENT + read));
+    let mut revocation = Revocation::new(members, at(INTENT + read));
     let enough = if flaw == Flaw::Two { 2 } else { QUORUM };
     let late = if flaw == Flaw::Answered { ANSWER } else { 0 };
     for now in (INTENT - 3_000..INTENT + 10_000).step_by(STEP) {
@@ -179,13 +180,13 @@
             match behaviour {
                 Behaviour::Word(after) if INTENT + after == now => {
                     books[number].drop_epoch(&group(), 1);
-                    drops.done(&member(number), at(now));
+                    revocation.done(&member(number), at(now));
                 }
                 Behaviour::Stop if INTENT + READ == now => books[number].drop_all(),
                 _ => {}
             }
         }
-        let ordered = now >= INTENT + READ && drops.end().is_none_or(|end| end <= at(now));
+        let ordered = now >= INTENT + READ && revocation.end().is_none_or(|end| end <= at(now));
         if ordered {
             let holds = |book: &Book| book.holds(&group(), 1, at(now));
             return books.iter().position(holds).map(|vm| (vm, now - INTENT));
