--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -229,7 +229,7 @@
     pub(super) fn ping_all(self: &Rc<Self>) {
         let now = self.now();
         let vms = self.setup.shared.look().fellows.list().len();
-        let Some(at) = self.state.borrow_mut().nudge.ask(now, vms) else {
+        let Some(at) = self.state.borrow_mut().pings.request(now, vms) else {
             return;
         };
         if at <= now {
--- a/src/direct/control/nudge.rs
+++ b/src/direct/control/ping.rs
@@ -20,14 +20,14 @@
 
 /// Limits the rate of a steward's pings.
 #[derive(Debug, Default)]
-pub struct Nudge {
+pub struct Throttle {
     last: Option<Time>,
 }
 
-impl Nudge {
+impl Throttle {
     /// Requests a ping of `vms` VMs at `now`. Returns when to send it, or none if a scheduled ping
     /// will cover it.
-    pub fn ask(&mut self, now: Time, vms: usize) -> Option<Time> {
+    pub fn request(&mut self, now: Time, vms: usize) -> Option<Time> {
         let interval = MIN_INTERVAL.max(Span(INTERVAL_PER_VM.0 * vms as u64));
         let at = self.last.map_or(now, |last| now.max(last + interval));
         if self.last.is_some_and(|last| last > now) {
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -3,7 +3,7 @@
 use crate::clock::Time;
 use crate::direct::control::enroll::Waiting;
 use crate::direct::control::evidence::Tried;
-use crate::direct::control::nudge::Nudge;
+use crate::direct::control::ping::Throttle;
 use crate::direct::control::register::Register;
 use crate::direct::control::rows::{MemberId, Reading};
 use crate::direct::control::takeover::{Hearing, Watch};
@@ -59,8 +59,8 @@
     pub post: Option<Post>,
     /// The duty, while it is held here.
     pub held: Option<Held>,
-    /// When all VMs were asked to beat.
-    pub nudge: Nudge,
+    /// When all VMs were last pinged.
+    pub pings: Throttle,
     /// Whether most of the VMs were heard, as counted last.
     pub hears_most: (Time, bool),
     /// What VMs told the steward.
--- a/tests/direct_news.rs
+++ b/tests/direct_news.rs
@@ -4,7 +4,7 @@
 
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::direct::control::news::telling;
-use lentilspoke::direct::control::nudge::Nudge;
+use lentilspoke::direct::control::ping::Throttle;
 use lentilspoke::direct::lead::{Book, Lead, digest};
 use lentilspoke::direct::view::View;
 use lentilspoke::types::GroupId;
@@ -83,9 +83,12 @@
 /// Five or six rounds tell the same; the first is at once, and one is after each group's news.
 #[test]
 fn news_of_many_groups_are_one_nudge() {
-    let mut nudge = Nudge::default();
+    let mut throttle = Throttle::default();
     let asked: Vec<Time> = (0..68).map(|group| at(1_000 + 16 * group)).collect();
-    let rounds: Vec<Time> = asked.iter().filter_map(|now| nudge.ask(*now, 99)).collect();
+    let rounds: Vec<Time> = asked
+        .iter()
+        .filter_map(|now| throttle.request(*now, 99))
+        .collect();
     assert!(rounds.len() <= 6, "{rounds:?}");
     assert_eq!(rounds.first(), Some(&at(1_000)), "the first is at once");
     let each = |now: &Time| {
@@ -94,5 +97,5 @@
             .any(|at| at >= now && at.since(*now) <= Span::from_millis(250))
     };
     assert!(asked.iter().all(each), "{rounds:?}");
-    assert_eq!(nudge.ask(at(9_000), 99), Some(at(9_000)));
+    assert_eq!(throttle.request(at(9_000), 99), Some(at(9_000)));
 }
