--- a/src/direct/control/detour.rs
+++ b/src/direct/control/detour.rs
@@ -127,7 +127,7 @@
         let steward = {
             let state = self.state.borrow();
             let post = state.post.as_ref();
-            post.filter(|post| post.hearing.missed == 0 && post.hearing.ended.is_none())
+            post.filter(|post| post.contact.missed == 0 && post.contact.ended.is_none())
                 .filter(|_| !self.is_large())
                 .map(|post| post.address)
         };
--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -96,8 +96,8 @@
         let rank = others
             .filter(|(id, (m, _))| place(id, m.cores, &m.address) < own)
             .count();
-        let hearing = state.post.as_ref().map(|post| &post.hearing);
-        let at = state.watch.takes_at(hearing, rank, now)?;
+        let contact = state.post.as_ref().map(|post| &post.contact);
+        let at = state.watch.takes_at(contact, rank, now)?;
         let is_first = state.watch.version().is_none();
         Some(if is_first { at + self.weak_delay() } else { at })
     }
@@ -122,7 +122,7 @@
         let ended = {
             let state = self.state.borrow();
             let post = state.post.as_ref();
-            post.is_none_or(|post| post.hearing.ended.is_some())
+            post.is_none_or(|post| post.contact.ended.is_some())
         };
         if !ended {
             let (answered, in_contact) = self.ask_peers().await;
@@ -201,7 +201,7 @@
         let silent = state
             .post
             .as_ref()
-            .map(|post| held.since.since(post.hearing.since).0 / 1_000);
+            .map(|post| held.since.since(post.contact.since).0 / 1_000);
         log::warn!(vm:% = self.id, token, version:% = held.version, silent_ms:? = silent; "this VM is the steward");
         state.heard.clear();
         let before = former_steward(&state);
@@ -489,7 +489,7 @@
     let (id, (member, _)) = members.find(|(_, (m, _))| m.address == post.address)?;
     let beaten = Beaten {
         life: member.life,
-        at: post.hearing.since,
+        at: post.contact.since,
         reports: BTreeMap::new(),
     };
     Some((id.clone(), beaten))
--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -140,7 +140,7 @@
     }
 
     async fn send_heartbeat(&self, post: &Post) -> bool {
-        let timeout = if post.hearing.missed > 1 {
+        let timeout = if post.contact.missed > 1 {
             SHORT_TIMEOUT
         } else {
             ANSWER_TIMEOUT
@@ -157,7 +157,7 @@
         };
         match answer {
             Some(Answer::News(news)) if news.steward => {
-                followed.hearing.answered(asked);
+                followed.contact.answered(asked);
                 state.told = Some(now);
                 if let Some(version) = news.duty.as_ref().and_then(|duty| duty.version) {
                     // Every order that this version allows was requested before now.
@@ -173,21 +173,21 @@
                 true
             }
             Some(Answer::News(news)) => {
-                followed.hearing.missed += 1;
+                followed.contact.missed += 1;
                 drop(state);
                 self.follow_heard(news.duty.as_ref(), now);
                 self.take_news(*news, post.address, asked);
                 false
             }
             Some(Answer::Absent) => {
-                if followed.hearing.ended.is_none() {
+                if followed.contact.ended.is_none() {
                     log::warn!(address:% = post.address, token = post.token; "the steward has ended");
                 }
-                followed.hearing.end(now);
+                followed.contact.end(now);
                 false
             }
             _ => {
-                followed.hearing.missed += 1;
+                followed.contact.missed += 1;
                 false
             }
         }
@@ -221,14 +221,14 @@
         state
             .post
             .as_ref()
-            .is_none_or(|post| post.hearing.is_silent(now))
+            .is_none_or(|post| post.contact.is_silent(now))
     }
 
     /// Whether the steward answers, so that the configuration can be requested from it.
     pub(super) fn hears_steward(&self) -> bool {
         let state = self.state.borrow();
         let post = state.post.as_ref();
-        post.is_some_and(|post| post.hearing.missed == 0 && post.hearing.ended.is_none())
+        post.is_some_and(|post| post.contact.missed == 0 && post.contact.ended.is_none())
             && state.held.is_none()
     }
 
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -298,7 +298,7 @@
         Knowledge {
             steward: held.is_some(),
             token: held.max(post.map(|post| post.token)).unwrap_or_default(),
-            heard: post.map(|post| now.since(post.hearing.since)),
+            heard: post.map(|post| now.since(post.contact.since)),
             members: self.setup.shared.look().fellows.list().len(),
             register_age: state.register.asked().map(|asked| now.since(asked)),
             config: state.newest.max(self.config_version()),
--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -199,12 +199,12 @@
         let post = state
             .post
             .as_ref()
-            .filter(|post| post.hearing.ended.is_none())?;
+            .filter(|post| post.contact.ended.is_none())?;
         Some(Heard {
             address: post.address,
             token: post.token,
             version: None,
-            age: now.since(post.hearing.since),
+            age: now.since(post.contact.since),
         })
     }
 
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -99,7 +99,7 @@
             .as_mut()
             .filter(|post| ended && post.token == duty.token)
         {
-            post.hearing.end(now);
+            post.contact.end(now);
         }
     }
 
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -6,7 +6,7 @@
 use crate::direct::control::ping::Throttle;
 use crate::direct::control::register::Register;
 use crate::direct::control::rows::{MemberId, Reading};
-use crate::direct::control::takeover::{Hearing, Watch};
+use crate::direct::control::takeover::{Contact, Watch};
 use crate::direct::history::History;
 use crate::direct::lead::{self, Lead};
 use crate::direct::parts::{Changes, Gathering};
@@ -106,7 +106,7 @@
     /// Its fencing token.
     pub token: u64,
     /// How it is heard.
-    pub hearing: Hearing,
+    pub contact: Contact,
 }
 
 /// The duty, held here.
@@ -253,7 +253,7 @@
         self.post = Some(Post {
             address,
             token,
-            hearing: Hearing::new(now),
+            contact: Contact::new(now),
         });
         true
     }
--- a/src/direct/control/takeover.rs
+++ b/src/direct/control/takeover.rs
@@ -40,7 +40,7 @@
 
 /// This VM's contact with the steward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Hearing {
+pub struct Contact {
     /// When the last answered call was sent, or when this VM began to call it.
     pub since: Time,
     /// Calls without an answer since then.
@@ -49,7 +49,7 @@
     pub ended: Option<Time>,
 }
 
-impl Hearing {
+impl Contact {
     /// The contact with a steward that has not been called yet.
     pub fn new(now: Time) -> Self {
         Self {
@@ -103,18 +103,18 @@
 
     /// When the VM of this rank (0 is first) may take the duty, under the condition that the row
     /// still has the recorded version. None if it may not at present.
-    pub fn takes_at(&self, hearing: Option<&Hearing>, rank: usize, now: Time) -> Option<Time> {
+    pub fn takes_at(&self, contact: Option<&Contact>, rank: usize, now: Time) -> Option<Time> {
         let delay = rank_delay(rank as u64);
         let since = self.since?;
         if self.version.is_none() {
             return Some(since + delay);
         }
-        let hearing = hearing?;
-        if let Some(ended) = hearing.ended {
+        let contact = contact?;
+        if let Some(ended) = contact.ended {
             return Some(since.max(ended) + delay);
         }
-        let silent = hearing.is_silent(now);
-        silent.then(|| (since + ORDER_EXPIRY).max(hearing.since + SILENCE_TIMEOUT) + delay)
+        let silent = contact.is_silent(now);
+        silent.then(|| (since + ORDER_EXPIRY).max(contact.since + SILENCE_TIMEOUT) + delay)
     }
 }
 
--- a/tests/direct_control.rs
+++ b/tests/direct_control.rs
@@ -10,7 +10,7 @@
 use lentilspoke::direct::control::rows::{Member, MemberId, Reading};
 use lentilspoke::direct::control::steward::{Action, Cause, Snapshot, Status, plan};
 use lentilspoke::direct::control::store::Patience;
-use lentilspoke::direct::control::takeover::{Hearing, Watch};
+use lentilspoke::direct::control::takeover::{Contact, Watch};
 use lentilspoke::direct::lead::{Book, Lead};
 use lentilspoke::direct::statement::Standing;
 use lentilspoke::direct::table::{self, Era};
@@ -131,29 +131,29 @@
     let mut watch = Watch::default();
     assert_eq!(watch.takes_at(None, 0, at(0)), None);
     watch.note(version(7), at(1_000));
-    let mut hearing = Hearing::new(at(500));
+    let mut contact = Contact::new(at(500));
     assert_eq!(
-        watch.takes_at(Some(&hearing), 0, at(5_000)),
+        watch.takes_at(Some(&contact), 0, at(5_000)),
         None,
         "no call was missed"
     );
-    hearing.missed = 2;
+    contact.missed = 2;
     assert_eq!(
-        watch.takes_at(Some(&hearing), 0, at(1_500)),
+        watch.takes_at(Some(&contact), 0, at(1_500)),
         Some(at(2_800))
     );
     assert_eq!(
-        watch.takes_at(Some(&hearing), 2, at(1_500)),
+        watch.takes_at(Some(&contact), 2, at(1_500)),
         Some(at(3_100))
     );
     watch.note(version(8), at(2_000));
     assert_eq!(
-        watch.takes_at(Some(&hearing), 0, at(2_500)),
+        watch.takes_at(Some(&contact), 0, at(2_500)),
         Some(at(3_800))
     );
-    hearing.end(at(2_100));
+    contact.end(at(2_100));
     assert_eq!(
-        watch.takes_at(Some(&hearing), 0, at(2_500)),
+        watch.takes_at(Some(&contact), 0, at(2_500)),
         Some(at(2_100))
     );
 }
@@ -164,9 +164,9 @@
 fn duty_is_taken_soon_though_the_first_in_rank_are_gone() {
     let mut watch = Watch::default();
     watch.note(version(7), at(1_000));
-    let mut hearing = Hearing::new(at(500));
-    hearing.end(at(2_000));
-    let takes_at = |rank| watch.takes_at(Some(&hearing), rank, at(2_000)).unwrap();
+    let mut contact = Contact::new(at(500));
+    contact.end(at(2_000));
+    let takes_at = |rank| watch.takes_at(Some(&contact), rank, at(2_000)).unwrap();
     assert!(takes_at(32) <= at(3_000), "{:?}", takes_at(32));
     for rank in 0..62 {
         let apart = takes_at(rank + 1).since(takes_at(rank));
@@ -182,13 +182,13 @@
 /// it.
 #[test]
 fn frozen_vm_calls_before_it_suspects_the_steward() {
-    let mut hearing = Hearing::new(at(0));
-    assert!(!hearing.is_silent(at(60_000)));
-    hearing.missed = 1;
-    assert!(!hearing.is_silent(at(60_000)));
-    hearing.answered(at(60_000));
-    hearing.missed = 2;
-    assert!(!hearing.is_silent(at(60_900)) && hearing.is_silent(at(61_000)));
+    let mut contact = Contact::new(at(0));
+    assert!(!contact.is_silent(at(60_000)));
+    contact.missed = 1;
+    assert!(!contact.is_silent(at(60_000)));
+    contact.answered(at(60_000));
+    contact.missed = 2;
+    assert!(!contact.is_silent(at(60_900)) && contact.is_silent(at(61_000)));
 }
 
 /// An order arrives within 1.5 s of the request of the renewal before it, or is not sent.
