--- a/src/direct/control/evidence.rs
+++ b/src/direct/control/evidence.rs
@@ -46,7 +46,7 @@
 
 /// A connection attempt of the steward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tried {
+pub struct Probe {
     /// When it began.
     pub began: Time,
     /// When it ended.
@@ -126,7 +126,7 @@
 }
 
 /// Judges a primary by the votes and the steward's own last attempt.
-pub fn judge(votes: &Votes, tried: Option<Tried>, now: Time) -> Verdict {
+pub fn judge(votes: &Votes, tried: Option<Probe>, now: Time) -> Verdict {
     let Some(since) = votes.since else {
         return Verdict::Fine;
     };
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Time;
 use crate::direct::control::enroll::Waiting;
-use crate::direct::control::evidence::Tried;
+use crate::direct::control::evidence::Probe;
 use crate::direct::control::ping::Throttle;
 use crate::direct::control::register::Register;
 use crate::direct::control::rows::{MemberId, Reading};
@@ -68,7 +68,7 @@
     /// VMs that a reading showed as evicted: the row's version, and when that was seen first.
     pub evicted: BTreeMap<MemberId, (Version, Time)>,
     /// The steward's last attempts to reach databases.
-    pub tried: BTreeMap<DatabaseId, Tried>,
+    pub tried: BTreeMap<DatabaseId, Probe>,
     /// Since when a group's row has had its epoch, as far as this VM saw.
     pub epochs: BTreeMap<GroupId, (u64, Time)>,
     /// What the steward's tasks are about.
--- a/src/direct/control/steward.rs
+++ b/src/direct/control/steward.rs
@@ -3,7 +3,7 @@
 use crate::clock::{Span, Time};
 use crate::core::detect::Damper;
 use crate::direct::config::{Config, Database};
-use crate::direct::control::evidence::{Attempt, Observation, Tried, Verdict, Votes, count, judge};
+use crate::direct::control::evidence::{Attempt, Observation, Probe, Verdict, Votes, count, judge};
 use crate::direct::control::promotion::lapsed_at;
 use crate::direct::control::rows::{MemberId, Reading};
 use crate::direct::control::state::Topic;
@@ -128,7 +128,7 @@
     /// The last heartbeat of each VM, including this one.
     pub statuses: &'a BTreeMap<MemberId, Status<'a>>,
     /// The last attempts to reach databases.
-    pub tried: &'a BTreeMap<DatabaseId, Tried>,
+    pub tried: &'a BTreeMap<DatabaseId, Probe>,
     /// When evicted VMs were first seen as such, by the version of their rows.
     pub evicted: &'a BTreeMap<MemberId, (Version, Time)>,
     /// Each group's epoch, and since when it has had it.
--- a/src/direct/control/tasks.rs
+++ b/src/direct/control/tasks.rs
@@ -3,7 +3,7 @@
 use crate::clock::{Span, Time};
 use crate::direct::config::Database;
 use crate::direct::control::backoff::Backoff;
-use crate::direct::control::evidence::Tried;
+use crate::direct::control::evidence::Probe;
 use crate::direct::control::probe;
 use crate::direct::control::promotion::Reply;
 use crate::direct::control::rows::{MemberId, duty_row, encode, lead_row, member_row};
@@ -356,7 +356,7 @@
         let began = self.now();
         let attempt = probe::open(&self.setup.adapter, &database).await.attempt();
         let ended = self.now();
-        let tried = Tried {
+        let tried = Probe {
             began,
             ended,
             attempt,
--- a/tests/direct_control.rs
+++ b/tests/direct_control.rs
@@ -5,7 +5,7 @@
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::core::detect::Damper;
 use lentilspoke::direct::config::{self, Config, Database};
-use lentilspoke::direct::control::evidence::{Attempt, Observation, Tried, Verdict, count, judge};
+use lentilspoke::direct::control::evidence::{Attempt, Observation, Probe, Verdict, count, judge};
 use lentilspoke::direct::control::promotion::{Choice, Permit, Pick, Reply};
 use lentilspoke::direct::control::rows::{Member, MemberId, Reading};
 use lentilspoke::direct::control::steward::{Action, Cause, Snapshot, Status, plan};
@@ -35,8 +35,8 @@
     }
 }
 
-fn tried(began: u64, attempt: Attempt) -> Option<Tried> {
-    Some(Tried {
+fn tried(began: u64, attempt: Attempt) -> Option<Probe> {
+    Some(Probe {
         began: at(began),
         ended: at(began + 20),
         attempt,
@@ -50,7 +50,7 @@
     let failing = |for_ms| observation(9_900, Some(for_ms + 100), Some(for_ms));
     let untried = observation(9_900, None, None);
     let old = observation(8_000, Some(100), Some(50));
-    let cases: [(&str, Vec<Observation>, Option<Tried>, Verdict); 11] = [
+    let cases: [(&str, Vec<Observation>, Option<Probe>, Verdict); 11] = [
         ("nobody fails", vec![fine, fine], None, Verdict::Fine),
         (
             "one says so",
@@ -356,7 +356,7 @@
     databases: BTreeMap<DatabaseId, Database>,
     config: Config,
     reports: BTreeMap<DatabaseId, Report>,
-    tried: BTreeMap<DatabaseId, Tried>,
+    tried: BTreeMap<DatabaseId, Probe>,
     evicted: BTreeMap<MemberId, (table::Version, Time)>,
     epochs: BTreeMap<GroupId, (u64, Time)>,
     dampers: BTreeMap<GroupId, Damper>,
--- a/tests/direct_votes.rs
+++ b/tests/direct_votes.rs
@@ -2,7 +2,7 @@
 //! vote.
 
 use lentilspoke::clock::{Span, Time};
-use lentilspoke::direct::control::evidence::{Attempt, Observation, Tried, Verdict, count, judge};
+use lentilspoke::direct::control::evidence::{Attempt, Observation, Probe, Verdict, count, judge};
 use lentilspoke::direct::view::Report;
 
 fn at(millis: u64) -> Time {
@@ -27,15 +27,15 @@
     observation(Some(1_400), Some(1_300))
 }
 
-fn tried(attempt: Attempt) -> Option<Tried> {
-    Some(Tried {
+fn tried(attempt: Attempt) -> Option<Probe> {
+    Some(Probe {
         began: at(9_600),
         ended: at(9_620),
         attempt,
     })
 }
 
-fn verdict(few: &[Observation], others: Observation, tried: Option<Tried>) -> Verdict {
+fn verdict(few: &[Observation], others: Observation, tried: Option<Probe>) -> Verdict {
     let others = std::iter::repeat_n(others, 60);
     let votes = count(few.iter().copied().chain(others), now());
     judge(&votes, tried, now())
