--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -225,7 +225,7 @@
     }
 
     /// Whether the steward answers, so that the configuration can be requested from it.
-    pub(super) fn hears_steward(&self) -> bool {
+    pub(super) fn steward_answers(&self) -> bool {
         let state = self.state.borrow();
         let post = state.post.as_ref();
         post.is_some_and(|post| post.contact.missed == 0 && post.contact.ended.is_none())
--- a/src/direct/control/watch.rs
+++ b/src/direct/control/watch.rs
@@ -48,7 +48,7 @@
                 backoff.reset();
             }
             Err(_) => {
-                if !control.hears_steward() {
+                if !control.steward_answers() {
                     // Nobody tells this VM of a configuration, and a poll takes the own way only.
                     after = None;
                 }
@@ -120,7 +120,11 @@
         learn(control, &rows);
         return Ok(Some(version));
     };
-    let wait = if control.hears_steward() { LONG } else { SHORT };
+    let wait = if control.steward_answers() {
+        LONG
+    } else {
+        SHORT
+    };
     let polled = tokio::select! {
         biased;
         polled = control.store.follow(&id.table, after, wait) => polled?,
