--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -175,7 +175,7 @@
             Some(Answer::News(news)) => {
                 followed.contact.missed += 1;
                 drop(state);
-                self.follow_heard(news.duty.as_ref(), now);
+                self.follow_reported(news.duty.as_ref(), now);
                 self.take_news(*news, post.address, asked);
                 false
             }
@@ -193,14 +193,15 @@
         }
     }
 
-    pub(super) fn follow_heard(
+    /// Follows the steward that another VM reports, if that report is recent.
+    pub(super) fn follow_reported(
         &self,
-        heard: Option<&crate::direct::mesh::Heard>,
+        reported: Option<&crate::direct::mesh::Heard>,
         now: crate::clock::Time,
     ) {
-        let fresh = heard.filter(|heard| heard.age < READ_INTERVAL);
-        if let Some(heard) = fresh {
-            self.follow(heard.address, heard.token, now);
+        let fresh = reported.filter(|reported| reported.age < READ_INTERVAL);
+        if let Some(reported) = fresh {
+            self.follow(reported.address, reported.token, now);
         }
     }
 
@@ -334,7 +335,7 @@
             let heard = news.duty.as_ref();
             let fresh = heard.is_some_and(|h| h.age < READ_INTERVAL && Some(h.token) == token);
             in_contact += usize::from(fresh);
-            self.follow_heard(heard, self.now());
+            self.follow_reported(heard, self.now());
             self.take_news(*news, address, asked);
         }
         (answered, in_contact)
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -296,7 +296,7 @@
             let now = self.now();
             self.state.borrow_mut().told = Some(now);
         }
-        self.follow_heard(news.duty.as_ref(), self.now());
+        self.follow_reported(news.duty.as_ref(), self.now());
         self.take_news(*news, address, asked);
         Some(told)
     }
