--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -277,7 +277,7 @@
     /// they have nothing tries too, but seldom.
     async fn has_to_read(&self) -> bool {
         match self
-            .ask_readers(!self.is_large() && self.knows_nothing())
+            .ask_readers(!self.is_large() && self.is_uninitialised())
             .await
         {
             Source::Fresh => false,
@@ -290,7 +290,7 @@
     }
 
     /// Whether this VM has no configuration or no register yet.
-    pub(super) fn knows_nothing(&self) -> bool {
+    pub(super) fn is_uninitialised(&self) -> bool {
         let view = self.setup.shared.look();
         view.config.is_none() || view.databases.is_empty()
     }
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -90,7 +90,7 @@
             // The store may turn this VM away, and not the seeds.
             _ => self.join_seeds().await,
         };
-        if joined && self.is_large() && self.knows_nothing() {
+        if joined && self.is_large() && self.is_uninitialised() {
             self.state.borrow_mut().lacks_register = true;
             self.lacking.notify_one();
         }
