--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -49,7 +49,7 @@
             return;
         }
         let before = self.state.borrow().register.digest();
-        self.pause_of(SPREAD.percent((self.chance() * 100.0) as u64))
+        self.pause_of(SPREAD.percent((self.random() * 100.0) as u64))
             .await;
         let lacks = |control: &Self| control.state.borrow().register.digest() == before;
         if self.ask_ancestors(REGISTER_WITHIN, lacks).await {
@@ -209,7 +209,7 @@
 
     /// Pauses for the span, half of it by chance.
     async fn pause_up_to(&self, span: Span) {
-        let chance = 50 + (self.chance() * 50.0) as u64;
+        let chance = 50 + (self.random() * 50.0) as u64;
         self.pause_of(span.percent(chance)).await;
     }
 
--- a/src/direct/control/change.rs
+++ b/src/direct/control/change.rs
@@ -247,7 +247,7 @@
                 let members = members.map(|(id, (member, _))| (id, member)).collect();
                 return (members, reading.answered);
             }
-            backoff.wait(self.chance()).await;
+            backoff.wait(self.random()).await;
         }
     }
 
--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -313,7 +313,7 @@
                 // The condition still holds if nothing was written, so the call may be repeated at
                 // once.
                 Err(Fault::Unknown(_)) if self.now() >= asked + SLOW_RENEWAL => {}
-                Err(_) => backoff.wait(self.chance()).await,
+                Err(_) => backoff.wait(self.random()).await,
             }
         }
     }
--- a/src/direct/control/extension.rs
+++ b/src/direct/control/extension.rs
@@ -120,7 +120,7 @@
         peers.sort();
         peers.dedup();
         peers.retain(|(_, address)| *address != self.setup.address);
-        let start = self.chance() * peers.len() as f64;
+        let start = self.random() * peers.len() as f64;
         peers.rotate_left(start as usize);
         peers.sort_by_key(|(far, _)| *far);
         let calls = peers
--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -81,7 +81,7 @@
     /// Asks peers for updates after a failed reading, for as long as the retry delay lasts. Returns
     /// what is left of the delay.
     async fn back_off(&self, backoff: &mut Backoff) -> Span {
-        let pause = backoff.step(self.chance());
+        let pause = backoff.step(self.random());
         if self.is_member() {
             self.ask_peers().await;
             return pause;
@@ -361,7 +361,7 @@
         peers.sort();
         peers.dedup();
         peers.retain(|address| *address != self.setup.address && Some(*address) != steward);
-        let start = self.chance() * peers.len() as f64;
+        let start = self.random() * peers.len() as f64;
         peers.rotate_left(start as usize);
         peers.truncate(MAX_PEERS_ASKED);
         peers
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -105,7 +105,7 @@
             return false;
         }
         let until = self.now() + JOIN;
-        let turn = (self.chance() * seeds.len() as f64) as usize;
+        let turn = (self.random() * seeds.len() as f64) as usize;
         for seed in seeds.iter().cycle().skip(turn) {
             if self.join_by(*seed).await {
                 return true;
@@ -136,7 +136,7 @@
             true => Vec::new(),
             false => reader::near(&fellows, own),
         };
-        let turn = (self.chance() * readers.len() as f64) as usize;
+        let turn = (self.random() * readers.len() as f64) as usize;
         readers.rotate_left(turn);
         let began = self.now();
         let last = async {
@@ -166,7 +166,7 @@
 
     /// Waits a little, by chance.
     async fn pause(&self) {
-        let pause = AGAIN.percent(50 + (self.chance() * 100.0) as u64);
+        let pause = AGAIN.percent(50 + (self.random() * 100.0) as u64);
         tokio::time::sleep(Duration::from(pause)).await;
     }
 
@@ -215,7 +215,7 @@
             let (fellows, own) = (view.fellows.list(), self.setup.address);
             (reader::near(fellows, own), reader::far(fellows, own))
         };
-        let turn = (self.chance() * far.len() as f64) as usize;
+        let turn = (self.random() * far.len() as f64) as usize;
         let some = far.iter().cycle().skip(turn).take(FAR.min(far.len()));
         let mut found = Source::Unreached;
         let (short, long) = match whole && self.is_large() {
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -132,7 +132,7 @@
     member: Cell<bool>,
     /// The random number generator. Its seed is the process's life, so that a simulation whose
     /// lives come from a seed can be replayed.
-    chance: RefCell<ChaCha8Rng>,
+    rng: RefCell<ChaCha8Rng>,
     /// When the rows were last read for others. Only one reading runs at a time; requests that
     /// arrive meanwhile share its result.
     reading: Mutex<Option<Time>>,
@@ -163,7 +163,7 @@
             links: RefCell::default(),
             dampers: RefCell::default(),
             member: Cell::new(false),
-            chance: RefCell::new(ChaCha8Rng::seed_from_u64(setup.life.0)),
+            rng: RefCell::new(ChaCha8Rng::seed_from_u64(setup.life.0)),
             reading: Mutex::new(None),
             writing: Mutex::new(()),
             wake: Notify::new(),
@@ -324,8 +324,8 @@
     }
 
     /// A random number from 0 to below 1.
-    fn chance(&self) -> f64 {
-        self.chance.borrow_mut().random()
+    fn random(&self) -> f64 {
+        self.rng.borrow_mut().random()
     }
 
     fn now(&self) -> Time {
--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -179,7 +179,7 @@
         told.retain(|progress| progress.age < NEWS);
         if told.len() > most {
             // Others are told of other groups.
-            let start = (self.chance() * told.len() as f64) as usize;
+            let start = (self.random() * told.len() as f64) as usize;
             told.rotate_left(start);
             told.truncate(most);
         }
--- a/src/direct/control/order.rs
+++ b/src/direct/control/order.rs
@@ -107,7 +107,7 @@
                 Promoted::Unknown if self.has_ended(id).await => return Ok(false),
                 Promoted::Unknown => open = true,
             }
-            backoff.wait(self.chance()).await;
+            backoff.wait(self.random()).await;
         }
     }
 
--- a/src/direct/control/tasks.rs
+++ b/src/direct/control/tasks.rs
@@ -103,7 +103,7 @@
             control.hand_over("the store does not answer this VM").await;
             offered = control.now();
         }
-        backoff.wait(control.chance()).await;
+        backoff.wait(control.random()).await;
     }
 }
 
--- a/src/direct/control/watch.rs
+++ b/src/direct/control/watch.rs
@@ -52,7 +52,7 @@
                     // Nobody tells this VM of a configuration, and a poll takes the own way only.
                     after = None;
                 }
-                backoff.wait(control.chance()).await;
+                backoff.wait(control.random()).await;
             }
         }
     }
