--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -103,13 +103,13 @@
 
 /// A VM's state of the cluster, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Knowledge {
+pub struct Summary {
     /// Whether it is the steward.
     pub steward: bool,
     /// The token of the steward that it follows, or is.
     pub token: u64,
     /// How long ago the last call that its steward answered was sent.
-    pub heard: Option<Span>,
+    pub steward_age: Option<Span>,
     /// How many VMs it knows to be registered.
     pub members: usize,
     /// The age of the newest reading of the register that this VM received.
@@ -290,15 +290,15 @@
     }
 
     /// This VM's state of the cluster, for metrics.
-    pub fn knowledge(&self) -> Knowledge {
+    pub fn summary(&self) -> Summary {
         let state = self.state.borrow();
         let now = self.now();
         let post = state.post.as_ref();
         let held = state.held.as_ref().map(|held| held.token);
-        Knowledge {
+        Summary {
             steward: held.is_some(),
             token: held.max(post.map(|post| post.token)).unwrap_or_default(),
-            heard: post.map(|post| now.since(post.contact.since)),
+            steward_age: post.map(|post| now.since(post.contact.since)),
             members: self.setup.shared.look().fellows.list().len(),
             register_age: state.register.asked().map(|asked| now.since(asked)),
             config: state.newest.max(self.config_version()),
--- a/src/net/direct/admin.rs
+++ b/src/net/direct/admin.rs
@@ -89,7 +89,7 @@
     fn metrics(&self) -> String {
         let now = self.front.now();
         let view = self.shared.look();
-        let known = self.control.knowledge();
+        let summary = self.control.summary();
         let leads: Vec<LeadLevel> = view
             .book
             .groups()
@@ -99,14 +99,14 @@
             ready: self.control.is_ready() && !view.stopping,
             callers: self.callers.get().into(),
             config: view.config.as_ref().map_or(0, |config| config.version.0),
-            config_known: known.config.0,
+            config_known: summary.config.0,
             relayed: self.control.counts().relayed,
             leases: leads.iter().filter(|lead| lead.lease > Span::ZERO).count() as u64,
-            steward: known.steward,
-            token: known.token,
-            heard: known.heard.unwrap_or_default(),
-            members: known.members as u64,
-            register_age: known.register_age.unwrap_or_default(),
+            steward: summary.steward,
+            token: summary.token,
+            heard: summary.steward_age.unwrap_or_default(),
+            members: summary.members as u64,
+            register_age: summary.register_age.unwrap_or_default(),
             leads,
             resident: process::resident().unwrap_or_default(),
             processor: process::processor().map_or(0, |used| used.as_micros() as u64),
