--- a/src/direct/control/steward.rs
+++ b/src/direct/control/steward.rs
@@ -111,7 +111,7 @@
     /// The time.
     pub now: Time,
     /// When this VM became the steward.
-    pub since: Time,
+    pub steward_since: Time,
     /// This VM.
     pub own: &'a MemberId,
     /// The rows read from the store.
@@ -122,9 +122,9 @@
     /// an entry for a group into the register.
     pub config: Option<&'a Config>,
     /// When the first reading of the register that this VM has was requested.
-    pub began: Option<Time>,
+    pub register_since: Option<Time>,
     /// Since when the store has answered every call.
-    pub up: Option<Time>,
+    pub store_up_since: Option<Time>,
     /// The last heartbeat of each VM, including this one.
     pub statuses: &'a BTreeMap<MemberId, Status<'a>>,
     /// The last attempts to reach databases.
@@ -212,7 +212,7 @@
             // lacks it.
             let settled = self
                 .snapshot
-                .began
+                .register_since
                 .is_some_and(|at| at + REGISTER_DELAY <= self.snapshot.now);
             if settled && self.groups.contains_key(group) {
                 actions.push(Action::Change(group.clone(), Cause::Gone));
@@ -284,8 +284,8 @@
         let known = known.is_some_and(|(known, at)| Some(*known) == epoch && settled(*at));
         !primary.primary
             && known
-            && settled(self.snapshot.since)
-            && self.snapshot.up.is_some_and(settled)
+            && settled(self.snapshot.steward_since)
+            && self.snapshot.store_up_since.is_some_and(settled)
     }
 
     /// Finds databases that still report that they are primary although another one leads: they
@@ -313,7 +313,7 @@
             // A group that never had a leader gets any of its databases, which is then replaced as
             // unled. If it had one in an earlier era of the store, that one is used.
             let was_led = snapshot.reading.former.leads.contains_key(*group);
-            let may_assign = was_led || snapshot.since + NO_PRIMARY_DELAY <= snapshot.now;
+            let may_assign = was_led || snapshot.steward_since + NO_PRIMARY_DELAY <= snapshot.now;
             let any = members.first().filter(|_| may_assign);
             let primary = members.iter().find(|d| d.primary).or(any);
             if let Some(primary) = primary {
@@ -340,7 +340,7 @@
                 .statuses
                 .get(id)
                 .filter(|status| status.life == member.life);
-            let heard = status.map_or(self.since, |status| status.at);
+            let heard = status.map_or(self.steward_since, |status| status.at);
             if heard + MEMBER_TIMEOUT + self.margin <= self.now {
                 actions.push(Action::Ping(id.clone()));
             }
--- a/src/direct/control/tasks.rs
+++ b/src/direct/control/tasks.rs
@@ -146,13 +146,13 @@
         });
         plan(&Snapshot {
             now,
-            since: held.since,
+            steward_since: held.since,
             own: &self.id,
             reading,
             databases: state.register.databases(),
             config: config.as_deref(),
-            began: state.register.began(),
-            up: self.store.health().up,
+            register_since: state.register.began(),
+            store_up_since: self.store.health().up,
             statuses: &statuses.collect(),
             tried: &state.tried,
             evicted: &state.evicted,
--- a/tests/direct_control.rs
+++ b/tests/direct_control.rs
@@ -416,13 +416,13 @@
         let statuses = BTreeMap::from([status(1, at(20_000)), status(2, self.heard)]);
         let snapshot = Snapshot {
             now: at(20_000),
-            since: at(0),
+            steward_since: at(0),
             own: &member(1),
             reading: &self.reading,
             databases: &self.databases,
             config: Some(&self.config),
-            began: Some(self.began),
-            up: Some(at(0)),
+            register_since: Some(self.began),
+            store_up_since: Some(at(0)),
             statuses: &statuses,
             tried: &self.tried,
             evicted: &self.evicted,
