--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -235,7 +235,7 @@
 
     fn notify_if_lost(&self, answered: bool) {
         if !answered {
-            self.lost.notify_waiters();
+            self.steward_lost.notify_waiters();
         }
     }
 
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -144,7 +144,7 @@
     /// Requests a heartbeat at once.
     pinged: Notify,
     /// Signals that the steward did not answer.
-    lost: Notify,
+    steward_lost: Notify,
     /// Signals that the first answer of another VM has arrived, or that none is awaited any more.
     joined: Notify,
     /// Signals that there is a configuration that this VM has not received.
@@ -168,7 +168,7 @@
             writing: Mutex::new(()),
             wake: Notify::new(),
             pinged: Notify::new(),
-            lost: Notify::new(),
+            steward_lost: Notify::new(),
             joined: Notify::new(),
             lacking: Notify::new(),
             delay: delay::Delay::default(),
--- a/src/direct/control/watch.rs
+++ b/src/direct/control/watch.rs
@@ -129,7 +129,7 @@
         biased;
         polled = control.store.follow(&id.table, after, wait) => polled?,
         // The steward is not heard any more: a poll that may be dead is no second way.
-        () = control.lost.notified(), if wait == LONG => return Ok(Some(after)),
+        () = control.steward_lost.notified(), if wait == LONG => return Ok(Some(after)),
     };
     let Some((rows, version)) = polled else {
         log::info!(after:%; "the history of the configuration is gone: reading it anew");
