--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -36,7 +36,7 @@
 /// Has each register and configuration that is known to be there and was not told.
 pub(super) async fn run(control: Rc<Control>) {
     loop {
-        control.lacking.notified().await;
+        control.config_missing.notified().await;
         control.fetch_register().await;
         control.fetch_config().await;
     }
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -92,7 +92,7 @@
         };
         if joined && self.is_large() && self.is_uninitialised() {
             self.state.borrow_mut().lacks_register = true;
-            self.lacking.notify_one();
+            self.config_missing.notify_one();
         }
         self.joined.notify_one();
         joined
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -148,7 +148,7 @@
     /// Signals that the first answer of another VM has arrived, or that none is awaited any more.
     joined: Notify,
     /// Signals that there is a configuration that this VM has not received.
-    lacking: Notify,
+    config_missing: Notify,
     /// This VM's scheduling delay.
     delay: delay::Delay,
 }
@@ -170,7 +170,7 @@
             pinged: Notify::new(),
             steward_lost: Notify::new(),
             joined: Notify::new(),
-            lacking: Notify::new(),
+            config_missing: Notify::new(),
             delay: delay::Delay::default(),
             setup,
         });
--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -335,7 +335,7 @@
             Some(None) => {}
             None => {
                 self.state.borrow_mut().lacks_register = true;
-                self.lacking.notify_one();
+                self.config_missing.notify_one();
             }
         }
     }
--- a/src/direct/control/watch.rs
+++ b/src/direct/control/watch.rs
@@ -109,7 +109,7 @@
         if version > in_force {
             log::info!(version:%, in_force:%; "a newer configuration is there");
         }
-        self.lacking.notify_one();
+        self.config_missing.notify_one();
     }
 }
 
