--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -36,7 +36,7 @@
 /// Fetches each register and configuration that is known to exist but was not received.
 pub(super) async fn run(control: Rc<Control>) {
     loop {
-        control.lacking.notified().await;
+        control.config_missing.notified().await;
         control.fetch_register().await;
         control.fetch_config().await;
     }
@@ -49,7 +49,7 @@
             return;
         }
         let before = self.state.borrow().register.digest();
-        self.pause_for(MAX_SPREAD.percent((self.chance() * 100.0) as u64))
+        self.pause_for(MAX_SPREAD.percent((self.random() * 100.0) as u64))
             .await;
         let lacks = |control: &Self| control.state.borrow().register.digest() == before;
         if self.ask_ancestors(REGISTER_TIMEOUT, lacks).await {
@@ -213,7 +213,7 @@
 
     /// Sleeps for the span, half of which is random.
     async fn pause_up_to(&self, span: Span) {
-        let chance = 50 + (self.chance() * 50.0) as u64;
+        let chance = 50 + (self.random() * 50.0) as u64;
         self.pause_for(span.percent(chance)).await;
     }
 
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -93,9 +93,9 @@
             // The store may refuse this VM's calls and answer the seeds.
             _ => self.join_seeds().await,
         };
-        if joined && self.is_large() && self.knows_nothing() {
+        if joined && self.is_large() && self.is_uninitialised() {
             self.state.borrow_mut().lacks_register = true;
-            self.lacking.notify_one();
+            self.config_missing.notify_one();
         }
         self.joined.notify_one();
         joined
@@ -108,7 +108,7 @@
             return false;
         }
         let until = self.now() + JOIN_TIMEOUT;
-        let offset = (self.chance() * seeds.len() as f64) as usize;
+        let offset = (self.random() * seeds.len() as f64) as usize;
         for seed in seeds.iter().cycle().skip(offset) {
             if self.join_by(*seed).await {
                 return true;
@@ -140,7 +140,7 @@
             true => Vec::new(),
             false => reader::near(&fellows, own),
         };
-        let offset = (self.chance() * readers.len() as f64) as usize;
+        let offset = (self.random() * readers.len() as f64) as usize;
         readers.rotate_left(offset);
         let began = self.now();
         let fallback = async {
@@ -174,7 +174,7 @@
 
     /// Waits for [`RETRY_DELAY`], up to 50 % shorter or longer at random.
     async fn pause(&self) {
-        let pause = RETRY_DELAY.percent(50 + (self.chance() * 100.0) as u64);
+        let pause = RETRY_DELAY.percent(50 + (self.random() * 100.0) as u64);
         tokio::time::sleep(Duration::from(pause)).await;
     }
 
@@ -224,7 +224,7 @@
             let (fellows, own) = (view.fellows.list(), self.setup.address);
             (reader::near(fellows, own), reader::far(fellows, own))
         };
-        let offset = (self.chance() * far.len() as f64) as usize;
+        let offset = (self.random() * far.len() as f64) as usize;
         let some = far
             .iter()
             .cycle()
@@ -314,7 +314,7 @@
             let now = self.now();
             self.state.borrow_mut().updated = Some(now);
         }
-        self.follow_heard(news.duty.as_ref(), self.now());
+        self.follow_reported(news.duty.as_ref(), self.now());
         self.apply_update(*news, address, asked);
         Some(membership)
     }
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -100,7 +100,7 @@
             .as_mut()
             .filter(|followed| ended && followed.token == duty.token)
         {
-            followed.hearing.end(now);
+            followed.contact.end(now);
         }
     }
 
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -2,11 +2,11 @@
 
 use crate::clock::Time;
 use crate::direct::control::enroll::Waiting;
-use crate::direct::control::evidence::Tried;
-use crate::direct::control::nudge::Nudge;
+use crate::direct::control::evidence::Probe;
+use crate::direct::control::ping::Throttle;
 use crate::direct::control::register::Register;
 use crate::direct::control::rows::{MemberId, Reading};
-use crate::direct::control::takeover::{Hearing, Watch};
+use crate::direct::control::takeover::{Contact, Watch};
 use crate::direct::history::History;
 use crate::direct::lead::{self, Lead};
 use crate::direct::parts::{Changes, Gathering};
@@ -62,7 +62,7 @@
     /// The duty, while this VM holds it.
     pub held: Option<Held>,
     /// Limits how often all VMs are asked for a heartbeat.
-    pub pings: Nudge,
+    pub pings: Throttle,
     /// When the VMs with a recent heartbeat were last counted, and whether they were more than
     /// half.
     pub majority: (Time, bool),
@@ -71,7 +71,7 @@
     /// VMs that a reading showed as evicted: the row's version, and when it was first seen.
     pub evicted: BTreeMap<MemberId, (Version, Time)>,
     /// The steward's last attempts to connect to databases.
-    pub tried: BTreeMap<DatabaseId, Tried>,
+    pub tried: BTreeMap<DatabaseId, Probe>,
     /// The newest epoch seen of each group, and when this VM first saw it.
     pub epochs: BTreeMap<GroupId, (u64, Time)>,
     /// The subjects of the steward's running tasks.
@@ -109,7 +109,7 @@
     /// Its fencing token.
     pub token: u64,
     /// When it last answered, and how many calls it has missed.
-    pub hearing: Hearing,
+    pub contact: Contact,
 }
 
 /// The duty as held by this VM.
@@ -261,7 +261,7 @@
         self.followed = Some(FollowedSteward {
             address,
             token,
-            hearing: Hearing::new(now),
+            contact: Contact::new(now),
         });
         true
     }
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -183,7 +183,7 @@
         recent.retain(|progress| progress.age < MAX_PROGRESS_AGE);
         if recent.len() > max {
             // Starts at a random group, so that VMs receive different groups.
-            let start = (self.chance() * recent.len() as f64) as usize;
+            let start = (self.random() * recent.len() as f64) as usize;
             recent.rotate_left(start);
             recent.truncate(max);
         }
@@ -203,12 +203,12 @@
         let followed = state
             .followed
             .as_ref()
-            .filter(|followed| followed.hearing.ended.is_none())?;
+            .filter(|followed| followed.contact.ended.is_none())?;
         Some(Heard {
             address: followed.address,
             token: followed.token,
             version: None,
-            age: now.since(followed.hearing.since),
+            age: now.since(followed.contact.since),
         })
     }
 
@@ -338,7 +338,7 @@
             Some(None) => {}
             None => {
                 self.state.borrow_mut().lacks_register = true;
-                self.lacking.notify_one();
+                self.config_missing.notify_one();
             }
         }
     }
--- a/src/direct/control/watch.rs
+++ b/src/direct/control/watch.rs
@@ -48,12 +48,12 @@
                 backoff.reset();
             }
             Err(_) => {
-                if !control.hears_steward() {
+                if !control.steward_answers() {
                     // No VM informs this one of a configuration, and polls are direct only: read
                     // the table instead.
                     after = None;
                 }
-                backoff.wait(control.chance()).await;
+                backoff.wait(control.random()).await;
             }
         }
     }
@@ -111,7 +111,7 @@
         if version > in_force {
             log::info!(version:%, in_force:%; "a newer configuration is there");
         }
-        self.lacking.notify_one();
+        self.config_missing.notify_one();
     }
 }
 
@@ -122,7 +122,7 @@
         apply_rows(control, &rows);
         return Ok(Some(version));
     };
-    let wait = if control.hears_steward() {
+    let wait = if control.steward_answers() {
         LONG_WAIT
     } else {
         SHORT_WAIT
@@ -131,7 +131,7 @@
         biased;
         polled = control.store.follow(&id.table, after, wait) => polled?,
         // Contact with the steward was lost: a poll on a failed connection is no second source.
-        () = control.lost.notified(), if wait == LONG_WAIT => return Ok(Some(after)),
+        () = control.steward_lost.notified(), if wait == LONG_WAIT => return Ok(Some(after)),
     };
     let Some((rows, version)) = polled else {
         log::info!(after:%; "the store no longer has the configuration's history: reading the table");
