--- a/src/direct/control/rows.rs
+++ b/src/direct/control/rows.rs
@@ -159,7 +159,7 @@
     }
 
     /// Returns the leads of all groups.
-    pub fn rows(&self) -> Vec<(GroupId, Lead)> {
+    pub fn all_leads(&self) -> Vec<(GroupId, Lead)> {
         let leads = self.leads.iter();
         leads
             .map(|(group, (lead, _))| (group.clone(), lead.clone()))
@@ -167,7 +167,7 @@
     }
 
     /// Returns the leads of these groups.
-    pub fn rows_of(&self, groups: &BTreeSet<GroupId>) -> Vec<(GroupId, Lead)> {
+    pub fn leads_of(&self, groups: &BTreeSet<GroupId>) -> Vec<(GroupId, Lead)> {
         let leads = groups.iter().filter_map(|group| {
             let (lead, _) = self.leads.get(group)?;
             Some((group.clone(), lead.clone()))
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -91,7 +91,7 @@
 
 impl LeadHistory {
     /// Records that the leads of these groups have changed.
-    fn change(&mut self, reading: &Reading, changed: Vec<GroupId>) {
+    fn record(&mut self, reading: &Reading, changed: Vec<GroupId>) {
         let leads = reading.leads.iter();
         let digest = lead::digest(leads.map(|(group, (lead, _))| (group, lead)));
         if digest != self.digest {
@@ -197,7 +197,7 @@
         let changed = groups.filter(|group| lead(before, group) != lead(&reading.leads, group));
         let changed: BTreeSet<GroupId> = changed.cloned().collect();
         if !changed.is_empty() {
-            self.leads.change(reading, changed.into_iter().collect());
+            self.leads.record(reading, changed.into_iter().collect());
         }
     }
 
@@ -220,7 +220,7 @@
     pub fn record_written(&mut self, group: &GroupId, lead: Lead, version: Version) {
         if let Some(reading) = &mut self.reading {
             reading.leads.insert(group.clone(), (lead, version));
-            self.leads.change(reading, vec![group.clone()]);
+            self.leads.record(reading, vec![group.clone()]);
         }
     }
 
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -415,8 +415,8 @@
 /// Returns the leads that the asking VM lacks.
 fn leads_update(reading: &Reading, own: &LeadHistory, known: u64, now: Time) -> Leads {
     let rows = || match own.history.since(known) {
-        Some(changed) => reading.rows_of(&changed),
-        None => reading.rows(),
+        Some(changed) => reading.leads_of(&changed),
+        None => reading.all_leads(),
     };
     Leads {
         age: now.since(reading.asked),
