--- a/tests/direct_era.rs
+++ b/tests/direct_era.rs
@@ -128,8 +128,8 @@
             .unwrap();
         world.store.restore(AGE, REWRITES);
         give_out_again(&world, version.number + 2);
-        let told = one.follow("control", version, AGE).await;
-        assert_eq!(told, Ok(None));
+        let answer = one.follow("control", version, AGE).await;
+        assert_eq!(answer, Ok(None));
     });
 }
 
--- a/tests/direct_news.rs
+++ b/tests/direct_news.rs
@@ -30,18 +30,18 @@
     for group in &groups {
         book.learn(group, lead(1, "a", false), at(1_000));
     }
-    let told = book.digest();
+    let known_digest = book.digest();
     let known = groups.iter().map(|group| (group, lead(1, "a", false)));
     let known: Vec<_> = known.collect();
     assert_eq!(
-        told,
+        known_digest,
         digest(known.iter().map(|(group, lead)| (*group, lead)))
     );
-    assert_eq!(book.shown(told).map(|rows| rows.len()), Some(2));
+    assert_eq!(book.shown(known_digest).map(|rows| rows.len()), Some(2));
     for newer in [lead(1, "a", true), lead(2, "b", false), lead(3, "a", false)] {
         book.learn(&groups[0], newer, at(1_200));
-        assert_eq!(book.shown(told), None);
-        assert_ne!(book.digest(), told);
+        assert_eq!(book.shown(known_digest), None);
+        assert_ne!(book.digest(), known_digest);
     }
     let group: GroupId = "i".parse().unwrap();
     let before = book.digest();
@@ -62,20 +62,20 @@
     for name in ["a", "b", "c"] {
         view.reports.answered(&id(name), at(2_000));
     }
-    let told = |view: &View| {
+    let reported = |view: &View| {
         let reports = selected_reports(view, at(2_100));
         let ids = reports.into_iter().map(|(id, _)| id.to_string());
         ids.collect::<Vec<_>>().join(" ")
     };
-    assert_eq!(told(&view), "a");
+    assert_eq!(reported(&view), "a");
     view.reports.failed(&id("b"), at(2_050));
-    assert_eq!(told(&view), "a b c");
+    assert_eq!(reported(&view), "a b c");
     view.reports.answered(&id("b"), at(2_060));
     view.book.learn(&group, lead(2, "c", false), at(2_000));
-    assert_eq!(told(&view), "c");
+    assert_eq!(reported(&view), "c");
     view.databases.clear();
     view.reports.failed(&id("b"), at(2_070));
-    assert_eq!(told(&view), "b");
+    assert_eq!(reported(&view), "b");
 }
 
 /// Guards against a ping of all VMs after each write. At a first start the steward writes the first
--- a/tests/direct_register.rs
+++ b/tests/direct_register.rs
@@ -55,6 +55,6 @@
 fn older_register_is_ignored() {
     let mut register = Register::default();
     register.apply_reading(databases(&["a"]), at(5_000), Some(at(0)));
-    let told = register.apply(databases(&["a", "b"]), at(4_000));
-    assert!(!told.any && register.databases().len() == 1);
+    let changes = register.apply(databases(&["a", "b"]), at(4_000));
+    assert!(!changes.any && register.databases().len() == 1);
 }
--- a/tests/direct_register_random.rs
+++ b/tests/direct_register_random.rs
@@ -23,18 +23,18 @@
     // (Open: a VM that never had a database has another digest than one that had some and received
     // an empty list.)
     fn newest_reading_wins(readings: BTreeMap<u16, u8>, again: Vec<u8>) -> bool {
-        let told: Vec<_> = readings.into_iter().collect();
-        let Some((_, newest)) = told.last() else { return true };
-        let mut mixed = told.clone();
+        let ordered: Vec<_> = readings.into_iter().collect();
+        let Some((_, newest)) = ordered.last() else { return true };
+        let mut mixed = ordered.clone();
         for (n, with) in again.iter().enumerate() {
             let place = n % mixed.len();
-            mixed.push(told[usize::from(*with) % told.len()]);
-            mixed.swap(place, usize::from(*with) % told.len());
+            mixed.push(ordered[usize::from(*with) % ordered.len()]);
+            mixed.swap(place, usize::from(*with) % ordered.len());
         }
-        mixed.extend(&told);
+        mixed.extend(&ordered);
         mixed.reverse();
         let [mut one, mut other] = [Register::default(), Register::default()];
-        for (register, order) in [(&mut one, &told), (&mut other, &mixed)] {
+        for (register, order) in [(&mut one, &ordered), (&mut other, &mixed)] {
             for (asked, bits) in order {
                 register.apply(databases(&shown(*bits)), at(u64::from(*asked)));
             }
--- a/tests/direct_vms.rs
+++ b/tests/direct_vms.rs
@@ -22,8 +22,8 @@
     play(Setup::default(), |scene| async move {
         let down = Fault::Store(Health::Silent, None);
         scene.fault(down, 5_000, 11_000).await;
-        let told = scene.passes().await.told;
-        assert_eq!(told.promised + told.failed + told.untold, 0, "{told:?}");
+        let tally = scene.passes().await.told;
+        assert_eq!(tally.promised + tally.failed + tally.untold, 0, "{tally:?}");
     });
 }
 
@@ -61,9 +61,9 @@
         let only = Some([scene.steward()].into());
         let down = Fault::Store(Health::Refusing, only);
         scene.fault(down, 5_000, 20_000).await;
-        let told = scene.passes().await.told;
-        assert_eq!(told.failed + told.untold, 0, "{told:?}");
-        assert!(told.done > 50 * told.promised, "{told:?}");
+        let tally = scene.passes().await.told;
+        assert_eq!(tally.failed + tally.untold, 0, "{tally:?}");
+        assert!(tally.done > 50 * tally.promised, "{tally:?}");
     });
 }
 
@@ -259,8 +259,8 @@
             let from = 3_000 + turn * 8_000;
             scene.fault(stop, from, from + 6_500).await;
         }
-        let told = scene.passes().await.told;
-        assert_eq!((told.failed, told.untold), (0, 0), "{told:?}");
+        let tally = scene.passes().await.told;
+        assert_eq!((tally.failed, tally.untold), (0, 0), "{tally:?}");
     });
 }
 
