--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -21,8 +21,8 @@
 const MAX_PROGRESS_AGE: Span = Span::from_secs(1);
 
 /// How many entries (routes, keys and databases) of long lists are sent per [`LONG_INTERVAL`]. An
-/// entry has 40 bytes, so this is at most 1.3 MB: a link of 10 Mbit/s carries 1.2 MB a second, and
-/// heartbeats have to be answered in time meanwhile.
+/// entry has 40 bytes, a link of 10 Mbit/s carries 1.2 MB a second, and heartbeats have to be
+/// answered in time meanwhile.
 const MAX_LONG_ENTRIES: usize = 32_768;
 const LONG_INTERVAL: Span = Span::from_secs(1);
 
@@ -415,8 +415,8 @@
 /// Returns the leads that the asking VM lacks.
 fn leads_update(reading: &Reading, own: &LeadHistory, known: u64, now: Time) -> Leads {
     let rows = || match own.history.since(known) {
-        Some(changed) => reading.rows_of(&changed),
-        None => reading.rows(),
+        Some(changed) => reading.leads_of(&changed),
+        None => reading.all_leads(),
     };
     Leads {
         age: now.since(reading.asked),
