--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -1,4 +1,4 @@
-//! One try to run a statement on one database: on a connection of this VM, or through an owner.
+//! One attempt to run a statement on one database: on a connection of this VM, or through an owner.
 
 use crate::clock::{Span, Time};
 use crate::direct::exchange::{self, Ran, SILENT, Statement};
@@ -18,8 +18,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How much sooner than a statement is given up here its owner gives it up, so that what the owner
-/// knows of it still arrives: a round trip between regions and a little.
+/// How much earlier the owner's deadline for a statement is than ours, so that its report of a timeout
+/// still arrives: slightly more than a round trip between regions.
 const OWNER_MARGIN: Span = Span::from_millis(30);
 
 /// Where to send a statement, and with what.
@@ -27,26 +27,26 @@
 pub struct Plan {
     /// The database.
     pub target: Target,
-    /// The lease, if it is sent to the primary.
+    /// The lease, if it is sent to the group's primary.
     pub lease: Option<Lease>,
-    /// A position that the log must have.
+    /// A position that the database's log must have reached.
     pub after: Option<Position>,
 }
 
-/// How a try ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub enum Attempt {
-    /// The database answered, and the answer may be passed on.
+    /// The database answered, and the answer may be returned to the caller.
     Answered(Answer, Box<Held>),
-    /// It has not run.
+    /// The statement has not run.
     NotRun(Code),
-    /// It has not run: the database was not reached.
+    /// The statement has not run: the database was not reached.
     Unreached,
-    /// It may have run.
+    /// The statement may have run.
     Lost(Why),
 }
 
-/// Where a transaction goes on.
+/// Where the next statement of a transaction is sent.
 #[derive(Debug)]
 pub enum Seat {
     /// On a connection of this VM.
@@ -55,21 +55,21 @@
     Through(Line),
 }
 
-/// What a statement that was answered leaves behind.
+/// What remains in use after a statement was answered.
 #[derive(Debug)]
 pub struct Held {
-    /// Its connection.
+    /// Where its connection is.
     pub seat: Seat,
     /// The database.
     pub target: Target,
-    /// The epoch, on a primary.
+    /// The epoch, if the database is a primary.
     pub epoch: Option<Epoch>,
     under_way: Option<UnderWay>,
-    /// Whether a transaction may be open at the owner.
+    /// Whether a transaction may be open on the owner's connection.
     pub open: bool,
 }
 
-/// Work on a primary, which a planned change waits for; over when dropped.
+/// Work in progress on a primary, which a planned change waits for; it ends when dropped.
 #[derive(Debug)]
 struct UnderWay {
     shared: Rc<Shared>,
@@ -101,7 +101,7 @@
     }
 }
 
-/// One try: what it is about.
+/// The parameters of one attempt.
 struct Try<'a> {
     targets: &'a Targets,
     session: &'a Session,
@@ -109,7 +109,7 @@
     plan: &'a Plan,
 }
 
-/// Tries to run a statement that stands alone or opens a transaction.
+/// Runs a single statement, or the first one of a transaction, through an owner or directly.
 pub async fn run(targets: &Targets, session: &Session, job: &Job<'_>, plan: &Plan) -> Attempt {
     let epoch = plan.lease.as_ref().map(|lease| lease.epoch);
     job.trace.tries(&plan.target.database.id, epoch);
@@ -128,7 +128,7 @@
 }
 
 impl Try<'_> {
-    /// The order that opens the transaction.
+    /// The order that opens the transaction, if this is its first statement.
     fn begin(&self) -> Option<Order> {
         match self.job.part {
             Part::First { read } => Some(Order::Begin {
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Begins work on a primary, if that may start; on a replica it always may.
+    /// Starts work under the plan's lease: none if the lease no longer allows it. Work on a replica needs
+    /// no lease and always starts.
     fn start(&self) -> Option<Option<UnderWay>> {
         let Some(lease) = &self.plan.lease else {
             return Some(None);
@@ -149,7 +150,7 @@
         may_start.then(|| Some(UnderWay::start(&self.targets.shared, group, lease.epoch)))
     }
 
-    /// Whether the plan still holds: on a primary, its lease.
+    /// Whether the plan's lease is still valid; always true on a replica.
     fn holds(&self) -> bool {
         let Some(lease) = &self.plan.lease else {
             return true;
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Decides whether an answer may be passed on.
+    /// Decides whether an answer may be returned to the caller.
     fn judge(&self, held: Held, asked: Time, answer: Answer) -> Attempt {
         let (targets, target) = (self.targets, &self.plan.target);
         if let Seat::Own(_) = held.seat {
@@ -219,7 +220,7 @@
         Attempt::Answered(answer, Box::new(held))
     }
 
-    /// Asks the owners in turn; none if none of them took the statement.
+    /// Sends the statement through the first owner that takes it; none if no owner does.
     async fn through(&self, owners: &[SocketAddr]) -> Option<Attempt> {
         let lines = &self.targets.lines;
         let mut last = None;
@@ -250,8 +251,8 @@
         self.targets.sent(&self.plan.target.database);
         let mut limit = self.job.deadline().since(asked);
         if self.job.is_kept_by_nobody() {
-            // A frozen owner, or one whose stream fell silent for good, is left as soon as a silent
-            // database is reported: a caller that is promised that nothing is kept can ask again.
+            // A frozen owner or a dead stream is given up after the same time as a silent database:
+            // nothing of the statement is kept, so its caller can safely retry.
             limit = limit.min(SILENT);
         }
         self.job.trace.through(line.owner());
@@ -297,7 +298,7 @@
                 Passed::Away
             }
             Reply::Unknown => {
-                // It may have started a moment ago: that is no word of the database.
+                // The owner may have just started: this says nothing about the database.
                 self.job.trace.ended("unknown");
                 lines.give_back(line);
                 Passed::Away
@@ -319,7 +320,7 @@
                 Passed::Elsewhere(Attempt::Unreached)
             }
             Reply::Granted(_) => {
-                // No reply to a statement: the stream is of no use any more.
+                // Not a valid reply to a statement: the stream is out of step and is closed.
                 self.job.trace.ended("owner");
                 Passed::Attempt(Attempt::Lost(Why::Broken))
             }
@@ -333,17 +334,17 @@
     }
 }
 
-/// How a try through one owner ended.
+/// The result of an attempt through one owner.
 enum Passed {
-    /// As the try at the database did.
+    /// The final result.
     Attempt(Attempt),
-    /// The same, unless another owner can do better.
+    /// The result, unless the next owner succeeds.
     Elsewhere(Attempt),
-    /// The owner took nothing.
+    /// The owner did not take the statement.
     Away,
 }
 
-/// A statement as an owner is asked for it.
+/// The request by which an owner is asked to run a statement.
 pub fn ask(targets: &Targets, session: &Session, job: &Job<'_>, now: Time) -> Ask {
     let mut query = BytesMut::new();
     (targets.adapter.wire.write_query)(&mut query, job.query, None, None);
@@ -360,7 +361,7 @@
 }
 
 impl Held {
-    /// Gives the connection back; an open transaction is rolled back first.
+    /// Returns the connection; an open transaction is rolled back first.
     pub fn release(self, targets: &Targets) {
         match self.seat {
             Seat::Own(lent) => exchange::give_back(targets, lent, self.under_way),
@@ -370,7 +371,7 @@
     }
 }
 
-/// Has an owner roll a transaction back.
+/// Asks an owner to roll a transaction back, in a task of its own.
 fn end(targets: &Targets, mut line: Line, under_way: Option<UnderWay>) {
     let lines = targets.lines.clone();
     actix_rt::spawn(async move {
--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -1,5 +1,5 @@
-//! One caller's session: reads its messages, and answers each before the next. Whether it may begin, and go
-//! on, is in `admission`.
+//! One caller's session: reads its messages, and answers each before reading the next. `admission` decides
+//! whether it may begin and continue.
 
 mod admission;
 
@@ -21,41 +21,40 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 
-/// Room made for each reading of a caller's input; most sessions are idle most of the time.
+/// Buffer space reserved for each read from a caller; small, because most sessions are mostly idle.
 const READ_SIZE: usize = 512;
 
-/// How long a new session may take to say what it wants.
+/// Time limit for a new session's start message.
 const GREETING: Span = Span::from_secs(5);
 
-/// How long the end of a session may take to be sent.
+/// Time limit for closing a session's stream.
 const FAREWELL: Span = Span::from_millis(200);
 
-/// How long a session has to have been quiet before a planned stop closes it.
+/// How long a session must have been idle before a planned stop closes it.
 ///
-/// **Failure answered.** A caller that has just opened its session, or prepared a statement, has
-/// its next message on the way when the session is closed.
-/// **Symptom without it.** The message gets no answer; a single write may then not be repeated.
-/// **Why it suffices.** Callers that go on do so within a round trip and the time they take.
-/// Whoever never rests is closed when transactions are rolled back.
+/// A caller that has just opened its session or prepared a statement may have its next message in
+/// flight. If the session were closed, the message would get no answer, and a single write could not
+/// be repeated safely. Active callers send their next message within a round trip and their own
+/// processing time. Sessions that never pause are closed when transactions are rolled back.
 const QUIET: Span = Span::from_millis(150);
 
-/// How long an answer may take to be read by its caller before the session is given up.
+/// Time limit for a caller to read an answer, after which its session is closed.
 const SLOW_CALLER: Span = Span::from_secs(15);
 
-/// An end that follows an answer this closely was sent before the answer could be read: a caller
-/// is further away than that, there and back.
+/// If a caller closes its session this soon after an answer, it did so before it could read the answer:
+/// the round trip to any caller takes longer.
 const UNREAD: Span = Span::from_millis(2);
 
 /// Why a session ends.
 #[derive(Debug)]
 enum Gone {
-    /// The caller left, or sent what is no message.
+    /// The caller disconnected, or sent something that is not a message.
     Left,
     /// The caller did not take an answer.
     Unread,
-    /// A planned stop closes it.
+    /// It was closed by a planned stop.
     Stopped,
-    /// Nobody holds its key any more.
+    /// Its key is no longer in the configuration.
     Barred,
 }
 
@@ -65,7 +64,7 @@
     }
 }
 
-/// One caller.
+/// A caller's session and its stream.
 pub struct Caller {
     front: Rc<Front>,
     stream: Box<dyn Stream>,
@@ -73,16 +72,16 @@
     session: Session,
     transaction: Option<Transaction>,
     database: Box<str>,
-    /// The key that it showed.
+    /// The key that it presented.
     key: Option<Key>,
-    /// The route of `database` in a configuration.
+    /// The route of `database`, and the configuration that it was looked up in.
     routed: Option<(Rc<Config>, Rc<Route>)>,
-    /// Whose it is, by a configuration.
+    /// The caller's identity, and the configuration that it was looked up in.
     known: Option<(Rc<Config>, Identity)>,
-    /// Changes with each configuration.
+    /// Notified of each new configuration.
     configs: watch::Receiver<()>,
     stopping: watch::Receiver<Stopping>,
-    /// When it was last sent anything.
+    /// When output was last sent to it.
     told: Time,
     operation: Operation,
 }
@@ -94,7 +93,7 @@
 }
 
 impl Caller {
-    /// A caller that has just connected.
+    /// Creates the session of a caller that has just connected.
     pub fn new(
         front: Rc<Front>,
         stream: Box<dyn Stream>,
@@ -128,7 +127,7 @@
         }
     }
 
-    /// Writes a line if the session ends otherwise than its caller meant it to.
+    /// Logs the end of the session unless the caller ended it normally.
     fn tell_end(&self, gone: &Result<(), Gone>) {
         let open = matches!(self.session.phase, Phase::Begun(_) | Phase::Open { .. });
         let why = match gone {
@@ -201,7 +200,8 @@
         }
     }
 
-    /// Reads more input, or does what is due while none comes.
+    /// Reads more input, or handles what is due in the meantime: an idle timeout, a planned stop or a new
+    /// configuration.
     async fn receive(&mut self) -> Result<(), Gone> {
         let stopping = *self.stopping.borrow_and_update();
         let quiet = self.quiet_span(stopping);
@@ -220,7 +220,8 @@
             },
             _ = self.stopping.changed() => Ok(()),
             _ = self.configs.changed() => {
-                // A close at rest costs its caller nothing; a transaction ends with its next statement.
+                // Closing an idle session costs its caller nothing; a transaction is ended with its
+                // next statement.
                 match self.session.phase == Phase::Idle && self.is_unknown() {
                     true => Err(Gone::Barred),
                     false => Ok(()),
@@ -235,7 +236,7 @@
         }
     }
 
-    /// How long a session that a planned stop is about to close may still go on.
+    /// How much longer a session must stay idle before a planned stop closes it.
     fn quiet_span(&self, stopping: Stopping) -> Option<Span> {
         let now = self.front.now();
         let quiet = self.told + QUIET;
@@ -243,16 +244,17 @@
         goes_on.then(|| quiet.since(now))
     }
 
-    /// How long the open transaction may stay idle.
+    /// How long an open transaction may stay idle.
     fn idle_span(&self) -> Option<Span> {
         self.transaction.as_ref()?;
         let view = self.front.shared.look();
         Some(view.config.as_ref()?.idle)
     }
 
-    /// Ends what a planned stop ends, unless more input has come just now.
+    /// Ends the session or its transaction for a planned stop, unless more input has arrived; returns
+    /// whether it has.
     ///
-    /// A message that has come is answered: the caller sent it before it could see the end.
+    /// A message that has arrived is answered: the caller sent it before it could notice the end.
     async fn end_for(&mut self, stopping: Stopping) -> Result<bool, Gone> {
         match self.stream.read_buf(&mut self.input).now_or_never() {
             Some(read) => {
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Rolls the open transaction back; its caller learns so with its next statement.
+    /// Rolls back the open transaction; the caller is informed by the answer to its next statement.
     fn break_off(&mut self, reason: &str) {
         if let Phase::Begun(_) = self.session.phase {
             self.session.phase = Phase::Broken;
@@ -309,7 +311,7 @@
         answer
     }
 
-    /// Counts a request that was answered, and writes its line if it gets one.
+    /// Counts an answered request in the metrics, and writes its log line if it gets one.
     fn tell(&mut self, route: Option<&Route>, trace: Trace, answer: &Answer) {
         let steps = trace.into_steps();
         let now = self.front.now();
@@ -360,7 +362,7 @@
         }
     }
 
-    /// The route of the transaction, which it keeps, or else the one in force.
+    /// The route of the current transaction, or else the one in force.
     fn route(&mut self) -> Option<Rc<Route>> {
         if let Some(open) = &self.transaction {
             return Some(open.route().clone());
--- a/src/direct/caller/admission.rs
+++ b/src/direct/caller/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a session may begin, and whether it may go on under the configuration in force.
+//! Whether a session may begin, and whether it may continue under the configuration in force.
 
 use super::Caller;
 use crate::clock::Span;
@@ -9,7 +9,7 @@
 use crate::direct::statement::{Answer, Code, End};
 use std::rc::Rc;
 
-/// How long a new session waits for the first configuration: callers give up after 2 s.
+/// How long a new session waits for the first configuration; callers give up after 2 s.
 const CONFIGURED: Span = Span::from_millis(1_500);
 
 impl Caller {
@@ -28,11 +28,11 @@
         let _ = tokio::time::timeout(CONFIGURED.into(), configured).await;
     }
 
-    /// How a session that begins is answered.
+    /// The answer to a new session's start message.
     pub(super) async fn admit(&mut self) -> End {
         let no_route = || error(Code::NoDatabase, "no route has that name");
         if self.front.config().is_none() {
-            // Whoever were told that there is no such route would not come back.
+            // A caller that is refused for a missing route would not retry.
             let text = "no configuration is known here yet; retry_ms=500";
             return error(Code::Busy, text);
         }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whose the session is, by the configuration in force.
+    /// The caller's identity by the configuration in force.
     pub(super) fn identity(&mut self, route: &Route) -> Identity {
         let (Some(config), Some(key)) = (self.front.config(), &self.key) else {
             return Identity::Unknown;
@@ -67,20 +67,21 @@
         identity
     }
 
-    /// Whether nobody holds the session's key any more.
+    /// Whether the session's key is no longer in the configuration.
     pub(super) fn is_unknown(&mut self) -> bool {
         let route = self.route();
         route.is_some_and(|route| self.identity(&route) == Identity::Unknown)
     }
 
-    /// Ends the session of a caller whose key nobody holds any more, and what it has open.
+    /// Rolls back the transaction of a caller whose key is no longer in the configuration, and returns the
+    /// answer that ends its session.
     pub(super) fn bar(&mut self) -> Answer {
         self.roll_back();
         self.session.phase = Phase::Idle;
         self.session.answer(no_key())
     }
 
-    /// Writes the line of a session that was refused.
+    /// Logs the refusal of a session.
     pub(super) fn tell_refusal(&self, code: Code) {
         match code {
             Code::NoKey => line::no_key(&self.front, &self.database, self.key.as_ref()),
--- a/src/direct/connection.rs
+++ b/src/direct/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a database, and what is known to be true on it.
+//! One connection to a database, and the state that it is known to have there.
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::{Adapter, Garbled, Stream, Wire};
@@ -13,22 +13,22 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Room made for each reading; a usual answer fits.
+/// Buffer space reserved for each read; a usual answer fits.
 const READ_SIZE: usize = 1024;
 
-/// Statements prepared on one connection before they are forgotten and begun anew.
+/// The most statements prepared on one connection before all are discarded.
 const MOST_SHAPES: usize = 256;
 
-/// Why an exchange with a database did not end.
+/// Why an exchange with a database was not completed.
 #[derive(Debug, thiserror::Error)]
 pub enum Lost {
     /// The connection broke, or the answer was cut off.
     #[error("the connection to the database broke: {0}")]
     Broken(#[from] std::io::Error),
-    /// The database does not speak as agreed.
+    /// The database violated the protocol.
     #[error("the database's answer is not understood: {0}")]
     Garbled(#[from] Garbled),
-    /// No answer came in time.
+    /// No answer arrived in time.
     #[error("the database did not answer in time")]
     Silent,
 }
@@ -36,10 +36,10 @@
 /// Why a connection was not opened.
 #[derive(Debug, thiserror::Error)]
 pub enum Closed {
-    /// The database refused it.
+    /// The database refused the connection.
     #[error("the database refused the connection: {0:?}")]
     Refused(Code),
-    /// It was not reached.
+    /// The database was not reached.
     #[error(transparent)]
     Lost(#[from] Lost),
 }
@@ -47,18 +47,18 @@
 /// A connection to a database.
 pub struct Connection {
     wire: Wire,
-    /// On whose behalf it was opened: it serves nobody else.
+    /// The organisation on whose behalf it was opened; it is not used for any other.
     organisation: Option<OrganisationId>,
     stream: Box<dyn Stream>,
     input: BytesMut,
     values: Values,
     shapes: BTreeMap<Rc<Shape>, u32>,
-    /// Answers that are still to come.
+    /// The number of answers that are still outstanding.
     owed: u32,
     state: State,
     /// When it was opened.
     pub opened: Time,
-    /// When it was last given back.
+    /// When it was last returned to the pool.
     pub used: Time,
 }
 
@@ -73,6 +73,8 @@
 
 impl Connection {
     /// Opens a session at a database within `span`.
+    ///
+    /// Fails with [`Closed`] if the database refuses it, is not reached or does not answer in time.
     pub async fn open(
         adapter: &Adapter,
         database: &Database,
@@ -118,17 +120,17 @@
         }
     }
 
-    /// Whether every answer has come, and nothing else.
+    /// Whether every answer has been received, and no other input.
     pub fn is_settled(&self) -> bool {
         self.owed == 0 && self.input.is_empty()
     }
 
-    /// Whether it may be given to another session.
+    /// Whether it may be used by another session.
     pub fn is_clean(&self) -> bool {
         self.is_settled() && self.state == State::Idle
     }
 
-    /// Whether an idle connection is still open and silent, as far as is known here.
+    /// Whether an idle connection is still open and has received no unexpected input.
     pub fn is_alive(&mut self) -> bool {
         self.input.reserve(1);
         let nothing_came = self
@@ -139,12 +141,12 @@
         nothing_came && self.is_clean()
     }
 
-    /// On whose behalf it was opened.
+    /// The organisation on whose behalf it was opened.
     pub fn organisation(&self) -> Option<&OrganisationId> {
         self.organisation.as_ref()
     }
 
-    /// How many of a session's values it has, or none if it has one that the session lacks.
+    /// How many of the `wanted` values it has, or none if it has a value that `wanted` lacks.
     pub fn fit(&self, wanted: &Values) -> Option<usize> {
         let fits = |name| wanted.contains_key(name);
         self.values.keys().all(fits).then_some(())?;
@@ -153,8 +155,8 @@
         Some(same.count())
     }
 
-    /// Makes a session's values true, and then opens a transaction if `begin` says so. The first
-    /// answer that is an error ends it; nothing of a caller's has run then.
+    /// Sets a session's values, and then opens a transaction if there is `begin`. Returns the error code
+    /// if the database refuses that; no statement of a caller has run then.
     pub async fn prepare(
         &mut self,
         wanted: &Values,
@@ -207,10 +209,10 @@
         }
     }
 
-    /// Runs a caller's statement, after preparing what it needs.
+    /// Runs a caller's statement, and prepares it first if needed.
     ///
-    /// Preparing is sent in the same write: if it fails, the statement's name is not known, and
-    /// the statement does not run.
+    /// Both are sent in one write. If preparing fails, the database does not know the name and does
+    /// not run the statement.
     pub async fn run(
         &mut self,
         query: &Query,
@@ -255,7 +257,7 @@
         Ok(answer)
     }
 
-    /// Sends an order of our own and reads its answer.
+    /// Sends an order of the proxy and reads its answer.
     pub async fn order(&mut self, order: &Order) -> Result<Answer, Lost> {
         let mut output = BytesMut::new();
         (self.wire.write_order)(&mut output, order);
@@ -264,8 +266,8 @@
         self.read(false).await
     }
 
-    /// The number of a shape on this connection, and whether it is prepared already. Numbers
-    /// belong to the connection, so that two shapes can never share a name.
+    /// The number of a shape on this connection, and whether it is already prepared. Names are made from
+    /// numbers per connection, so that two shapes can never share a name.
     fn number(&mut self, shape: &Rc<Shape>) -> (u32, bool) {
         if let Some(number) = self.shapes.get(shape) {
             return (*number, true);
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -1,5 +1,5 @@
-//! One statement on this VM's own connection to a database, whoever asks for it: one of its callers,
-//! or another VM that reaches the database through this one.
+//! Runs one statement on this VM's own connection to a database, for one of its callers or for another
+//! VM that reaches the database through this one.
 
 use crate::clock::{Span, Time};
 use crate::direct::connection::{Closed, Connection, Lost};
@@ -15,43 +15,43 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// A database that has not answered for this long is reported, although its answer may still
-/// come: slow databases answer sooner, and a replacement should not wait for a route's timeout.
+/// A database that has not answered within this time is reported as failing, although its answer may
+/// still come: slow databases answer sooner, and a replacement should not wait for a route's timeout.
 pub const SILENT: Span = Span::from_millis(400);
 
 /// How long a rollback may take before its connection is closed instead.
 const ROLLBACK: Span = Span::from_millis(1_000);
 
-/// Between two tries at a busy database: about a short statement's time.
+/// The delay before a busy database is tried again: about the time of a short statement.
 const BUSY_PAUSE: Span = Span::from_millis(15);
 
-/// A statement, what has to be true before it, and the moments that bound it.
+/// A statement, its preconditions and its deadlines.
 #[derive(Debug, Clone, Copy)]
 pub struct Statement<'a> {
     /// The statement.
     pub query: &'a Query,
     /// The prepared statement that it runs.
     pub shape: Option<&'a Rc<Shape>>,
-    /// The session's values.
+    /// The session's values, which must be set on the connection.
     pub values: &'a Values,
-    /// On whose behalf it is asked.
+    /// The organisation on whose behalf it runs.
     pub organisation: Option<&'a OrganisationId>,
-    /// The transaction that it opens.
+    /// The order that opens its transaction, if it is the first one.
     pub begin: Option<&'a Order>,
-    /// A position that the log must have.
+    /// A position that the database's log must have reached.
     pub after: Option<Position>,
-    /// Its place among others that wait.
+    /// Its position in the queue.
     pub urgency: Urgency,
-    /// Until when it may wait for a busy database.
+    /// Until when it may queue for a busy database.
     pub queue_until: Time,
-    /// When it is given up.
+    /// When it times out.
     pub deadline: Time,
-    /// What it meets on its way.
+    /// Records its steps for the log line.
     pub trace: &'a Trace,
 }
 
 impl<'a> Statement<'a> {
-    /// What its connection should be like.
+    /// What it requires of its connection.
     fn wanted(&self) -> Wanted<'a> {
         Wanted {
             organisation: self.organisation,
@@ -60,22 +60,22 @@
     }
 }
 
-/// How a first statement ended.
+/// The result of a single or first statement.
 #[derive(Debug)]
 pub enum Ran<G> {
-    /// The database answered one that was sent at the moment given.
+    /// The database answered; the time is when the statement was sent.
     Answered(Answer, Box<Lent>, G, Time),
-    /// It has not run.
+    /// The statement has not run.
     NotRun(Code),
-    /// It has not run: the database was not reached.
+    /// The statement has not run: the database was not reached.
     Unreached,
-    /// It may have run.
+    /// The statement may have run.
     Lost(Why),
-}
+    }
 
-/// Runs a statement that stands alone or opens a transaction. It has to be allowed by `begin` once a
-/// connection is there, and by `holds` once all is prepared; nothing is sent if either says no. What
-/// `begin` returns is dropped once the connection is given back.
+    /// Runs a single statement, or the first one of a transaction. `begin` is called once a connection is
+    /// available, and `holds` once everything is prepared; the statement is sent only if both allow it. The
+    /// value from `begin` is dropped when the connection is returned.
 pub async fn start<G: 'static>(
     targets: &Targets,
     target: &Target,
@@ -85,7 +85,7 @@
 ) -> Ran<G> {
     let pool = &target.pool;
     let came = targets.now();
-    // What hangs at a database that is silent frees no slot: nobody queues behind it.
+    // Statements that hang at a silent database free no slot, so nothing queues behind them.
     let patience = match targets.is_failing(&target.database) {
         true => Span::ZERO,
         false => statement.queue_until.since(came),
@@ -146,8 +146,9 @@
     }
 }
 
-/// Runs the next statement of an open transaction: again while the database is too busy for it, as
-/// long as it may wait. `holds` is asked before each sending. The moment is when it was sent.
+/// Runs the next statement of an open transaction, and repeats it while the database is busy until
+/// `queue_until`. `holds` is checked each time before sending. Returns the answer and when the statement
+/// was sent.
 pub async fn next(
     targets: &Targets,
     target: &Target,
@@ -186,12 +187,12 @@
     }
 }
 
-/// Why a transaction's next statement has no answer.
+/// Why the next statement of a transaction has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failed {
     /// It has not run: the database is too busy.
     Busy,
-    /// It has not run: the transaction may not go on.
+    /// It has not run: the transaction's lease no longer holds.
     Ended,
     /// It has not run: the connection broke before it was sent.
     Broken,
@@ -199,7 +200,7 @@
     Lost(Why),
 }
 
-/// Makes session values true that were set since the transaction began.
+/// Sets session values on the connection that changed since the transaction began.
 async fn prepare(
     targets: &Targets,
     target: &Target,
@@ -216,7 +217,8 @@
     Err(Failed::Broken)
 }
 
-/// Sends a statement and reads its answer, until the statement's deadline.
+/// Sends a statement and reads its answer until its deadline. Reports the database as failing after
+/// [`SILENT`].
 async fn send(
     targets: &Targets,
     target: &Target,
@@ -242,7 +244,7 @@
     result.unwrap_or(Err(Lost::Silent))
 }
 
-/// Learns from a statement's lost answer, and tells why it was lost.
+/// Records that a statement's answer was lost, and returns the reason.
 fn why(
     targets: &Targets,
     statement: &Statement<'_>,
@@ -267,7 +269,7 @@
     }
 }
 
-/// Notes that a database refused to run a statement, for its line and for the scraper.
+/// Records in the trace and the metrics that a database refused to run a statement.
 pub fn note_refusal(targets: &Targets, trace: &Trace, target: &Target, code: Code) {
     trace.ended(code_name(code));
     let meter = &targets.shared.meter;
@@ -282,7 +284,7 @@
         _ => log::info!(group:% = database.group, database:% = database.id; "not opened: {closed}"),
     }
     match closed {
-        // Another database is at its address: it is gone.
+        // Another database listens at its address: this one is gone.
         Closed::Refused(code @ Code::OtherDatabase) => {
             note_refusal(targets, trace, target, *code);
             targets.failed(database);
@@ -290,7 +292,7 @@
         }
         Closed::Refused(code) => {
             note_refusal(targets, trace, target, *code);
-            // That it is full may have been heard before: the pool asks seldom then.
+            // `Full` may be a refusal remembered by the pool, and no new response.
             if *code != Code::Full {
                 targets.answers(database);
             }
@@ -305,8 +307,8 @@
     }
 }
 
-/// Returns a connection, rolled back first if it stands in a transaction; `kept` is dropped once
-/// that is over.
+/// Returns a connection to the pool, after rolling back its transaction if one is open. `kept` is
+/// dropped after that.
 pub fn give_back<G: 'static>(targets: &Targets, mut lent: Box<Lent>, kept: G) {
     if lent.connection().is_clean() {
         lent.give_back(&targets.adapter);
--- a/src/direct/fresh.rs
+++ b/src/direct/fresh.rs
@@ -1,8 +1,8 @@
-//! How far a group's log had come at a moment, so that replicas can serve reads of a stated age.
+//! The log positions of each group's primary over time, so that replicas can serve reads of bounded age.
 //!
-//! If the primary, asked at t under a lease that still held after it had answered, answered with
-//! position p, every commit that was acknowledged before t is at most p. A read that may be S old
-//! and came at b is current enough on a log that has the p of any pair with t at least b - S.
+//! If the primary was asked at t, answered with position p, and its lease was still valid afterwards,
+//! every commit acknowledged before t is at or before p. A read that arrives at b and may be S old can
+//! be served from any log that has reached the p of a pair with t at or after b - S.
 
 use crate::clock::{Span, Time};
 use crate::direct::lead::Epoch;
@@ -10,11 +10,11 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Pairs closer together than this are thinned out: a read of some seconds' age gains nothing
-/// from a finer choice than a replica's usual delay.
+/// Pairs closer together than this are dropped: for reads of some seconds' age, a resolution finer
+/// than a replica's usual delay gains nothing.
 const SPACING: Span = Span::from_millis(100);
 
-/// As many pairs as cover 6 s, well over the stalest read that callers are offered.
+/// The most pairs per group: enough for 6 s, well over the highest age that routes allow.
 const MOST: usize = 64;
 
 #[derive(Debug, Clone, Copy)]
@@ -26,30 +26,30 @@
 #[derive(Debug, Clone, Default)]
 struct Known {
     epoch: Epoch,
-    /// Both fields rise from each pair to the next.
+    /// Both fields rise strictly from each pair to the next.
     pairs: VecDeque<Pair>,
 }
 
-/// How far a group's primary had come, as one VM tells another.
+/// A log position of a group's primary, as sent from one VM to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     /// The group.
     pub group: GroupId,
     /// The epoch of its primary.
     pub epoch: Epoch,
-    /// How far it had come.
+    /// The log position that it had reached.
     pub position: Position,
-    /// How long ago it was asked, when this was told.
+    /// How long before this was sent the primary was asked.
     pub age: Span,
 }
 
-/// The newest pairs of every group.
+/// The newest positions of every group.
 #[derive(Debug, Clone, Default)]
 pub struct Fresh(BTreeMap<GroupId, Known>);
 
 impl Fresh {
-    /// The primary of `epoch`, asked at `asked`, answered with `position`, and the lease held
-    /// after that answer was read.
+    /// Records that the primary of `epoch`, asked at `asked`, answered with `position`. The lease must
+    /// still have been valid after the answer was read.
     pub fn learn(&mut self, group: &GroupId, epoch: Epoch, asked: Time, position: Position) {
         if !self.0.contains_key(group) {
             self.0.insert(group.clone(), Known::default());
@@ -67,21 +67,21 @@
         known.add(Pair { asked, position });
     }
 
-    /// The least position that holds every commit acknowledged before `since`, if one is known.
+    /// The lowest known position that includes every commit acknowledged before `since`.
     pub fn oldest_allowed(&self, group: &GroupId, since: Time) -> Option<Position> {
         let known = self.0.get(group)?;
         let pair = known.pairs.iter().find(|pair| pair.asked >= since)?;
         Some(pair.position)
     }
 
-    /// The newest position of a group that is known, and when its primary was asked.
+    /// The newest known position of a group, and when its primary was asked.
     pub fn newest(&self, group: &GroupId) -> Option<(Position, Time)> {
         let pair = self.0.get(group)?.pairs.back()?;
         Some((pair.position, pair.asked))
     }
 
-    /// The newest pair of each group, for another VM: one that can't reach a primary reads from
-    /// replicas by what others were answered there.
+    /// The newest position of each group, to send to another VM. A VM that can't reach a primary uses the
+    /// positions of others to read from replicas.
     pub fn told(&self, now: Time) -> Vec<Progress> {
         let known = self.0.iter();
         let newest = known.filter_map(|(group, known)| {
@@ -96,12 +96,12 @@
         newest.collect()
     }
 
-    /// Learns what another VM told when asked at `asked`; the time on the way counts as age.
+    /// Records a position from another VM that was asked at `asked`; network time counts as age.
     pub fn hear(&mut self, told: &Progress, asked: Time) {
         self.learn(&told.group, told.epoch, asked - told.age, told.position);
     }
 
-    /// Forgets what was learned in epochs before `epoch`: the log may have lost those positions.
+    /// Discards positions of epochs before `epoch`: the log may have lost them.
     pub fn forget_before(&mut self, group: &GroupId, epoch: Epoch) {
         if let Some(known) = self.0.get_mut(group)
             && known.epoch < epoch
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Drops the newest pair if it stands close to the one before it.
+    /// Drops the newest pair if it is closer than [`SPACING`] to the one before it.
     fn thin_newest(&mut self) {
         let mut newest = self.pairs.iter().rev();
         let (Some(last), Some(before)) = (newest.next(), newest.next()) else {
--- a/src/direct/front.rs
+++ b/src/direct/front.rs
@@ -1,4 +1,4 @@
-//! Serves callers' sessions.
+//! Serves callers' sessions, and ends them in a planned stop.
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::{Adapter, Stream};
@@ -14,26 +14,26 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, watch};
 
-/// How long the balancer may take to send no more callers after a stop has begun: it asks each
-/// second, and believes the second answer.
+/// How long the load balancer may still send callers after a stop has begun: it probes every second
+/// and acts on the second answer.
 const BALANCED: Span = Span::from_millis(2_200);
 
-/// What is left of a stop's grace for the last answers to go out.
+/// The part of a stop's grace period that is reserved for sending the last answers.
 const LAST_ANSWERS: Span = Span::from_millis(400);
 
-/// How long a caller whose key is not known waits for a newer configuration: a heartbeat's round trip
-/// between regions, and a long configuration had from a VM near by.
+/// How long a caller with an unknown key waits for a newer configuration: a heartbeat's round trip
+/// between regions plus the transfer of a long configuration from a near VM.
 const CONFIG_WAIT: Span = Span::from_millis(250);
 
-/// How often one is asked for on behalf of such callers.
+/// The shortest interval between two requests for a newer configuration on behalf of such callers.
 const CONFIG_WANTED_EVERY: Span = Span::from_secs(1);
 
-/// Where this VM stands.
+/// The location of this VM.
 #[derive(Debug, Clone)]
 pub struct Place {
     /// Its failure domain.
     pub domain: Domain,
-    /// Where it relays other VMs' statements, if it does.
+    /// The address where it accepts other VMs' statements, if it relays any.
     pub relay: Option<SocketAddr>,
     /// The region of each failure domain.
     pub regions: BTreeMap<Domain, Box<str>>,
@@ -55,22 +55,22 @@
     }
 }
 
-/// How far a stop has come.
+/// The progress of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stopping {
-    /// There is none.
+    /// No stop has begun.
     No,
-    /// Sessions that do nothing are closed.
+    /// Idle sessions are closed.
     Idle,
-    /// Transactions are rolled back.
+    /// Open transactions are rolled back.
     Transactions,
 }
 
-/// Serves callers.
+/// Serves callers' sessions.
 pub struct Front {
     /// The platform.
     pub adapter: Adapter,
-    /// What this VM knows.
+    /// The state shared by all tasks of this VM.
     pub shared: Rc<Shared>,
     /// Runs statements.
     pub runner: Runner,
@@ -88,7 +88,7 @@
 }
 
 impl Front {
-    /// A front without sessions.
+    /// Creates a front without sessions.
     pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Place) -> Rc<Self> {
         Rc::new(Self {
             runner: Runner::new(adapter.clone(), shared.clone(), place),
@@ -110,8 +110,8 @@
         self.ended.notify_one();
     }
 
-    /// Ends a planned stop's sessions within `grace`: those that do nothing once the balancer
-    /// sends no more, open transactions after half of it.
+    /// Ends all sessions within `grace` for a planned stop: idle sessions once the load balancer sends
+    /// no more callers, open transactions after half of `grace`.
     pub async fn stop(&self, grace: Span) {
         let half = grace.percent(50);
         tokio::time::sleep(BALANCED.min(half).into()).await;
@@ -134,11 +134,11 @@
         tokio::time::timeout(span.into(), all_ended).await.is_ok()
     }
 
-    /// Waits for a newer configuration, if one may be there: a caller's key is not known.
+    /// Waits for a newer configuration on behalf of a caller whose key is unknown.
     ///
-    /// **Pattern answered.** A key is used as soon as the operator has given it out, at a VM that is told
-    /// of it half a second later; and floods of keys that nobody holds. **Without it** the first is refused,
-    /// or each of the second asks the steward. One question a second serves all that wait.
+    /// A key may be used as soon as the operator has issued it, but a VM receives it up to half a second
+    /// later. To withstand floods of invalid keys, the steward is asked at most once per second for all
+    /// waiting callers.
     pub async fn wait_for_newer_config(&self) {
         let mut configs = self.shared.configs();
         let now = self.now();
--- a/src/direct/gate.rs
+++ b/src/direct/gate.rs
@@ -1,14 +1,13 @@
-//! How many statements this VM has in flight at one database, and which waits for how long.
+//! Limits the statements that this VM has in flight at one database, and queues the others by urgency.
 //!
-//! **Pattern answered.** A database runs few statements at once, and every VM sends it some: bursts
-//! of one VM's callers, saturation, and urgent statements among others.
-//! **Without it** all of a burst is sent at once, waits inside the database, where neither
-//! priorities nor latency objectives are known, and late answers are earned by nobody.
+//! A database runs few statements at once and serves all VMs. Without a limit, a burst would queue
+//! inside the database, which knows neither priorities nor latency objectives, and late answers are
+//! worth nothing.
 //!
-//! The statements in flight are bounded by the database's slots. A refusal for being busy
-//! means that other VMs have the slots: the bound halves, and grows by one for each full round of
-//! answers, as congestion control does. Work that would wait longer than its bound, by the time that
-//! statements take of late, is refused at once with when to come back.
+//! The limit is at most the database's slots. A refusal because the database is busy means that other
+//! VMs use the slots: the limit halves, and grows by one per full round of answers, as in congestion
+//! control. Work whose estimated wait, from the recent statement time, exceeds its own bound is refused
+//! at once with a time to retry.
 
 use crate::clock::{Span, Time};
 use std::cell::RefCell;
@@ -16,25 +15,26 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A statement's time before the first answer: what the sites' short statements take.
+/// The assumed time of a statement before the first answer: that of a usual short statement.
 const UNKNOWN: Span = Span::from_millis(15);
 
-/// Weight of a new sample in the typical time: a database that turned slow is known after ten.
+/// A new sample has the weight 1/`WEIGHT` in the average time: a database that became slow is
+/// detected after about ten answers.
 const WEIGHT: u64 = 8;
 
-/// What remains of the bound after a refusal.
+/// The factor by which a refusal lowers the limit.
 const CUT: f64 = 0.5;
 
-/// Refusals closer together than this tell of the same crowd, and cut the bound once.
+/// Refusals closer together than this have the same cause and lower the limit only once.
 const SAME_CROWD: Span = Span::from_millis(50);
 
-/// The least time to tell a caller to stay away: less than a statement's time gains nothing.
+/// The shortest retry time given to a caller: retrying within about a statement's time is useless.
 const LEAST_RETRY: Span = Span::from_millis(20);
 
-/// Before which others work goes; less is sooner.
+/// The position of work in the queue: lower values go first.
 pub type Urgency = u8;
 
-/// The urgency of the statements of an open transaction: it holds a connection all along.
+/// The urgency of statements of an open transaction, which holds a connection while it waits.
 pub const OPEN: Urgency = 0;
 
 #[derive(Debug)]
@@ -48,11 +48,11 @@
     cut_at: Time,
 }
 
-/// The bound of one database.
+/// The limiter of one database.
 #[derive(Debug, Clone)]
 pub struct Gate(Rc<RefCell<Inner>>);
 
-/// Leave to have one statement in flight; given back when dropped.
+/// Permission to have one statement in flight; returned when dropped.
 #[derive(Debug)]
 pub struct Permit(Option<Gate>);
 
@@ -65,7 +65,7 @@
 }
 
 impl Gate {
-    /// A gate to a database that runs `slots` statements at once.
+    /// Creates the gate of a database that runs `slots` statements at once.
     pub fn new(slots: u32) -> Self {
         Self(Rc::new(RefCell::new(Inner {
             slots: slots.max(1),
@@ -78,7 +78,7 @@
         })))
     }
 
-    /// The register tells another number of slots.
+    /// Sets the number of slots that the register states.
     pub fn resize(&self, slots: u32) {
         let mut inner = self.0.borrow_mut();
         if inner.slots != slots.max(1) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Leave at once, if there is room and nothing waits.
+    /// A permit, if one is free and nothing waits.
     pub fn try_enter(&self) -> Option<Permit> {
         let mut inner = self.0.borrow_mut();
         let free = inner.waiting.is_empty() && inner.has_room();
@@ -97,7 +97,7 @@
         })
     }
 
-    /// Leave within `patience`, or when to come back.
+    /// A permit within `max_wait`, or the time after which to retry.
     pub async fn enter(&self, urgency: Urgency, patience: Span) -> Result<Permit, Span> {
         if let Some(permit) = self.try_enter() {
             return Ok(permit);
@@ -125,7 +125,7 @@
         (key, receiver)
     }
 
-    /// How long new work of this urgency would wait.
+    /// The estimated wait of new work of this urgency.
     pub fn wait(&self, urgency: Urgency) -> Span {
         let inner = self.0.borrow();
         if inner.waiting.is_empty() && inner.has_room() {
@@ -135,17 +135,17 @@
         Span((inner.typical.0 as f64 * before / inner.allowed.max(1.0)) as u64)
     }
 
-    /// What a statement takes of late.
+    /// The moving average of recent statement times.
     pub fn typical(&self) -> Span {
         self.0.borrow().typical
     }
 
-    /// When work that is refused now should come back.
+    /// After what time work that is refused now should be retried.
     pub fn retry(&self) -> Span {
         self.wait(Urgency::MAX).max(LEAST_RETRY)
     }
 
-    /// A statement was answered after `took`.
+    /// Records that a statement was answered after `took`.
     pub fn answered(&self, took: Span) {
         let mut inner = self.0.borrow_mut();
         let typical = (inner.typical.0 * (WEIGHT - 1) + took.0) / WEIGHT;
@@ -154,7 +154,7 @@
         inner.allowed = raised.min(f64::from(inner.slots));
     }
 
-    /// The database refused a statement for being busy.
+    /// Records that the database refused a statement because it is busy.
     pub fn refused(&self, now: Time) {
         let mut inner = self.0.borrow_mut();
         if now.since(inner.cut_at) < SAME_CROWD {
--- a/src/direct/history.rs
+++ b/src/direct/history.rs
@@ -1,18 +1,18 @@
-//! What changed of a list that is told to other VMs, so that whoever knew it before is told that alone.
+//! Recent changes of a list that is sent to other VMs, so that VMs with an older state get only those.
 //!
-//! **Pattern answered.** A list of hundreds of VMs, databases or primaries changes in one place, and
-//! each VM that knew it hears of that with its next heartbeat. **Without it** each is told all of the
-//! list: 300 VMs and 700 groups are 70 MB a change, while the VM that tells has a link of 10 Mbit/s; it
-//! answers late, so that VMs count as silent, which changes the list. **Thresholds.** The last
-//! [`STEPS`] changes are known, some seconds of a rolling restart; a VM that knows less has been away.
+//! When one entry changes in a list of hundreds of VMs, databases or primaries, every VM gets the change
+//! with its next heartbeat. Sending the whole list to each would be 70 MB per change with 300 VMs and 700
+//! groups, over a link of 10 Mbit/s: answers would be late, VMs would count as silent, and that changes
+//! the list again. The last [`STEPS`] changes are kept, some seconds of a rolling restart; a VM with an
+//! older state has been disconnected.
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// How many changes are remembered, and how many entries these may name together.
+/// The most changes that are kept, and the most entries that they may name in total.
 const STEPS: usize = 64;
 const MOST: usize = 2_048;
 
-/// The last changes of a list, by the digests of its states.
+/// The last changes of a list, identified by the digest of the list before each.
 #[derive(Debug, Clone)]
 pub struct History<K> {
     steps: VecDeque<Step<K>>,
@@ -22,9 +22,9 @@
 /// One change.
 #[derive(Debug, Clone)]
 struct Step<K> {
-    /// What stood for the list before it.
+    /// The digest of the list before the change.
     before: u64,
-    /// The entries that came, went or changed.
+    /// The keys of the entries that were added, removed or changed.
     changed: Vec<K>,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl<K: Ord + Clone> History<K> {
-    /// The list for which `before` stands has changed in these entries.
+    /// Records that the list with the digest `before` has changed in these entries.
     pub fn note(&mut self, before: u64, changed: Vec<K>) {
         self.named += changed.len();
         self.steps.push_back(Step { before, changed });
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The entries that have changed since `digest` stood for the list; none if that is not known.
+    /// The entries that changed since the list had this digest; none if that state is not known.
     pub fn since(&self, digest: u64) -> Option<BTreeSet<K>> {
         let steps = self.steps.iter();
         let known = steps.rev().position(|step| step.before == digest)?;
--- a/src/direct/job.rs
+++ b/src/direct/job.rs
@@ -1,4 +1,4 @@
-//! One statement that has to run, and the moments that bound it.
+//! One statement to run on a database, and its deadlines.
 
 use crate::clock::{Span, Time};
 use crate::direct::config::{Kind, Route};
@@ -10,44 +10,44 @@
 use crate::types::OrganisationId;
 use std::rc::Rc;
 
-/// The part of a route's timeout that a statement waits for a primary at most. A planned change
-/// takes less. Callers ask three times; with a half each, VMs that could not serve them held them for
-/// most of their time (the price of trilho-sede's trouble-3 was 0.106 in all, 0.046 with a quarter).
+/// The percentage of a route's timeout that a statement may wait for a primary. A planned change takes
+/// less. Callers try three times; with 50, VMs that could not serve them held them for most of their
+/// time (the price of trilho-sede's trouble-3 was 0.106 in all, 0.046 with 25).
 const NEWS_PERCENT: u64 = 25;
 
-/// The part of the objective that work may wait for a busy database: what is refused later than
-/// this has cost its caller time in which another VM could have served it. With 25, refusals reached
-/// their callers after a quarter of the objective and paid for nothing. Worth 0.885 with 25 and 0.905
-/// with 18: three days of 70 VMs whose primaries had their replicas' load, one run each, which differ
-/// by up to 0.03; where every VM has its own connections, 0.896 and 0.897, fifteen paired runs.
+/// The percentage of a route's objective that work may wait for a busy database. A later refusal costs
+/// its caller time in which another VM could have served it. With 25, refusals reached their callers
+/// after a quarter of the objective, too late to be of use. The score was 0.885 with 25 and 0.905 with
+/// 18 in three days of 70 VMs whose primaries had their replicas' load (one run each; runs differ by up
+/// to 0.03); with own connections for every VM it was 0.896 and 0.897 (fifteen paired runs).
 const QUEUE_PERCENT: u64 = 18;
 
-/// The same for a statement of an open transaction, which loses all that ran before when it is
-/// refused, and holds a connection meanwhile.
+/// The same for a statement of an open transaction: a refusal loses everything that ran before, and the
+/// transaction holds a connection while it waits.
 const OPEN_QUEUE_PERCENT: u64 = 50;
 
-/// What a statement is part of.
+/// How a statement relates to a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Part {
-    /// Of nothing: it stands alone.
+    /// Outside a transaction.
     Single,
-    /// It is the first of a transaction, which has to be opened.
+    /// The first of a transaction, which must be opened first.
     First {
         /// Whether the transaction only reads.
         read: bool,
     },
-    /// Of the transaction that is open.
+    /// Part of the transaction that is open.
     Next,
 }
 
-/// One statement.
+/// A statement to run.
 #[derive(Debug, Clone, Copy)]
 pub struct Job<'a> {
     /// The route.
     pub route: &'a Rc<Route>,
     /// The statement.
     pub query: &'a Query,
-    /// On whose behalf it is asked.
+    /// The organisation on whose behalf it runs.
     pub organisation: Option<&'a OrganisationId>,
     /// The prepared statement that it runs.
     pub shape: Option<&'a Rc<Shape>>,
@@ -55,18 +55,18 @@
     pub writes: bool,
     /// Whether it commits the transaction.
     pub commit: bool,
-    /// What it is part of.
+    /// How it relates to a transaction.
     pub part: Part,
-    /// When it, or its transaction, came.
+    /// When it, or the `BEGIN` of its transaction, arrived.
     pub since: Time,
-    /// When it came.
+    /// When it arrived.
     pub came: Time,
-    /// What it meets on its way.
+    /// Records its steps for the log line.
     pub trace: &'a Trace,
 }
 
 impl Job<'_> {
-    /// It as a database is sent it, where nothing has to come before it.
+    /// The statement to send to a database, without a transaction to open or a position to require.
     pub fn statement<'b>(&'b self, values: &'b Values) -> Statement<'b> {
         Statement {
             query: self.query,
@@ -82,12 +82,12 @@
         }
     }
 
-    /// When it is given up.
+    /// When it times out.
     pub fn deadline(&self) -> Time {
         self.came + self.route.timeout
     }
 
-    /// Until when it may wait for a busy database.
+    /// Until when it may queue for a busy database.
     pub fn queue_until(&self) -> Time {
         let percent = match self.part {
             Part::Next => OPEN_QUEUE_PERCENT,
@@ -101,7 +101,7 @@
         self.came + self.route.timeout.percent(NEWS_PERCENT)
     }
 
-    /// Its place among others that wait.
+    /// Its position in the queue.
     pub fn urgency(&self) -> Urgency {
         match self.part {
             Part::Next => gate::OPEN,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// How old the data may be that it reads, if it need not be the newest.
+    /// The maximum age of the data that it reads, if stale data is allowed.
     pub fn staleness(&self) -> Option<Span> {
         let reads = match self.part {
             Part::First { read } => read,
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Whether nothing of it can be kept, whatever became of it.
+    /// Whether nothing of it can be kept, even if it ran.
     pub fn is_kept_by_nobody(&self) -> bool {
         matches!(self.part, Part::First { .. }) || self.is_repeatable()
     }
 
-    /// Whether an answer that was lost may be asked for again: nothing else was told or kept.
+    /// Whether it may be repeated after a lost answer: it is a single read, of which nothing was kept.
     pub fn is_repeatable(&self) -> bool {
         self.part == Part::Single && !self.writes
     }
--- a/src/direct/lead.rs
+++ b/src/direct/lead.rs
@@ -1,18 +1,18 @@
-//! Who leads a group, and until when this VM may act on it.
+//! Which database leads each group, and this VM's leases on the primaries.
 //!
-//! **Failure answered.** A primary is replaced while this VM is cut off, frozen or slow and still
-//! talks to the old one, which goes on answering.
-//! **Symptom without it.** A write that the old primary took is acknowledged and vanishes; a read
-//! of it misses what the new one acknowledged.
-//! **Why it suffices.** The group's row in the store says who leads. A reading of it that was
-//! *asked* at t is believed until t + [`TERM`], and from there up to t + [`LEASE`] only for
-//! [`TERM`] since enough other VMs were asked who vouch that they have not dropped the epoch. Who
-//! replaces a primary first writes that it will, and then waits until every VM that may hold a
-//! lease has said that it dropped it. With more than [`UNHEARD`] VMs that have not, it waits for
-//! [`LEASE`] since they could last have asked; with no more than that, for [`TERM`] since the last
-//! of the others said so: an extension needs more VMs than have not been heard, so one of its
-//! vouchers was asked before it dropped the epoch. The lease is looked at again after the
-//! database's answer was read, on a clock that counts pauses.
+//! A primary can be replaced while this VM is cut off, frozen or slow and still uses the old one. A
+//! write acknowledged by the old primary would be lost, and a read from it would miss newer commits.
+//!
+//! The group's row in the store names its primary. A read of that row *requested* at t gives a lease
+//! until t + [`TERM`]. A quorum of other VMs that have not released the epoch extends it to [`TERM`]
+//! after they were asked, but never beyond t + [`LEASE`].
+//!
+//! To replace a primary, the steward first records that it is changing and then waits until every VM
+//! that may hold a lease has released it. If more than [`UNHEARD`] VMs don't confirm that, it waits
+//! for [`LEASE`] from their last possible request; otherwise for [`TERM`] from the last confirmation
+//! of the others. The shorter wait is safe because an extension needs more VMs than are unconfirmed,
+//! so at least one of them was asked before it released the epoch. The lease is checked again after
+//! the database's answer was read, on a clock that includes pauses of the process.
 
 use crate::clock::{Span, Time};
 use crate::types::{Birth, DatabaseId, GroupId};
@@ -21,61 +21,62 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a reading of the lead rows is believed at most: longer than an outage of the store
-/// usually lasts (4 to 6 s), so that one stops no writes.
+/// The longest time that one read of the lead rows is valid. It exceeds a usual outage of the store
+/// (4 to 6 s), so that such an outage stops no writes.
 pub const LEASE: Span = Span::from_secs(8);
 
-/// How long it is believed without the word of other VMs, and how long their word counts from when
-/// they were asked. It is waited out for a VM that fell silent just before a primary was lost. The
-/// steward reads each second and is asked each half second, so readings are 1.6 s old at most.
+/// How long a read is valid without confirmation by other VMs, and how long a confirmation is valid
+/// from when it was requested. A replacement waits this long for a VM that stopped responding just
+/// before the primary was lost. The steward reads every second and is polled every half second, so
+/// reads are at most 1.6 s old.
 pub const TERM: Span = Span::from_millis(2_500);
 
-/// How many VMs may not have been heard for a replacement to wait for [`TERM`] only.
+/// The most VMs that may fail to confirm a release for a replacement to wait for [`TERM`] only.
 pub const UNHEARD: usize = 2;
 
-/// How many VMs, the one with the lease among them, have to stand by it beyond [`TERM`]: one more
-/// than may be unheard, so that one of them gave its word to whoever replaces the primary. A majority
-/// is not needed for that, and would stop the writes of all VMs on the lesser side of a cut.
+/// How many VMs, including the lease's holder, must confirm an epoch to extend a lease beyond
+/// [`TERM`]. It is one more than [`UNHEARD`], so that at least one of them also confirmed its release
+/// to the steward. Requiring a majority would stop all writes on the smaller side of a partition.
 pub const QUORUM: usize = UNHEARD + 1;
 
-/// Which change of primary a group has come to.
+/// The number of a group's current primary: rises with each change of primary.
 pub type Epoch = u64;
 
-/// Who leads one group, as the store has it.
+/// The record in the store of which database leads a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lead {
-    /// Rises with each change.
+    /// Rises with each change of primary.
     pub epoch: Epoch,
-    /// The primary; while `changing`, the one that is being replaced.
+    /// The primary; while `changing`, the one being replaced.
     pub primary: DatabaseId,
-    /// When the primary had started. One that started again under its id has lost its log, and
-    /// leads by no right of its life before.
+    /// When the primary's process started. One that restarted under the same id has lost its log
+    /// and does not lead.
     pub born: Option<Birth>,
-    /// Whether a replacement is under way: nobody may act on the primary.
+    /// Whether a replacement is in progress, during which no new work may start on the primary.
     pub changing: bool,
-    /// The epoch before, if nothing changed but the store's era: what started on it goes on.
+    /// The previous epoch, if only the store's era changed: work started in it may continue.
     #[serde(default)]
     pub continues: Option<Epoch>,
 }
 
-/// Stands for what a reading shows of who leads, to tell whether two VMs have the same. Epochs only
-/// rise, so what was the same once and is the same again was the same all the while.
+/// Digest of a set of leads, to compare the leads of two VMs. Epochs only rise, so two equal digests
+/// at different times mean that nothing changed in between.
 pub fn digest<'a>(leads: impl IntoIterator<Item = (&'a GroupId, &'a Lead)>) -> u64 {
     let leads: Vec<_> = leads.into_iter().collect();
-    // Plain structs of names and numbers always have an encoding.
+    // Serialising plain structs of names and numbers can't fail.
     xxh3_64(&postcard::to_stdvec(&leads).unwrap_or_default())
 }
 
 /// A lease on a group's primary.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Lease {
-    /// Of which epoch.
+    /// The epoch that it is valid for.
     pub epoch: Epoch,
     /// The primary.
     pub primary: DatabaseId,
-    /// When that had started.
+    /// When the primary's process started.
     pub born: Option<Birth>,
-    /// Until when it may be acted on.
+    /// When the lease expires.
     pub until: Time,
 }
 
@@ -83,25 +84,25 @@
 struct Known {
     lead: Lead,
     asked: Time,
-    /// When a quorum was last asked that vouched for this epoch.
+    /// When the quorum that last confirmed this epoch was asked.
     vouched: Option<Time>,
 }
 
-/// What this VM knows of who leads.
+/// This VM's leads and leases, by group.
 #[derive(Debug, Clone, Default)]
 pub struct Book {
     groups: BTreeMap<GroupId, Known>,
-    /// Epochs up to this one were given up on somebody's word. Kept also for groups that no
-    /// reading has shown yet: one that is on its way may still show the epoch that was given up.
+    /// Epochs up to this one were released. Also kept for groups that no read has returned yet: a
+    /// read in flight may still return the released epoch.
     dropped: BTreeMap<GroupId, Epoch>,
-    /// Up to this epoch nothing new may start; what is under way may still end.
+    /// Up to this epoch no new work may start; work in progress may still finish.
     closed: BTreeMap<GroupId, Epoch>,
-    /// What stands for who leads, unless a lead has changed since.
+    /// The cached digest of all leads; none after a lead has changed.
     digest: Cell<Option<u64>>,
 }
 
 impl Book {
-    /// Learns what a reading asked at `asked` showed. An older epoch is never gone back to.
+    /// Records the lead returned by a read requested at `asked`. Older epochs are ignored.
     pub fn learn(&mut self, group: &GroupId, lead: Lead, asked: Time) {
         let known = self.groups.get(group);
         if known.is_none_or(|known| known.lead != lead) {
@@ -120,20 +121,20 @@
         }
     }
 
-    /// Gives up `epoch` of a group and all before it: from now on nothing is acknowledged on it.
+    /// Releases `epoch` of a group and all before it: nothing more is acknowledged in them.
     pub fn drop_epoch(&mut self, group: &GroupId, epoch: Epoch) {
         let dropped = self.dropped.entry(group.clone()).or_default();
         *dropped = epoch.max(*dropped);
     }
 
-    /// Lets nothing new start on `epoch` of a group and all before it. What is under way still
-    /// holds its lease, until the epoch is given up.
+    /// Starts no new work in `epoch` of a group and all before it. Work in progress keeps its lease
+    /// until the epoch is released.
     pub fn close_epoch(&mut self, group: &GroupId, epoch: Epoch) {
         let closed = self.closed.entry(group.clone()).or_default();
         *closed = epoch.max(*closed);
     }
 
-    /// Gives up every epoch that is known.
+    /// Releases all epochs.
     pub fn drop_all(&mut self) {
         let known = self.groups.iter();
         let epochs: Vec<_> = known.map(|(g, k)| (g.clone(), k.lead.epoch)).collect();
@@ -142,7 +143,7 @@
         }
     }
 
-    /// The lease on a group's primary on which something may start at `now`.
+    /// The lease on a group's primary under which new work may start at `now`.
     pub fn lease(&self, group: &GroupId, now: Time) -> Option<Lease> {
         let known = self.groups.get(group)?;
         let closed = self.closed.get(group).copied().unwrap_or_default();
@@ -156,10 +157,10 @@
         })
     }
 
-    /// Whether what started on `epoch` of a group may still be acted on at `now`.
+    /// Whether work that started in `epoch` of a group may still continue at `now`.
     ///
-    /// That a replacement has begun does not end it: who replaces waits for this VM until it has
-    /// given the epoch up, or its last reading from before has lapsed.
+    /// The start of a replacement does not end the lease: the steward waits until this VM has
+    /// released the epoch, or until the lease from its last read before that has expired.
     pub fn holds(&self, group: &GroupId, epoch: Epoch, now: Time) -> bool {
         let dropped = self.dropped.get(group).copied().unwrap_or_default();
         self.groups.get(group).is_some_and(|known| {
@@ -168,7 +169,7 @@
         })
     }
 
-    /// Whether another primary is on its way, as far as is known: a replacement has begun.
+    /// Whether a replacement of the primary is known to have begun.
     pub fn is_changing(&self, group: &GroupId) -> bool {
         let ended = |of: &BTreeMap<GroupId, Epoch>| of.get(group).copied().unwrap_or_default();
         let given_up = ended(&self.dropped).max(ended(&self.closed));
@@ -177,9 +178,9 @@
             .is_some_and(|known| known.lead.changing || known.lead.epoch <= given_up)
     }
 
-    /// The epochs that this VM vouches for to others: neither given up, nor closed, nor being
-    /// replaced, by a reading of its own that is younger than [`LEASE`]. A VM whose row is gone
-    /// has no such reading, so whoever replaces a primary need not know of it.
+    /// The epochs that this VM confirms to others: neither released, nor closed, nor being replaced
+    /// in its own latest read, which must be younger than [`LEASE`]. A VM whose row was removed has no
+    /// such read, so a replacement need not wait for it.
     pub fn vouches(&self, now: Time) -> Vec<(GroupId, Epoch)> {
         let open = |(group, known): &(&GroupId, &Known)| {
             let ended = |of: &BTreeMap<GroupId, Epoch>| {
@@ -194,8 +195,8 @@
             .collect()
     }
 
-    /// Learns that a quorum, asked at `asked`, vouched for an epoch of a group; returns whether
-    /// this makes the lease longer.
+    /// Extends the lease on a group's epoch that a quorum, asked at `asked`, has confirmed. Returns
+    /// whether the lease became longer.
     pub fn vouch(&mut self, group: &GroupId, epoch: Epoch, asked: Time) -> bool {
         let Some(known) = self.groups.get_mut(group) else {
             return false;
@@ -208,18 +209,18 @@
         known.until() > until
     }
 
-    /// Until when a group's epoch may be held, unless it is given up.
+    /// When the lease on a group's epoch expires, unless it is released before.
     pub fn until(&self, group: &GroupId) -> Option<Time> {
         Some(self.groups.get(group)?.until())
     }
 
-    /// What the newest reading of a group showed, and when it was asked.
+    /// The latest known lead of a group, and when its read was requested.
     pub fn known(&self, group: &GroupId) -> Option<(&Lead, Time)> {
         let known = self.groups.get(group)?;
         Some((&known.lead, known.asked))
     }
 
-    /// Stands for who leads, as far as is known.
+    /// Digest of all known leads.
     pub fn digest(&self) -> u64 {
         if let Some(known) = self.digest.get() {
             return known;
@@ -230,14 +231,14 @@
         digest
     }
 
-    /// Who leads, if that is just what a reading of this digest showed.
+    /// All known leads, if their digest is `by`.
     pub fn shown(&self, by: u64) -> Option<Vec<(GroupId, Lead)>> {
         let leads = self.groups.iter();
         let leads = || leads.map(|(group, known)| (group.clone(), known.lead.clone()));
         (self.digest() == by).then(|| leads().collect())
     }
 
-    /// All groups that are known.
+    /// All known groups.
     pub fn groups(&self) -> impl Iterator<Item = &GroupId> {
         self.groups.keys()
     }
@@ -256,8 +257,8 @@
         if lead.epoch > self.lead.epoch {
             self.vouched = None;
         }
-        // A reading that shows a change under way is no lease: it must not lengthen the one that
-        // stems from a reading before the change.
+        // A read that shows a change in progress gives no lease: it must not extend the lease from
+        // a read before the change.
         if !lead.changing || lead.epoch > self.lead.epoch {
             self.asked = self.asked.max(asked);
         }
--- a/src/direct/outcome.rs
+++ b/src/direct/outcome.rs
@@ -1,28 +1,27 @@
-//! What a caller is told of a statement whose answer is not passed on.
+//! The error for a statement that was sent but whose answer can't be returned to the caller.
 //!
-//! **Failure answered.** A connection breaks, falls silent, or its database is replaced, after a
-//! statement was sent and before its answer may be passed on.
-//! **Symptom without it.** A caller is promised that nothing is kept and books again, and both
-//! bookings stand; or it is told nothing certain where it could have tried again.
-//! **Why it suffices.** Only a write of its own, and the commit of a transaction that wrote, can
-//! be kept. All else is rolled back with its connection, which is closed.
+//! A connection may break or stop responding, or its database may be replaced, after the statement was
+//! sent. Reporting that nothing was kept must be right, or the caller repeats its write and both take
+//! effect; reporting an unknown outcome needlessly prevents a safe retry. Only a write outside a
+//! transaction, and the commit of a transaction that wrote, can be kept. Everything else is rolled back
+//! when its connection is closed.
 
 use crate::direct::job::{Job, Part};
 use crate::direct::statement::Code;
 use serde::{Deserialize, Serialize};
 
-/// Why an answer is not passed on.
+/// Why an answer is not returned to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Why {
-    /// The connection broke, or what came was no answer.
+    /// The connection broke, or the input was no valid answer.
     Broken,
-    /// No answer came until the statement's deadline.
+    /// No answer arrived before the statement's deadline.
     Silent,
-    /// The lease under which it was sent no longer held.
+    /// The lease under which it was sent was no longer valid.
     Lapsed,
 }
 
-/// What to tell of a statement that was sent; `wrote` tells whether its transaction had written.
+/// The error for a statement that was sent; `wrote` is whether its transaction has written before.
 pub fn lost(job: &Job<'_>, wrote: bool, why: Why) -> (Code, &'static str) {
     let kept = match job.part {
         Part::Single => job.writes,
@@ -38,7 +37,7 @@
     }
 }
 
-/// Whether another copy, or the same a little later, may do what a database refused to run.
+/// Whether a statement refused with `code` may succeed on another copy, or on the same one later.
 pub fn may_do_elsewhere(code: Code) -> bool {
     match code {
         Code::Busy
--- a/src/direct/owner.rs
+++ b/src/direct/owner.rs
@@ -1,13 +1,13 @@
-//! Which VMs connect to a database, and which of them this VM sends its statements through.
+//! Which VMs connect to a database, and which of them the others send their statements through.
 //!
-//! **Pattern answered.** Many more VMs than a database has connections: 63 VMs before 32, 580 before
-//! 30, each with a statement now and then.
-//! **Without it** nearly every statement opens a connection, which costs a database's slot for 12 ms,
-//! and finds the database full: on a day of high load 41,013 attempts of 85,439 were refused.
+//! There may be many more VMs than connections to a database (63 VMs to 32, 580 to 30), each with an
+//! occasional statement. If all of them connected, nearly every statement would open a connection,
+//! which occupies a database slot for 12 ms, and find the database full: under high load 41,013 of
+//! 85,439 attempts were refused.
 //!
-//! A few owners near the database have connections and keep them busy; the others relay their
-//! statements through one of them. Two VMs that know of other VMs may both own a database, or neither:
-//! that costs a connection, never correctness, since an owner believes nothing and only passes on.
+//! So a few owners near the database keep connections to it, and the other VMs relay their statements
+//! through an owner. VMs with different lists of VMs may choose different owners. That costs at most a
+//! connection, never correctness, because an owner only forwards statements and checks no lease.
 
 use crate::direct::hash;
 use crate::direct::view::Fellow;
@@ -16,32 +16,32 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How many VMs own connections to a database where not all do. One that is frozen holds up a third
-/// of its statements until it is noticed; with more of them each sees less of the queue.
+/// How many VMs own connections to a database if not all do. A frozen owner delays a third of the
+/// statements until it is detected; with more owners each one would see a smaller part of the queue.
 pub const OWNERS: usize = 3;
 
-/// With this many connections for each VM all VMs have their own: a statement and a transaction at
-/// once, which is what few callers need.
+/// With at least this many connections per VM, every VM connects directly. Two are enough for a
+/// statement and a transaction at once.
 const OWN_SHARE: usize = 2;
 
-/// The part of a VM's share of a database's connections that it keeps open between statements.
+/// The percentage of its share of a database's connections that a VM keeps open between statements.
 const KEPT_PERCENT: u32 = 66;
 
 /// How a VM reaches a database.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Way {
-    /// By connections of its own.
+    /// Through its own connections.
     Own,
-    /// Through one of these VMs, the first one first, and then by connections of its own.
+    /// Through one of these VMs, tried in this order, and then through its own connections.
     Through(Vec<SocketAddr>),
 }
 
-/// A database that is to be reached.
+/// A database to connect to.
 #[derive(Debug, Clone, Copy)]
 pub struct Goal<'a> {
-    /// Which.
+    /// Its id.
     pub id: &'a DatabaseId,
-    /// How many connections it takes.
+    /// The number of connections that it accepts.
     pub connections: u32,
 }
 
@@ -54,7 +54,7 @@
     Owners(Vec<SocketAddr>),
 }
 
-/// Which VMs connect to `goal`; `is_near` tells which failure domains are near that.
+/// Which VMs connect to `goal`; `is_near` returns whether a failure domain is near it.
 pub fn access(fellows: &[Fellow], goal: Goal<'_>, is_near: impl Fn(&Domain) -> bool) -> Access {
     if fellows.len() * OWN_SHARE <= goal.connections as usize {
         return Access::All;
@@ -66,22 +66,21 @@
 }
 
 impl Access {
-    /// How many of a database's `connections` one VM may keep open of `vms`.
+    /// How many of a database's `connections` each of `vms` VMs may keep open.
     ///
-    /// **Pattern answered.** Connections that are kept for the next statement of an organisation take
-    /// all that a database has. **Without it** transactions find it full, and after a loss of power the
-    /// VMs that start again find no place beside those of the dead, which count for some seconds.
+    /// The rest is left for transactions, and for VMs that restart after a power loss while the
+    /// database still counts the connections of their previous processes for some seconds.
     pub fn places(&self, connections: u32, vms: usize) -> u32 {
         let sharers = match self {
             Self::All => vms.max(1),
             Self::Owners(owners) => owners.len(),
         };
         let share = connections / u32::try_from(sharers).unwrap_or(u32::MAX);
-        // Without a configuration the number of connections is not bounded.
+        // Without a configuration the number of connections is unbounded.
         share.saturating_mul(KEPT_PERCENT) / 100
     }
 
-    /// How a VM that relays at `relay` reaches the database `id`, for anybody.
+    /// How a VM with relay address `relay` reaches the database `id`, for no particular organisation.
     pub fn way(&self, relay: Option<SocketAddr>, id: &DatabaseId) -> Way {
         let Self::Owners(owners) = self else {
             return Way::Own;
@@ -92,13 +91,12 @@
         Way::Through(spread(owners.clone(), relay, id))
     }
 
-    /// The same on behalf of an organisation.
+    /// How a VM with relay address `relay` reaches the database `id` on behalf of an organisation.
     ///
-    /// **Pattern answered.** A connection serves one organisation, there are more organisations than
-    /// connections, and opening one takes as much of a slot as a short statement. **Without it** an
-    /// organisation's statements come to any owner and find no connection of theirs there. **Why it
-    /// suffices.** All VMs send an organisation's statements to the same owner first, its neighbours' to
-    /// others; the rest are its spares.
+    /// A connection serves one organisation, there are more organisations than connections, and opening
+    /// one takes as much slot time as a short statement. So all VMs send an organisation's statements to
+    /// the same owner first, where it is likely to have an open connection. Organisations are spread
+    /// over the owners; the other owners are fallbacks.
     pub fn way_for(
         &self,
         relay: Option<SocketAddr>,
@@ -124,9 +122,8 @@
     }
 }
 
-/// The owners of a database: of the VMs near it, or of all where there are too few, those that
-/// rendezvous hashing puts first. Of two lists that differ by one VM, only that VM's databases get
-/// another owner.
+/// The owners of a database: the first VMs near it by rendezvous hashing, and VMs further away if
+/// those are too few. If one VM joins or leaves, only the databases that it owns change owners.
 pub fn owners(
     fellows: &[Fellow],
     id: &DatabaseId,
@@ -147,7 +144,7 @@
     relays.into_iter().map(|(_, _, relay)| relay).collect()
 }
 
-/// Each VM begins with another owner, so that each owner has its share.
+/// Rotates the owners by a hash of this VM, so that the VMs spread over them.
 fn spread(
     mut owners: Vec<SocketAddr>,
     relay: Option<SocketAddr>,
--- a/src/direct/pool.rs
+++ b/src/direct/pool.rs
@@ -1,12 +1,11 @@
-//! The connections of this VM to one database.
+//! The pool of connections from this VM to one database.
 //!
-//! **Pattern answered.** Few connections a database for all VMs together, transactions that hold
-//! them over their callers' pauses, bursts after quiet.
-//! **Without it** every statement waits for a new connection, and one VM's idle connections keep
-//! another VM's transactions out.
+//! All VMs share a database's few connections, transactions hold them while their callers pause, and
+//! load comes in bursts. Without reuse every statement would wait for a new connection; if idle ones
+//! were kept forever, one VM's idle connections would keep out another VM's transactions.
 //!
-//! Connections are opened on demand and used again most recent first, so that those too many are
-//! seen to be idle, and are closed.
+//! Connections are opened on demand and the most recently used is reused first, so that surplus
+//! ones become idle and are closed.
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::Adapter;
@@ -20,40 +19,41 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// How long opening a connection may take: a round trip between regions and a busy database's
-/// slot, several times over.
+/// Time limit for opening a connection: several times a round trip between regions plus the wait for
+/// a slot of a busy database.
 const OPENING: Span = Span::from_millis(600);
 
-/// How long a connection stays idle before it is closed. Opening one costs a slot for 12 ms; one
-/// that is kept takes a place that other VMs lack. When all VMs lose power, a database counts their
-/// connections for 3 s more, and the VMs that start again find only the places that were left.
+/// How long a connection stays idle before it is closed. Opening one occupies a slot for 12 ms, but
+/// an idle one is not available to other VMs. When all VMs lose power, a database counts their
+/// connections for another 3 s, so restarting VMs can use only those that were free before.
 const IDLE: Span = Span::from_millis(400);
 
-/// After a first refusal for want of room no connection is tried for this long: a transaction's
-/// statement or two.
+/// How long no connection is opened after a first refusal because the database is full: the time of
+/// one or two statements of a transaction.
 const FULL_PAUSE: Span = Span::from_millis(40);
 
-/// How long after a refusal for want of room connections are not kept idle.
+/// How long no connections are kept idle after a refusal because the database is full.
 const SCARCE: Span = Span::from_secs(1);
 
-/// How long a position is taken for the present one: an owner hears of it with each answer, some
-/// hundred a second, and a replica that is behind gets further in jumps.
+/// How long a reported log position counts as current. An owner gets one with each answer, some
+/// hundred per second, and a lagging replica advances in jumps.
 const POSITION_LIFE: Span = Span::from_millis(40);
 
-/// The longest such pause: a database drops connections of a VM that is gone after some seconds.
+/// The longest delay after repeated refusals: a database drops the connections of a lost VM after
+/// some seconds.
 const LONGEST_FULL_PAUSE: Span = Span::from_millis(320);
 
-/// How long an organisation's connection stays idle while there are places for it: the next statement
-/// of a small organisation is seconds away.
+/// How long an organisation's connection stays idle while the pool is within its limit: a small
+/// organisation sends a statement every few seconds.
 const KEPT: Span = Span::from_secs(10);
 
-/// The least pause between two looks for connections to close.
+/// The shortest interval between two checks for idle connections to close.
 const LEAST_REST: Span = Span::from_millis(50);
 
-/// What a connection should be like.
+/// What a statement requires of its connection.
 #[derive(Debug, Clone, Copy)]
 pub struct Wanted<'a> {
-    /// On whose behalf it is used.
+    /// The organisation on whose behalf it is used.
     pub organisation: Option<&'a OrganisationId>,
     /// The session's values.
     pub values: &'a Values,
@@ -62,25 +62,25 @@
 /// The connections to one database.
 #[derive(Debug)]
 pub struct Pool {
-    /// Statements in flight.
+    /// Limits the statements in flight.
     pub gate: Gate,
     idle: RefCell<Vec<Connection>>,
-    /// Connections that are in use.
+    /// The number of connections in use.
     lent: Cell<u32>,
-    /// How many connections are kept, those in use among them.
+    /// The most connections that are kept open, including those in use.
     places: Cell<u32>,
     full_until: Cell<Time>,
     full_pause: Cell<Span>,
     returned: Notify,
     waiting: Cell<u32>,
-    /// Until when a statement would wait at the owner that was asked last.
+    /// Until when a statement would have to wait at the owner that was asked last.
     owner_waits: Cell<Time>,
-    /// How far the log was when the database last said so, and when that was.
+    /// The log position that the database last reported, and when it did.
     position: Cell<Option<(Position, Time)>>,
     sweeping: Cell<bool>,
 }
 
-/// A connection in use; it is closed when dropped and not given back.
+/// A connection in use; it is closed when dropped without being given back.
 #[derive(Debug)]
 pub struct Lent {
     connection: Connection,
@@ -88,11 +88,11 @@
     opened: bool,
 }
 
-/// Counts a connection in use, and tells those that wait for one when it is free.
+/// Counts a connection as in use, and notifies a waiting task when it is free again.
 #[derive(Debug)]
 struct Seat {
     pool: Rc<Pool>,
-    /// Whether it has a connection: one that was not opened leaves nothing to those that wait.
+    /// Whether it has a connection: if opening failed, no waiting task is notified.
     taken: bool,
 }
 
@@ -129,12 +129,12 @@
         &mut self.connection
     }
 
-    /// Whether it was opened just now.
+    /// Whether it was newly opened rather than reused.
     pub fn is_new(&self) -> bool {
         self.opened
     }
 
-    /// Gives the connection back for others to use, unless something on it is unaccounted for.
+    /// Returns the connection to the pool, or closes it if it is not clean or connections are scarce.
     pub fn give_back(self, adapter: &Adapter) {
         let Self {
             mut connection,
@@ -153,7 +153,7 @@
 }
 
 impl Pool {
-    /// No connection yet to a database that runs `slots` statements at once.
+    /// Creates an empty pool for a database that runs `slots` statements at once.
     pub fn new(slots: u32) -> Rc<Self> {
         Rc::new(Self {
             gate: Gate::new(slots),
@@ -202,12 +202,12 @@
         }
     }
 
-    /// How many connections may be kept.
+    /// Sets the most connections that are kept open.
     pub fn resize(&self, places: u32) {
         self.places.set(places);
     }
 
-    /// Closes the connection that was idle longest, if as many are kept as may be.
+    /// Closes the connection that was idle longest, if the limit of open connections is exceeded.
     fn make_room(&self) {
         let mut idle = self.idle.borrow_mut();
         let held = idle.len() + self.lent.get() as usize;
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Opens no connection for a while, longer with each refusal in a row.
+    /// Opens no connection for a while; the delay doubles with each consecutive refusal.
     fn pause(&self, now: Time) {
         let pause = self.full_pause.get();
         self.full_until.set(now + pause);
@@ -237,60 +237,60 @@
         self.full_pause.set(longer);
     }
 
-    /// When whoever found no connection should come back: while refusals go on in a row,
-    /// not before the next connections are tried.
+    /// After what time a caller that got no connection should retry: during consecutive refusals,
+    /// not before this pool opens connections again.
     pub fn retry(&self, now: Time) -> Span {
         let own = self.full_until.get().since(now).max(self.gate.retry());
         own.max(self.owner_waits.get().since(now))
     }
 
-    /// The database said how far its log is.
+    /// Records the log position that the database reported.
     pub fn has(&self, position: Position, now: Time) {
         self.position.set(Some((position, now)));
     }
 
-    /// How far the log was, if that was said so shortly ago that it can't be much further now.
+    /// The last reported log position, if it is recent enough to count as current.
     pub fn position(&self, now: Time) -> Option<Position> {
         let (position, at) = self.position.get()?;
         (now < at + POSITION_LIFE).then_some(position)
     }
 
-    /// An owner says until when a statement would wait there.
+    /// Records until when a statement would have to wait at an owner.
     pub fn owner_waits(&self, until: Time) {
         self.owner_waits.set(until);
     }
 
-    /// How long new work of this urgency would wait, here or at the owner.
+    /// How long new work of this urgency would have to wait, here or at the owner.
     pub fn wait_at(&self, now: Time, urgency: Urgency) -> Span {
         self.gate
             .wait(urgency)
             .max(self.owner_waits.get().since(now))
     }
 
-    /// Waits until a connection may be had, where none was.
+    /// Waits until a connection is returned, or a retry is due.
     pub async fn wait(&self) {
         self.waiting.set(self.waiting.get() + 1);
         let _ = tokio::time::timeout(FULL_PAUSE.into(), self.returned.notified()).await;
         self.waiting.set(self.waiting.get() - 1);
     }
 
-    /// Whether a connection that is given back is closed, for another VM to have its place.
+    /// Whether returned connections are closed so that another VM can open one.
     ///
-    /// Where a database has been full of late, some VMs hold all its connections, and keep them by
-    /// using them now and then, while others have none and can't so much as learn how far the log is.
+    /// While a database is full, some VMs could hold all its connections by using them occasionally;
+    /// others would have none and could not even read its log position.
     fn leaves_to_others(&self, now: Time) -> bool {
         let was_full = self.full_until.get() > Time::default();
         was_full && self.waiting.get() == 0 && now < self.full_until.get() + SCARCE
     }
 
-    /// Closes idle connections that were last used before `since`: whatever lost track of one
-    /// connection has often lost track of those beside it.
+    /// Closes idle connections last used before `since`: when one connection stops responding, others
+    /// opened before then have often stopped too.
     pub fn distrust(&self, since: Time) {
         let trusted = |connection: &Connection| connection.used >= since;
         self.idle.borrow_mut().retain(trusted);
     }
 
-    /// The idle connection whose values fit a session best, most recent first.
+    /// Takes the idle connection that fits a session's values best; of equal ones the most recent.
     fn reuse(&self, wanted: Wanted<'_>) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         loop {
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Closes connections that stay idle, from a task that lives while there are any.
+    /// Closes connections that stay idle, in a task that runs while there are any.
     fn sweep(self: &Rc<Self>, adapter: &Adapter) {
         if self.sweeping.replace(true) {
             return;
@@ -319,7 +319,7 @@
         });
     }
 
-    /// When the next idle connection is to be closed, as it looks now.
+    /// When the next idle connection is due to be closed.
     fn due(&self) -> Option<Time> {
         let idle = self.idle.borrow();
         idle.iter().map(|one| one.used + self.keeps(one)).min()
@@ -337,8 +337,8 @@
     }
 }
 
-/// Which idle connection to use: values that differ cost a round trip, those that the session
-/// lacks cost all that was prepared.
+/// The index of the best idle connection. A differing value costs a round trip; a value that the
+/// session lacks requires a reset, which discards all prepared statements.
 fn best_fit(idle: &[Connection], wanted: Wanted<'_>) -> Option<usize> {
     let fits = idle.iter().enumerate();
     let own = fits.filter(|(_, connection)| connection.organisation() == wanted.organisation);
--- a/src/direct/session.rs
+++ b/src/direct/session.rs
@@ -1,7 +1,7 @@
-//! What one caller's session holds, and which of its statements are answered here.
+//! The state of one caller's session, and the statements that are answered without a database.
 //!
-//! `BEGIN`, session values and prepared names are answered at once and made true on a connection
-//! before the first statement that needs them, so that an idle session holds no connection.
+//! `BEGIN`, session values and prepared statements are answered at once, and applied to a connection
+//! before the first statement that needs them. So an idle session holds no connection.
 
 use crate::clock::Time;
 use crate::direct::config::Route;
@@ -11,14 +11,14 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Bytes that a session's values and prepared statements may take together: far above any honest
-/// session, and small enough that hundreds of greedy ones fit a VM.
+/// The most bytes of a session's values and prepared statements together: far more than a normal
+/// session needs, and small enough that hundreds of sessions at the limit fit into a VM's memory.
 const MOST_BYTES: usize = 64 * 1024;
 
-/// Session values by their names.
+/// Session values by name.
 pub type Values = BTreeMap<Box<str>, Box<str>>;
 
-/// What a prepared statement does.
+/// A prepared statement's text and effect, independent of its name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Shape {
     /// Whether it writes.
@@ -27,53 +27,53 @@
     pub text: Box<str>,
 }
 
-/// How a transaction stands.
+/// The state of a session's transaction.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// There is none.
+    /// No transaction.
     #[default]
     Idle,
-    /// One was begun, and nothing of it ran yet.
+    /// Begun by the caller; nothing of it has run on a database yet.
     Begun(Begun),
-    /// One runs on a connection.
+    /// Open on a database connection.
     Open {
         /// Whether it may only read.
         read: bool,
     },
-    /// One was rolled back between two statements, and its caller does not know yet.
+    /// Rolled back between two statements; the caller has not been informed yet.
     Broken,
-    /// One failed, and waits for its end; nothing of it is kept.
+    /// Failed, until the caller ends it; nothing of it is kept.
     Failed,
 }
 
-/// A transaction of which nothing ran yet.
+/// A transaction of which nothing has run on a database yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Begun {
     /// Whether it may only read.
     pub read: bool,
-    /// When its first statement came.
+    /// When its `BEGIN` arrived.
     pub at: Time,
-    /// The route that it began with, and keeps.
+    /// The route in force when it began, which it keeps.
     pub route: Rc<Route>,
 }
 
 /// What to do with a statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// It was answered here.
+    /// Return this answer; no database is needed.
     Answer(Answer),
-    /// It failed the transaction that is open: roll that back, and answer.
+    /// The statement failed the open transaction: roll it back, and return this answer.
     Break(Answer),
-    /// It has to run, outside a transaction or as the transaction's next one.
+    /// Run it on a database, alone or as the transaction's next statement.
     Run {
         /// Whether it writes.
         writes: bool,
         /// The prepared statement that it runs.
         shape: Option<Rc<Shape>>,
     },
-    /// Commits the transaction that is begun or open.
+    /// Commit the transaction that is begun or open.
     Commit,
-    /// Rolls the open transaction back.
+    /// Roll back the open transaction.
     Rollback,
 }
 
@@ -82,7 +82,7 @@
 pub struct Session {
     /// The session values.
     pub values: Values,
-    /// The transaction.
+    /// The state of the transaction.
     pub phase: Phase,
     prepared: BTreeMap<Box<str>, Rc<Shape>>,
     bytes: usize,
@@ -90,7 +90,7 @@
 }
 
 impl Session {
-    /// Takes the next statement, which came at `now`; `route` is the one in force.
+    /// Decides what to do with the next statement, which arrived at `now`; `route` is the one in force.
     pub fn step(&mut self, now: Time, statement: &Statement, route: &Rc<Route>) -> Step {
         match (&self.phase, statement) {
             (Phase::Broken, Statement::Commit) => self.end(rolled_back()),
@@ -145,7 +145,7 @@
         self.floors.get(group).copied()
     }
 
-    /// A commit of this session was acknowledged at `position`.
+    /// Records that a commit of this session was acknowledged at `position`.
     pub fn committed(&mut self, group: &GroupId, position: Position) {
         match self.floors.get_mut(group) {
             Some(floor) => *floor = position.max(*floor),
@@ -155,11 +155,11 @@
         }
     }
 
-    /// The primary, under a lease, has come to `position`.
+    /// Records that the primary, under a valid lease, has reached `position`.
     ///
-    /// A floor of a former term may have been lost with the primary that was replaced; replicas
-    /// would refuse it for ever. Whatever of the session's commits is kept lies before
-    /// `position`, so that a replica that has it will do.
+    /// A floor of an earlier term may have been lost with the replaced primary, and replicas would
+    /// refuse it forever. All commits of the session that survived lie before `position`, which
+    /// becomes the new floor.
     pub fn primary_has(&mut self, group: &GroupId, position: Position) {
         if let Some(floor) = self.floors.get_mut(group)
             && floor.term < position.term
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The state that answers show.
+    /// The transaction state that is reported in answers.
     pub fn state(&self) -> State {
         match self.phase {
             Phase::Idle => State::Idle,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// An answer of our own that ends in this way, in the state that the session is in.
+    /// An answer made by the proxy, with the session's current transaction state.
     pub fn answer(&self, end: End) -> Answer {
         Answer {
             rows: Vec::new(),
@@ -196,7 +196,7 @@
         Step::Answer(self.answer(end))
     }
 
-    /// Refuses a statement; inside a transaction that fails the transaction.
+    /// Refuses a statement; within a transaction, this fails the transaction.
     fn refuse(&mut self, code: Code, text: &str) -> Step {
         let open = matches!(self.phase, Phase::Open { .. });
         if self.phase != Phase::Idle {
@@ -259,8 +259,8 @@
         }
     }
 
-    /// Counts what a value or statement takes; one that replaces another counts again, which
-    /// only a session that never stops replacing them notices.
+    /// Reserves the bytes of a value or prepared statement; returns whether they fit. Replaced ones stay
+    /// counted until the limit is reached, and then everything is counted again.
     fn reserve(&mut self, bytes: usize) -> bool {
         if self.bytes + bytes <= MOST_BYTES {
             self.bytes += bytes;
@@ -289,7 +289,7 @@
     )
 }
 
-/// An end with an error.
+/// An answer's end with an error.
 pub fn error(code: Code, text: impl Into<Box<str>>) -> End {
     End::Error {
         code,
--- a/src/direct/statement.rs
+++ b/src/direct/statement.rs
@@ -1,20 +1,20 @@
-//! What callers ask and databases answer, in the product's own words.
+//! Statements of callers and answers of databases, independent of the wire protocol.
 //!
-//! A statement keeps its text as it came: a database has to be sent the same bytes.
+//! A statement keeps its original text, because the database must be sent the same bytes.
 
 use crate::direct::identity::Key;
 use crate::types::Position;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// One message of a caller.
+/// A message from a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
     /// Opens the session.
     Start {
-        /// The database that the caller names; a route's host.
+        /// The database that the caller names: the host of a route.
         database: Box<str>,
-        /// The key that it shows.
+        /// The key that the caller presents.
         key: Key,
     },
     /// Asks for a statement to be run.
@@ -23,10 +23,10 @@
     Bye,
 }
 
-/// One statement of a caller.
+/// A statement from a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Query {
-    /// The caller's id of it, which travels with it to the database.
+    /// The caller's id for it, which is sent to the database with it.
     pub id: Box<str>,
     /// Its text, unchanged.
     pub text: Box<str>,
@@ -37,7 +37,7 @@
 /// What a statement does.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Statement {
-    /// Opens a transaction, `read` only or not.
+    /// Opens a transaction.
     Begin {
         /// Whether it may only read.
         read: bool,
@@ -73,51 +73,51 @@
         /// The item and, for a write, the data.
         rest: Box<str>,
     },
-    /// Forgets a prepared statement.
+    /// Discards a prepared statement.
     Deallocate {
         /// The caller's name for it.
         name: Box<str>,
     },
-    /// Nothing that is known.
+    /// Not recognised.
     Unknown,
 }
 
-/// Where a connection stands after an answer.
+/// The transaction state of a connection after an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// In no transaction.
+    /// Not in a transaction.
     #[default]
     Idle,
     /// In a transaction.
     Open,
-    /// In a transaction that failed; ending it rolls back.
+    /// In a failed transaction; ending it rolls it back.
     Failed,
 }
 
-/// Why a statement was not done. The first group are promises: nothing of it is kept.
+/// Why a statement was not done. All codes before `Failed` guarantee that nothing of it is kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Code {
-    /// Not run: too much to do.
+    /// Not run: overloaded.
     Busy,
     /// Not kept: the transaction was rolled back.
     RolledBack,
-    /// Not run: the log is not far enough.
+    /// Not run: the database's log has not reached the required position.
     Behind,
-    /// Not run: the database does not lead.
+    /// Not run: the database is not the primary.
     NotPrimary,
-    /// Not run: another database listens there.
+    /// Not run: another database listens at the address.
     OtherDatabase,
     /// Not run: no connection is left.
     Full,
-    /// Not run: the prepared name is not known.
+    /// Not run: no statement is prepared under that name.
     NoStatement,
     /// Not run: no route has that name.
     NoDatabase,
-    /// Not run: nobody holds the caller's key.
+    /// Not run: the caller's key is not in the configuration.
     NoKey,
     /// Not run: not understood, or not allowed in this state.
     Malformed,
-    /// Ran and failed.
+    /// Ran, and failed.
     Failed,
     /// May have run: not answered in time.
     Late,
@@ -126,7 +126,7 @@
 }
 
 impl Code {
-    /// Whether this tells that nothing was run.
+    /// Whether this guarantees that nothing was run.
     pub fn is_not_run(self) -> bool {
         !matches!(self, Self::Failed | Self::Late | Self::Unknown)
     }
@@ -135,13 +135,13 @@
 /// How an answer ends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// Done, with the database's signature, or none for what the proxy did itself.
+    /// Done, with the database's signature, or none if the proxy answered by itself.
     Done(Option<Box<str>>),
     /// Not done.
     Error {
-        /// Why.
+        /// The reason.
         code: Code,
-        /// More about it, for people.
+        /// A description for people.
         text: Box<str>,
     },
 }
@@ -149,38 +149,38 @@
 /// A whole answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The rows, each as it came.
+    /// The rows, each as received.
     pub rows: Vec<Bytes>,
     /// How it ended.
     pub end: End,
-    /// Where the connection stands now.
+    /// The transaction state of the connection after it.
     pub state: State,
-    /// How far the database's log was, if it said so.
+    /// The position of the database's log, if it reported one.
     pub position: Option<Position>,
 }
 
-/// What a database says of itself when asked for its standing.
+/// The status that a database reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Standing {
-    /// Whether it takes itself for the primary.
+    /// Whether it considers itself the primary.
     pub primary: bool,
     /// The newest term that it knows of; a primary's is its own.
     pub term: crate::types::Term,
-    /// How far it has received the log.
+    /// The log position that it has received.
     pub received: Position,
 }
 
-/// A statement of the proxy's own.
+/// A statement that the proxy sends by itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
     /// Opens a transaction.
     Begin {
         /// Whether it may only read.
         read: bool,
-        /// A position that the log must have.
+        /// A position that the database's log must have reached.
         after: Option<Position>,
     },
-    /// Rolls the open transaction back.
+    /// Rolls back the open transaction.
     Rollback,
     /// Sets a session value.
     Set {
@@ -198,10 +198,10 @@
         /// The rest of its text.
         shape: Box<str>,
     },
-    /// Forgets values and prepared names.
+    /// Discards all session values and prepared statements.
     Reset,
-    /// Asks how the database stands.
+    /// Asks for the database's status.
     Standing,
-    /// Makes a primary of a lower term a replica.
+    /// Makes the database a replica if it is primary of a lower term.
     StepDown(crate::types::Term),
 }
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -1,4 +1,4 @@
-//! What this VM has open to each database, and what it has learned of it.
+//! This VM's connections to each database, and what it has learned about each from answers.
 
 use crate::clock::{Span, Time};
 use crate::core::message::Hint;
@@ -21,41 +21,40 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// A database that failed and has answered nothing since is left out by all but one read in this
-/// time, which finds out whether it is back.
+/// While a database is failing, one read per this interval is sent to it, to detect its recovery;
+/// all others avoid it.
 const PROBE: Span = Span::from_millis(500);
 
-/// How long a primary that is about to end still takes new work: it serves for at least 7 s after it
-/// said so, and the register is up to 2 s behind.
+/// How long a primary that is about to stop is still sent new work. It serves for at least 7 s after
+/// it announced that, and the register is up to 2 s behind.
 const LEAVING: Span = Span::from_millis(4_500);
 
-/// What decides which copy serves a read.
+/// The criteria by which copies are ordered for a read.
 ///
-/// **Pattern answered.** Copies in other regions beside one near by, which is as good unless it is
-/// slow or full.
-/// **Without it** two reads of three cross regions, which takes a round trip more and is paid by
-/// the byte; with distance alone a slow copy keeps the reads of its whole region.
+/// Without regard to distance, two of three reads would cross regions, which costs an extra round
+/// trip and is billed per byte. By distance alone, a slow copy would keep all reads of its region.
 ///
-/// The router's share falls with the time that a copy takes against the fastest. A near copy goes
-/// first unless it takes over twice as long, or this VM has as much under way there as it may.
+/// The router's share of a copy falls with its latency relative to the fastest copy. A copy in this
+/// region is preferred unless it takes over twice as long, or this VM's limit of statements in
+/// flight there is reached.
 #[derive(Debug, Clone, Copy)]
 pub struct Standing {
-    /// Whether it failed, and was tried lately.
+    /// Whether it is failing and was probed within [`PROBE`].
     pub left_out: bool,
-    /// Whether a statement would wait here for others to end.
+    /// Whether a statement would have to queue.
     pub waits: bool,
     /// Whether it is in this VM's region.
     pub near: bool,
-    /// Its share of a fair load, by the router.
+    /// Its relative share of the load according to the router.
     pub share: f64,
 }
 
-/// A near copy below this share is a copy like others: a round trip between regions alone takes
-/// a far one to a half.
+/// Below this share a near copy is not preferred. The round trip between regions alone lowers the
+/// share of a far copy to one half.
 const NEAR_SHARE: f64 = 0.45;
 
 impl Standing {
-    /// What to sort copies by, which the router has put in order.
+    /// The sort key; copies with equal keys keep the router's order.
     pub fn rank(&self) -> (bool, bool, bool) {
         let preferred = self.near && self.share >= NEAR_SHARE;
         (self.left_out, self.waits, !preferred)
@@ -65,47 +64,47 @@
 /// A database, and this VM's connections to it.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// What the register says of it.
+    /// Its entry in the register.
     pub database: Rc<Database>,
-    /// The connections.
+    /// The connections to it.
     pub pool: Rc<Pool>,
 }
 
-/// All databases.
+/// All databases, and this VM's connections to them.
 pub struct Targets {
     /// The platform.
     pub adapter: Adapter,
-    /// What this VM knows.
+    /// The state shared by all tasks of this VM.
     pub shared: Rc<Shared>,
-    /// Streams to owners of databases.
+    /// Streams to the VMs that own connections.
     pub lines: Rc<Lines>,
-    /// What organisations may ask for.
+    /// The quotas of the organisations.
     pub quotas: Rc<Quotas>,
     place: Place,
     pools: RefCell<BTreeMap<DatabaseId, Opened>>,
     routers: RefCell<BTreeMap<GroupId, Router>>,
     probed: RefCell<BTreeMap<DatabaseId, Time>>,
-    /// Since when primaries are known to be about to end.
+    /// Since when each leaving primary is known to be about to stop.
     leaving: RefCell<BTreeMap<DatabaseId, Time>>,
     ways: RefCell<BTreeMap<DatabaseId, Known>>,
 }
 
-/// Connections to one life of a database.
+/// The connections to one incarnation (life) of a database.
 #[derive(Debug)]
 struct Opened {
     born: Option<Birth>,
     pool: Rc<Pool>,
 }
 
-/// How a database is reached, and what that was found from.
+/// How a database is reached, and the inputs that this was computed from.
 #[derive(Debug, Clone)]
 struct Known {
     access: Rc<Access>,
-    /// For whoever asks on nobody's behalf.
+    /// The way for requests of no particular organisation.
     way: Rc<Way>,
     fellows: u64,
     connections: u32,
-    /// Connections that this VM may keep open there.
+    /// The number of connections that this VM may keep open to it.
     places: u32,
 }
 
@@ -116,7 +115,7 @@
 }
 
 impl Targets {
-    /// Nothing is open.
+    /// Creates the set without open connections.
     pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Place) -> Rc<Self> {
         let lines = Lines::new(adapter.clone());
         Rc::new(Self {
@@ -138,10 +137,10 @@
         (self.adapter.clock)()
     }
 
-    /// Whether new work may go to a primary that may be about to end.
+    /// Whether new work may be sent to a primary, which may be about to stop.
     ///
-    /// It goes on to serve until it is replaced, which takes milliseconds as a rule. Where that is held
-    /// up, it may end at any moment, and what it was sent last would be lost with it.
+    /// It serves until it is replaced, which usually takes milliseconds. If the replacement is delayed,
+    /// it may stop at any moment and lose the work that it was sent last.
     fn takes_new_work(&self, database: &Database) -> bool {
         let now = self.now();
         let mut leaving = self.leaving.borrow_mut();
@@ -153,13 +152,13 @@
         now < *since + LEAVING
     }
 
-    /// Whether something new may start on a group's primary of `epoch`.
+    /// Whether new work may start on a group's primary of `epoch`.
     pub fn may_start(&self, group: &GroupId, epoch: Epoch) -> bool {
         let lease = self.shared.look().book.lease(group, self.now());
         lease.is_some_and(|lease| lease.epoch == epoch)
     }
 
-    /// Whether what started on a group's primary of `epoch` may go on, or be passed on.
+    /// Whether work on a group's primary of `epoch` may continue, and its answers be passed on.
     pub fn holds(&self, group: &GroupId, epoch: Epoch) -> bool {
         self.shared.look().book.holds(group, epoch, self.now())
     }
@@ -177,11 +176,11 @@
         Some((lease, self.target(database)))
     }
 
-    /// Waits until the primary that may be used is not that of `epoch` any more (none, if there
-    /// was none); tells whether that came within `span`.
+    /// Waits until the epoch of the usable primary differs from `epoch` (none means that there was no
+    /// usable primary). Returns whether that happened within `span`.
     ///
-    /// A lease on a database that is not registered, or is about to end, is no use: taken for
-    /// news, it would let whoever waits ask again at once and for ever.
+    /// A lease on a database that is not registered or is about to stop does not count as a change:
+    /// the waiting caller would retry at once, in an endless loop.
     pub async fn wait_for_news(&self, group: &GroupId, epoch: Option<Epoch>, span: Span) -> bool {
         let news = async {
             loop {
@@ -195,19 +194,19 @@
         tokio::time::timeout(span.into(), news).await.is_ok()
     }
 
-    /// The epoch of the primary that may be used now.
+    /// The epoch of the primary that is usable now.
     fn usable_epoch(&self, group: &GroupId) -> Option<Epoch> {
         let (lease, _) = self.primary(group)?;
         Some(lease.epoch)
     }
 
-    /// A database that is registered.
+    /// Looks up a registered database.
     pub fn find(&self, id: &DatabaseId) -> Option<Target> {
         let database = self.shared.look().databases.get(id).cloned()?;
         Some(self.target(Rc::new(database)))
     }
 
-    /// How a database is reached on behalf of an organisation, or of nobody in particular.
+    /// How a database is reached on behalf of an organisation, or of no particular one.
     pub fn way(&self, database: &Database, organisation: Option<&OrganisationId>) -> Rc<Way> {
         let known = self.access(database);
         let Some(organisation) = organisation else {
@@ -217,7 +216,7 @@
         Rc::new(known.access.way_for(relay, &database.id, organisation))
     }
 
-    /// Who connects to a database: found anew when the VMs or its connections have changed.
+    /// Which VMs connect to a database; recomputed when the VMs or its connections have changed.
     fn access(&self, database: &Database) -> Known {
         let view = self.shared.look();
         let config = view.config.as_ref();
@@ -249,7 +248,7 @@
         known
     }
 
-    /// The least position that holds all commits acknowledged before `since`.
+    /// The lowest position that includes all commits acknowledged before `since`.
     pub fn position_at(&self, group: &GroupId, since: Time) -> Option<Position> {
         let mut view = self.shared.quietly();
         let epoch = view.book.known(group)?.0.epoch;
@@ -257,8 +256,8 @@
         view.fresh.oldest_allowed(group, since)
     }
 
-    /// The primary of `epoch`, asked at `asked`, has come to `position`; the lease held after it
-    /// had answered.
+    /// Records that the primary of `epoch`, asked at `asked`, had reached `position`. The lease must
+    /// still have been valid after the answer was read.
     pub fn learn(&self, group: &GroupId, epoch: Epoch, asked: Time, position: Position) {
         let now = self.now();
         let mut view = self.shared.quietly();
@@ -266,8 +265,8 @@
         view.reached.note(group, epoch, position, now);
     }
 
-    /// Whether an answer of the primary of `epoch` to a statement sent at `asked` shows that it has
-    /// lost its log; such a primary counts as failing.
+    /// Whether the answer of the primary of `epoch` to a statement sent at `asked` shows that it has
+    /// lost its log. Such a primary is marked as failing.
     pub fn has_lost_log(
         &self,
         target: &Target,
@@ -291,8 +290,7 @@
         lost
     }
 
-    /// The copies to try for a read that needs `after`, best first, as far as they come before
-    /// the primary.
+    /// The copies to try before the primary for a read that needs position `after`, best first.
     pub fn copies(&self, group: &GroupId, after: Position, urgency: Urgency) -> Vec<Target> {
         let now = self.now();
         let mut copies: Vec<(Standing, Target)> = Vec::new();
@@ -321,7 +319,7 @@
         members.cloned().map(Rc::new).collect()
     }
 
-    /// The copies in the router's order, with what decides about distance.
+    /// The copies before the primary in the router's order, each with whether it is near and its share.
     fn order(
         &self,
         group: &GroupId,
@@ -333,7 +331,7 @@
         let is_near = |database: &Database| self.place.is_near(&database.domain);
         let candidate = |database: &Rc<Database>| Candidate {
             database: database.id.clone(),
-            // The primary near by is a copy like others; a far one comes last.
+            // A near primary is treated like any other copy; a far one comes last.
             primary: Some(&database.id) == lead && !is_near(database),
             near: is_near(database),
         };
@@ -353,7 +351,8 @@
         found.collect()
     }
 
-    /// Whether a database failed, has not answered since, and was tried lately.
+    /// Whether a database is failing and was probed within [`PROBE`]. If it was not, this call counts
+    /// as the probe.
     fn is_left_out(&self, database: &DatabaseId, now: Time) -> bool {
         let report = self.shared.look().reports.report(database, now);
         if report.failing.is_none() {
@@ -369,31 +368,30 @@
         }
     }
 
-    /// A statement is sent to a database.
+    /// Records that a statement is being sent to a database.
     pub fn sent(&self, database: &Database) {
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.sent(self.now(), &database.id);
         }
     }
 
-    /// A database said something to this VM itself, which is its word on whether it answers.
+    /// Records that a database responded to this VM directly.
     ///
-    /// **Failure answered.** A primary goes dark whose statements most VMs send by way of a few others.
-    /// **Symptom without it.** What those others say of their queues, and answers from a second before,
-    /// count as the word of 67 VMs for the primary, and one group is refused for 9 s. **Why it
-    /// suffices.** Only those that talk to the database have an opinion of it.
+    /// Only direct responses count as evidence that a database is alive. When relayed answers and
+    /// owners' queue reports counted too, 67 VMs reported an unresponsive primary as alive, and one
+    /// group was refused for 9 s.
     pub fn answers(&self, database: &Database) {
         let now = self.now();
         self.shared.quietly().reports.answered(&database.id, now);
     }
 
-    /// Whether a database has failed and answered nothing to this VM since.
+    /// Whether a database has failed and has not responded to this VM since.
     pub fn is_failing(&self, database: &Database) -> bool {
         let report = self.shared.look().reports.report(&database.id, self.now());
         report.failing.is_some()
     }
 
-    /// A database answered a statement of another VM that was sent at `asked`.
+    /// Records a database's answer to another VM's statement, which was sent at `asked`.
     pub fn heard(&self, target: &Target, asked: Time, answer: &Answer, urgency: Urgency) {
         self.answers(&target.database);
         match answer.end {
@@ -404,7 +402,7 @@
         }
     }
 
-    /// A database ran a statement that was sent at `asked`.
+    /// Records that a database ran a statement, which was sent at `asked`.
     pub fn answered(&self, target: &Target, asked: Time, answer: &Answer, urgency: Urgency) {
         let now = self.now();
         let database = &target.database;
@@ -421,7 +419,7 @@
         }
     }
 
-    /// A database answered that it did not run a statement.
+    /// Records that a database answered that it did not run a statement.
     pub fn refused(&self, target: &Target, position: Option<Position>, busy: bool) {
         let now = self.now();
         let database = &target.database;
@@ -438,21 +436,21 @@
         }
     }
 
-    /// A database ran a read of this VM's caller and failed.
+    /// Records that a database ran a read for a caller of this VM and failed.
     pub fn erred(&self, database: &Database) {
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.erred(self.now(), &database.id);
         }
     }
 
-    /// A database could not be reached, broke off or stays silent.
+    /// Records that a database could not be reached, broke the connection or does not answer.
     pub fn failed(&self, database: &Database) {
         let now = self.now();
         self.shared.quietly().reports.failed(&database.id, now);
         self.doubt(database);
     }
 
-    /// Another VM could not reach a database, or had no answer of it.
+    /// Records that another VM could not reach a database, or got no answer from it.
     pub fn doubt(&self, database: &Database) {
         let now = self.now();
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
@@ -474,7 +472,8 @@
             opened.pool.gate.resize(database.slots);
             return opened.pool.clone();
         }
-        // Also for one that started again: its connections, queue and position are of its life before.
+        // A database that restarted gets a new pool: connections, queue and position belong to its
+        // previous life.
         let view = self.shared.look();
         pools.retain(|id, _| view.databases.contains_key(id));
         let pool = Pool::new(database.slots);
--- a/src/direct/trace.rs
+++ b/src/direct/trace.rs
@@ -1,11 +1,10 @@
-//! What a request met on its way, and whether its end gets a log line.
+//! Records the steps of a request, and decides whether it gets a log line.
 //!
-//! **Load pattern.** A VM serves hundreds of statements a second and fails a few, until an overload
-//! or a lost dependency turns most of them away.
-//! **Without it** the lines of what was served take the processor time of what was not, and hide it.
-//! **Thresholds.** What was not served always has a line. What was served has one as soon as its
-//! operation takes longer than its route's objective, which is what callers complain of. Of the
-//! rest one in [`SAMPLE`] has one, to compare with: every few seconds on a busy VM.
+//! A VM serves hundreds of statements a second and fails only a few, unless it is overloaded or has
+//! lost a dependency. Lines for all served requests would cost processor time and hide the failures.
+//! So every request that was not served gets a line, and a served one gets a line when its operation
+//! exceeds its route's objective. Of the rest one in [`SAMPLE`] gets a line for comparison: one every
+//! few seconds on a busy VM.
 
 use crate::clock::{Span, Time};
 use crate::direct::lead::Epoch;
@@ -14,60 +13,60 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Of how many operations that were served in time one has a line.
+/// One in this many operations that were served in time gets a line.
 pub const SAMPLE: u32 = 1_000;
 
-/// Letters of a name that a caller chose which are shown.
+/// The most characters that are shown of a text chosen by a caller.
 const SHOWN: usize = 48;
 
-/// Why a request has a line.
+/// Why a request gets a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
     /// It was refused, failed, or its outcome is unknown.
     NotServed,
-    /// It was served, and later than its route's objective.
+    /// It was served, but its operation exceeded its route's objective.
     Late,
-    /// It was served in time, and is an example.
+    /// It was served in time, and is part of the sample.
     Sample,
 }
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fate {
-    /// With success.
+    /// Successfully.
     Served {
-        /// What its whole operation should take at most.
+        /// The longest time that its whole operation should take.
         objective: Span,
     },
-    /// Otherwise.
+    /// Refused, failed, or with an unknown outcome.
     NotServed,
 }
 
-/// The steps of one statement, as far as a line tells them.
+/// The steps of one statement that are logged.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Steps {
     /// The database that was tried last.
     pub database: Option<DatabaseId>,
-    /// The epoch under which it was, if as a primary.
+    /// The epoch in which that database was used as a primary, if it was.
     pub epoch: Option<Epoch>,
-    /// The VM that owns the connection, if it was tried through one.
+    /// The owner through which it was tried, if any.
     pub owner: Option<SocketAddr>,
-    /// How many databases were tried, one of them perhaps several times.
+    /// The number of attempts; a database may have been tried several times.
     pub tries: u32,
-    /// How long it waited for a slot.
+    /// How long it queued for a slot.
     pub queued: Span,
     /// How long it waited for a primary.
     pub without_primary: Span,
-    /// How the last try ended that was not answered.
+    /// How the last attempt ended.
     pub ended: Option<&'static str>,
 }
 
-/// The steps of one statement while it runs.
+/// Collects the steps of one statement while it runs.
 #[derive(Debug, Default)]
 pub struct Trace(RefCell<Steps>);
 
 impl Trace {
-    /// A database is tried, as a primary under `epoch`.
+    /// Records an attempt on a database, as a primary if there is an `epoch`.
     pub fn tries(&self, database: &DatabaseId, epoch: Option<Epoch>) {
         let mut steps = self.0.borrow_mut();
         steps.tries += 1;
@@ -78,55 +77,54 @@
         }
     }
 
-    /// It goes through a VM that owns connections.
+    /// Records that the attempt goes through an owner.
     pub fn through(&self, owner: SocketAddr) {
         self.0.borrow_mut().owner = Some(owner);
     }
 
-    /// It waited for a slot.
+    /// Adds time spent queueing for a slot.
     pub fn queued(&self, span: Span) {
         let mut steps = self.0.borrow_mut();
         steps.queued = steps.queued + span;
     }
 
-    /// It waited for a primary.
+    /// Adds time spent waiting for a primary.
     pub fn without_primary(&self, span: Span) {
         let mut steps = self.0.borrow_mut();
         steps.without_primary = steps.without_primary + span;
     }
 
-    /// A try ended without an answer that may be passed on.
+    /// Records how an attempt ended.
     pub fn ended(&self, how: &'static str) {
         self.0.borrow_mut().ended = Some(how);
     }
 
-    /// The epoch under which it was tried last.
+    /// The epoch of the last attempt, if it was on a primary.
     pub fn epoch(&self) -> Option<Epoch> {
         self.0.borrow().epoch
     }
 
-    /// All of them.
+    /// Returns all recorded steps.
     pub fn into_steps(self) -> Steps {
         self.0.into_inner()
     }
 }
 
-/// The operation that a session is in: one statement, or a transaction.
+/// A session's current operation: a single statement or a transaction.
 #[derive(Debug, Default)]
 pub struct Operation {
-    /// The id of its first request that was more than the beginning of a transaction: some callers
-    /// know all of it by that.
+    /// The id of its first request after `BEGIN`, by which some callers identify the whole operation.
     pub id: Box<str>,
     /// The id of its newest request.
     pub request: Box<str>,
-    /// When that came.
+    /// When that arrived.
     pub came: Time,
     spent: Span,
     late: bool,
 }
 
 impl Operation {
-    /// A request comes at `now`; `first` tells whether nothing of an operation ran before it.
+    /// Starts a request that arrived at `now`; `first` is whether nothing of the operation ran before.
     pub fn begin(&mut self, request: &str, now: Time, first: bool) {
         (self.request, self.came) = (clip(request).into(), now);
         if first {
@@ -135,8 +133,8 @@
         }
     }
 
-    /// Its request was answered at `now`: whether it gets a line, and why. Pauses between the
-    /// statements of a transaction are the caller's own time and don't count.
+    /// Ends the request that was answered at `now`; returns the reason for a line if it gets one. The
+    /// caller's pauses between the statements of a transaction don't count.
     pub fn end(&mut self, now: Time, fate: Fate, sampler: &Sampler) -> Option<Reason> {
         self.spent = self.spent + now.since(self.came);
         let Fate::Served { objective } = fate else {
@@ -149,7 +147,7 @@
         sampler.picks().then_some(Reason::Sample)
     }
 
-    /// The time that its statements took so far.
+    /// The total time of its statements so far.
     pub fn spent(&self) -> Span {
         self.spent
     }
@@ -167,7 +165,7 @@
     }
 }
 
-/// A value that may be missing, in a line.
+/// Displays a value that may be missing, as `-` if it is.
 #[derive(Debug, Clone, Copy)]
 pub struct Shown<T>(pub Option<T>);
 
@@ -180,7 +178,7 @@
     }
 }
 
-/// The start of a text that a caller chose, which may be as long as a message.
+/// Truncates a text chosen by a caller, which may be as long as a message.
 pub fn clip(text: &str) -> &str {
     let end = text.char_indices().nth(SHOWN).map(|(at, _)| at);
     &text[..end.unwrap_or(text.len())]
--- a/src/direct/transaction.rs
+++ b/src/direct/transaction.rs
@@ -1,4 +1,4 @@
-//! A transaction that is open on a connection.
+//! A transaction that is open on a database connection.
 
 use crate::clock::Time;
 use crate::direct::attempt::{self, Held, Seat};
@@ -14,7 +14,7 @@
 use crate::types::DatabaseId;
 use std::rc::Rc;
 
-/// A transaction that is open.
+/// An open transaction.
 #[derive(Debug)]
 pub struct Transaction {
     held: Box<Held>,
@@ -22,17 +22,17 @@
     wrote: bool,
 }
 
-/// How a statement of a transaction ended.
+/// The result of a statement of a transaction.
 #[derive(Debug)]
 pub enum Next {
-    /// The answer; the transaction is gone unless it is returned too.
+    /// The answer; the transaction has ended unless it is returned too.
     Answered(Answer, Option<Transaction>),
-    /// What to tell; the transaction is gone.
+    /// The error for the caller; the transaction has ended.
     Failed(Code, &'static str),
 }
 
 impl Transaction {
-    /// A transaction whose first statement was answered.
+    /// Creates it after its first statement was answered.
     pub fn new(held: Box<Held>, route: Rc<Route>, wrote: bool) -> Self {
         Self { held, route, wrote }
     }
@@ -100,7 +100,8 @@
         Next::Failed(code, text)
     }
 
-    /// A promise ends the transaction, whatever state the database left it in.
+    /// Ends the transaction after a statement was reported as not run, whatever state the database
+    /// reports.
     fn refused(self, targets: &Targets, job: &Job<'_>, mut answer: Answer) -> Next {
         self.roll_back(targets);
         answer.state = match job.commit {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Sends the statement where the transaction is open.
+    /// Sends the statement on the connection or to the owner where the transaction is open.
     async fn exchange(
         &mut self,
         targets: &Targets,
@@ -174,7 +175,7 @@
     }
 }
 
-/// Sends the next statement to the owner that has the transaction open.
+/// Sends the next statement to the owner on which the transaction is open.
 async fn through(
     targets: &Targets,
     session: &Session,
--- a/tests/direct_fresh.rs
+++ b/tests/direct_fresh.rs
@@ -1,4 +1,4 @@
-//! Which position makes a replica new enough.
+//! Which log position makes a replica new enough for a read.
 
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::direct::fresh::{Fresh, Progress};
@@ -34,8 +34,8 @@
     assert_eq!(fresh.oldest_allowed(&group(), at(3_901)), None);
 }
 
-/// A primary is replaced. The log may lack what its predecessor had, and replicas would refuse
-/// that position for ever.
+/// After a primary was replaced, its log may lack positions of its predecessor, which replicas would
+/// refuse forever.
 #[test]
 fn a_new_epoch_forgets_the_pairs_of_the_old_one() {
     let mut fresh = Fresh::default();
@@ -47,8 +47,8 @@
     assert_eq!(fresh.oldest_allowed(&group(), at(0)), None);
 }
 
-/// One VM tells another what the primary answered it. The time that this took on the way is not
-/// known; if it counted for the pair, a read would miss commits that were acknowledged meanwhile.
+/// A VM gets a position of the primary from another VM after an unknown network delay. If the position
+/// were dated by its arrival, a read would miss commits that were acknowledged in the meantime.
 #[test]
 fn what_another_vm_tells_is_dated_by_when_it_was_asked() {
     let mut steward = Fresh::default();
@@ -61,8 +61,8 @@
 }
 
 quickcheck! {
-    // Answers come in any order, from a log that only grows. Whatever is kept, the position told
-    // is one that the primary had come to when asked no earlier than allowed.
+    // Answers arrive in any order, from a log that only grows. Whichever pairs are kept, the position
+    // returned was reported by the primary when asked no earlier than allowed.
     fn no_position_is_older_than_asked_for(answers: Vec<(u16, u8)>, since: u16) -> bool {
         let mut fresh = Fresh::default();
         let mut told = Vec::new();
@@ -80,10 +80,9 @@
     }
 }
 
-/// A caller on a VM that started a moment ago reads a board that may be 1.5 s old, and misses a lot
-/// that was acknowledged two seconds before. Another VM had told how far the primary was three
-/// seconds earlier; that moment lay before the new VM's clock began, was cut off at its zero and
-/// passed for young enough. (STALE on hunt-350e-11 of cctak-ledger.)
+/// A VM that has just started got a position that was 3 s old. That time lay before the start of the VM's
+/// clock and was clamped to zero, so the position counted as new enough for a read of at most 1.5 s age,
+/// which missed a commit acknowledged two seconds before. (STALE on hunt-350e-11 of cctak-ledger.)
 #[test]
 fn what_was_known_before_a_process_began_keeps_its_age() {
     let now = lentilspoke::net::system::clock()();
--- a/tests/direct_history.rs
+++ b/tests/direct_history.rs
@@ -1,4 +1,4 @@
-//! Lists that are told to other VMs by what changed of them.
+//! Lists that are sent to other VMs as changes.
 
 use lentilspoke::clock::Time;
 use lentilspoke::direct::config::Database;
@@ -47,7 +47,7 @@
     assert_eq!(since(10), Some(vec!["a", "b", "c"]));
     assert_eq!(since(12), Some(vec!["a"]));
     assert_eq!(since(13), None);
-    // A state that came back is told from its last time on.
+    // For a state that occurred twice, only changes since its last occurrence are returned.
     history.note(10, vec!["d"]);
     assert_eq!(history.since(10).map(Vec::from_iter), Some(vec!["d"]));
 }
@@ -64,8 +64,8 @@
     assert_eq!(history.since(1_000), None, "it names too many");
 }
 
-/// VMs come and go in any order, and another VM asks now and then, or misses what it was told. Whenever
-/// it has taken over what it is told, it knows the same list; what it is told is as long as the change.
+/// VMs join and leave in any order, and another VM asks for changes at some of these states. Whenever it
+/// has applied an update, both VMs have the same list.
 #[test]
 fn whoever_is_told_changes_knows_the_same_vms() {
     fn same(lists: Vec<(Vec<u8>, bool)>) -> bool {
@@ -89,7 +89,8 @@
         .quickcheck(same as fn(Vec<(Vec<u8>, bool)>) -> bool);
 }
 
-/// One VM of 300 ends: whoever knew the list before is told of that one.
+/// When one of 251 VMs leaves, a VM that has the previous list gets only this change; a VM with an unknown
+/// state gets the whole list.
 #[test]
 fn a_vm_that_ends_is_told_alone() {
     let fellows = |but: Option<u8>| {
@@ -132,8 +133,8 @@
         .quickcheck(same as fn(Vec<(Vec<(u8, bool)>, bool)>) -> bool);
 }
 
-/// A register of 200 databases: a VM that knows nothing of it is told that it differs, and reads the store;
-/// one that asks for all of it is told, and one that knows it as it was hears of the one that changed.
+/// A register has 200 databases. A VM with an unknown state gets no content and must read the store, unless
+/// it asks for all of it; a VM with the previous state gets only the one database that changed.
 #[test]
 fn a_long_register_is_not_told_in_full() {
     let all = |primary| (0..200).map(|n| database(n, n == 3 && primary)).collect();
@@ -149,8 +150,8 @@
     );
 }
 
-/// A VM has learned of a database since it asked, and is told what changed since it asked. The two together
-/// are no register that the other VM has: nothing is taken over, and it asks again.
+/// A VM learns of a database between its request and the answer, which holds the changes since the request.
+/// Applied together they would give a register that neither VM had, so the changes are rejected.
 #[test]
 fn changes_of_another_register_are_not_taken_over() {
     let mut here = Register::default();
--- a/tests/direct_lines.rs
+++ b/tests/direct_lines.rs
@@ -1,5 +1,5 @@
-//! The log lines from which a caller's complaint is traced, for each way in which a request or a
-//! session ends otherwise than its caller meant it to.
+//! The log lines by which a caller's complaint is investigated, for each way in which a request or a
+//! session can end abnormally.
 
 mod scripted;
 
@@ -39,7 +39,7 @@
     fn flush(&self) {}
 }
 
-/// Plays `scene`, and returns the lines that were written.
+/// Runs `scene`, and returns the log lines.
 fn lines(scene: impl Future<Output = ()> + 'static) -> String {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
@@ -50,8 +50,8 @@
     LINES.take()
 }
 
-/// A primary refuses each statement, and the caller is told busy: the line names the database, how
-/// often it was tried, and what was believed.
+/// A primary refuses each statement, and the caller gets `busy`: the line names the database, the number
+/// of attempts and the known lead.
 #[test]
 fn a_refusal_under_load() {
     let lines = lines(async {
@@ -65,8 +65,8 @@
     insta::assert_snapshot!(lines);
 }
 
-/// The database fails a statement of an open transaction, and what comes after it is refused
-/// here: both have lines, and the first tells that it was the database.
+/// The database fails a statement of an open transaction, and the proxy refuses the next one: both have
+/// lines, and the first one names the database as the cause.
 #[test]
 fn a_statement_refused_within_a_transaction() {
     let lines = lines(async {
@@ -83,8 +83,8 @@
     insta::assert_snapshot!(lines);
 }
 
-/// The connection breaks while a write runs, and another write is not answered at all: the lines
-/// tell which try was lost where, and what the callers were told.
+/// The connection breaks during a write, and another write gets no answer: the lines show which attempt was
+/// lost on which database, and the answers to the caller.
 #[test]
 fn an_answer_that_is_lost() {
     let lines = lines(async {
@@ -101,8 +101,8 @@
     insta::assert_snapshot!(lines);
 }
 
-/// A caller writes in a transaction, rests, and is rolled back: the line names its last request.
-/// Another leaves in the middle of one.
+/// An idle transaction is rolled back: the line names its last request. Another caller disconnects within
+/// a transaction.
 #[test]
 fn a_transaction_that_is_broken_off() {
     let lines = lines(async {
@@ -120,8 +120,8 @@
     insta::assert_snapshot!(lines);
 }
 
-/// A caller gives up and leaves while its statement runs. The answer goes nowhere, and the line says
-/// so, although nothing was refused. One that leaves later has taken its answer.
+/// A caller disconnects while its statement runs. The line says that the answer was not taken, although
+/// nothing was refused. A caller that disconnects after its answer has no line.
 #[test]
 fn an_answer_that_nobody_takes() {
     let lines = lines(async {
@@ -139,7 +139,7 @@
     insta::assert_snapshot!(lines);
 }
 
-/// No route has the name that a caller gives, or none has it any more.
+/// A caller names a route that does not exist, or one that is removed later.
 #[test]
 fn a_name_without_a_route() {
     let lines = lines(async {
@@ -157,8 +157,8 @@
     insta::assert_snapshot!(lines);
 }
 
-/// A planned stop closes a session that rests, which has asked something before; one that has not
-/// asked anything yet has no line.
+/// A planned stop closes an idle session that has sent a request before; a session without requests has no
+/// line.
 #[test]
 fn what_a_stop_closes() {
     let lines = lines(async {
@@ -173,7 +173,7 @@
     insta::assert_snapshot!(lines);
 }
 
-/// A statement takes longer than its route's objective, and is served: callers complain of that.
+/// A statement is served, but takes longer than its route's objective, which callers complain about.
 #[test]
 fn a_late_answer() {
     let lines = lines(async {
@@ -187,9 +187,8 @@
     insta::assert_snapshot!(lines);
 }
 
-/// Nobody reads the lines: the pipe is full, and the thread that writes them blocks. Every request
-/// is refused and has a line; callers are answered at once all the same, and what finds no room is
-/// counted.
+/// Nothing reads the log lines: the pipe is full, and the thread that writes them blocks. Every request is
+/// refused and has a line. Callers are still answered at once, and dropped lines are counted.
 #[test]
 fn callers_are_answered_while_nobody_reads_the_lines() {
     const REQUESTS: usize = 2_000;
@@ -210,8 +209,8 @@
     assert!(queue.dropped() > 0);
 }
 
-/// A caller knows its transaction by the id of the first statement that a database was sent; a
-/// later one fails, and the next transaction has an id of its own.
+/// A caller identifies its transaction by the id of the first statement sent to a database. A later
+/// statement of it fails with that id; the next operation has its own.
 #[test]
 fn a_transaction_is_found_by_its_first_statement() {
     let lines = lines(async {
@@ -234,8 +233,8 @@
     assert_eq!(ids, expected);
 }
 
-/// Of what is served in time one in some has a line; a transaction that is late has one, at the
-/// statement with which it becomes late, and its pauses don't count.
+/// One in [`SAMPLE`] requests served in time has a line. A late transaction has one at the statement with
+/// which it becomes late; the caller's pauses don't count.
 #[test]
 fn which_requests_have_a_line() {
     let sampler = Sampler::default();
--- a/tests/direct_owner.rs
+++ b/tests/direct_owner.rs
@@ -1,4 +1,4 @@
-//! Which VMs own connections to a database, and through whom the others reach it.
+//! Which VMs own connections to a database, and through which owners the others reach it.
 
 use lentilspoke::direct::owner::{Access, Goal, OWNERS, Way, access, owners};
 use lentilspoke::direct::view::Fellow;
@@ -30,7 +30,7 @@
     format!("i-{number}").parse().unwrap()
 }
 
-/// Failure domains d0 and d3 are one region.
+/// The failure domains d0 and d3 form one region.
 fn is_near(domain: &Domain) -> bool {
     ["d0", "d3"].contains(&domain.as_str())
 }
@@ -46,8 +46,8 @@
     assert!(matches!(way_of(1, &fellows, &id, 15), Way::Through(_)));
 }
 
-/// With 63 VMs before 32 connections each database has three owners in its own region; all others
-/// go through one of these, each of which is the first choice of its share.
+/// With 63 VMs and 32 connections, each database has three owners in its own region. All other VMs go
+/// through these, and each owner is the first choice of a fair share of the VMs.
 #[test]
 fn many_vms_go_through_owners_near_the_database() {
     let fellows = fellows(63);
@@ -80,7 +80,7 @@
     assert!(owned.len() >= 18, "{owned:?}");
 }
 
-/// A VM is lost, and its databases get another owner each; no other owner changes.
+/// When a VM is lost, each of its databases gets one new owner; no other owner changes.
 #[test]
 fn a_lost_vm_moves_its_own_databases_only() {
     let all = fellows(63);
@@ -99,7 +99,7 @@
     }
 }
 
-/// A whole region is lost: its databases are owned from elsewhere, and none is left without.
+/// When a whole region is lost, its databases get owners in other regions.
 #[test]
 fn databases_of_a_lost_region_have_owners() {
     let left: Vec<_> = fellows(63)
@@ -109,7 +109,7 @@
     assert_eq!(owners(&left, &database(1), is_near).len(), OWNERS);
 }
 
-/// VMs of a former release relay nothing: whoever knows only these connects by itself.
+/// If no VM relays, as in an earlier release, every VM connects directly.
 #[test]
 fn nobody_relays() {
     let mut fellows = fellows(63);
@@ -117,14 +117,14 @@
     assert_eq!(way_of(1, &fellows, &database(1), 32), Way::Own);
 }
 
-/// Who connects to a database of 48 connections.
+/// Which VMs connect to a database of 48 connections.
 fn shared(fellows: &[Fellow], id: &DatabaseId) -> Access {
     let connections = 48;
     access(fellows, Goal { id, connections }, is_near)
 }
 
-/// A database of 48 connections before 85 VMs. All VMs send an organisation's statements to one of its three
-/// owners first, an owner that is not that one too; organisations are dealt to all three alike.
+/// A database has 48 connections for 85 VMs. All VMs, including its other two owners, send an organisation's
+/// statements to the same owner first. Organisations are spread evenly over the three owners.
 #[test]
 fn an_organisation_meets_its_connections() {
     let (id, fellows) = (database(1), fellows(85));
@@ -147,8 +147,8 @@
     );
 }
 
-/// What three owners keep open leaves a third of the connections to transactions, to VMs that find no
-/// owner, and to successors of VMs that lost power.
+/// The connections that three owners keep open leave a third to transactions, to VMs that reach no owner,
+/// and to VMs that restart after a power loss.
 #[test]
 fn owners_keep_a_part_of_the_connections() {
     let (id, fellows) = (database(1), fellows(85));
@@ -156,7 +156,8 @@
     assert_eq!(access.places(48, 85) * OWNERS as u32, 30);
 }
 
-/// Guards against an overflow at a VM that starts and does not know yet how many connections there are.
+/// Guards against an overflow on a VM that has no configuration yet, for which the number of connections is
+/// unbounded.
 #[test]
 fn places_of_an_unbounded_database() {
     assert!(Access::All.places(u32::MAX, 1) > 0);
--- a/tests/direct_serve.rs
+++ b/tests/direct_serve.rs
@@ -1,4 +1,4 @@
-//! What callers are told, and databases are sent, when all goes well and when it does not.
+//! The answers to callers and the statements sent to databases, in normal operation and after failures.
 
 mod scripted;
 
@@ -68,9 +68,8 @@
     .unwrap();
 }
 
-/// Two callers share a connection. The second one lacks a value that the first had set, and both
-/// use one name for different statements: what the first left behind would change what the
-/// second reads.
+/// Two callers share a connection. The second lacks a session value that the first has set, and both use
+/// the same name for different statements: state left by the first would change what the second reads.
 #[test]
 fn what_one_session_sets_and_prepares_is_not_there_for_another() {
     play(async {
@@ -95,8 +94,8 @@
     .unwrap();
 }
 
-/// The caller books, and the connection breaks after the database was sent the booking. Whether
-/// it was kept is not known: a promise that it was not would have it booked twice.
+/// The connection breaks after a write was sent. Whether it was kept is unknown; reporting that it was not
+/// would make the caller write twice.
 #[test]
 fn a_write_whose_connection_breaks_is_in_doubt() {
     play(async {
@@ -112,8 +111,8 @@
     .unwrap();
 }
 
-/// A read's connection breaks. Nothing was kept, so it is asked for again, and the caller does
-/// not notice.
+/// The connection breaks during a read. Nothing can have been kept, so the read is repeated without the
+/// caller noticing.
 #[test]
 fn a_read_whose_connection_breaks_is_repeated() {
     play(async {
@@ -127,9 +126,8 @@
     .unwrap();
 }
 
-/// The connection breaks within a transaction. Its end rolls back, so the caller is promised that
-/// nothing is kept. What follows on another connection would run outside the transaction, so
-/// nothing more is sent.
+/// The connection breaks within a transaction, which rolls it back, so the caller is told that nothing is
+/// kept. Its further statements would run outside the transaction on another connection, so none is sent.
 #[test]
 fn a_transaction_whose_connection_breaks_is_rolled_back() {
     play(async {
@@ -157,7 +155,8 @@
     .unwrap();
 }
 
-/// The commit's answer is lost. The database may have committed.
+/// The answer to a commit is lost, and the database may have committed. Only if the transaction wrote is
+/// the outcome unknown.
 #[test]
 fn a_commit_whose_connection_breaks_is_in_doubt_only_if_it_wrote() {
     play(async {
@@ -180,8 +179,8 @@
     .unwrap();
 }
 
-/// The database refuses to open a transaction. The statement that was to follow must not be sent:
-/// it would run outside, and a write be kept that the caller may still roll back.
+/// The database refuses to open a transaction. The next statement must not be sent: it would run outside
+/// the transaction, and its write be kept although the caller may still roll back.
 #[test]
 fn nothing_follows_a_transaction_that_was_not_opened() {
     play(async {
@@ -201,8 +200,8 @@
     .unwrap();
 }
 
-/// The primary is replaced while it still answers. Its write vanishes with it, and its read may
-/// miss what the new one acknowledged, so neither answer may be passed on.
+/// The primary is replaced while it still answers. A write on it is lost, and a read may miss commits of
+/// the new primary, so neither answer may be returned.
 #[test]
 fn answers_after_the_lease_was_dropped_are_not_passed_on() {
     play(async {
@@ -237,8 +236,8 @@
     .unwrap();
 }
 
-/// The lease holds, but its database is gone from the register. Whoever waits for a primary once
-/// took the lease for news and asked again without a pause, so that the VM answered nobody.
+/// The lease is valid, but its database is not in the register any more. Waiting for a primary once took
+/// this lease for a change and retried without a pause, so that the VM answered no caller.
 #[test]
 fn a_lease_on_a_database_that_is_gone_is_waited_out() {
     play(async {
@@ -254,8 +253,8 @@
     .unwrap();
 }
 
-/// The database has no connection left, and the caller's statement ends at once with when to come
-/// back. Between two tries there is a pause: without it the VM did nothing else.
+/// The database has no connection left, and the caller's statement is refused at once with a time to retry.
+/// Without a pause between attempts to connect, the VM did nothing else.
 #[test]
 fn a_full_database_is_asked_again_with_pauses() {
     play(async {
@@ -278,8 +277,8 @@
     .unwrap();
 }
 
-/// A connection goes silent, while new ones work. Its statement is given up at the route's
-/// timeout; the idle ones beside it have often gone silent too, and each would cost one more.
+/// A connection stops responding while new ones work. Its statement fails at the route's timeout. Idle
+/// connections from before have often stopped too, and each would fail one more statement if kept.
 #[test]
 fn a_silent_connection_takes_the_idle_ones_along() {
     play(async {
@@ -308,8 +307,8 @@
     .unwrap();
 }
 
-/// A planned stop. Sessions that do nothing are closed once the balancer sends no more; an open
-/// transaction gets half of the grace, and is then rolled back with a promise.
+/// In a planned stop, idle sessions are closed once the load balancer sends no more callers. An open
+/// transaction gets half of the grace period and is then rolled back, which its caller is told.
 #[test]
 fn a_stop_closes_idle_sessions_and_rolls_back_what_stays_open() {
     play(async {
@@ -337,8 +336,8 @@
     .unwrap();
 }
 
-/// A caller connects to a VM that stops, just before idle sessions are closed. Its first statement is
-/// on the way when they are, and it is answered: a session is closed only once it has been quiet.
+/// A caller connects to a stopping VM just before idle sessions are closed, with its first statement in
+/// flight. It is answered, because a session is closed only after it has been idle for some time.
 #[test]
 fn a_stop_answers_whoever_has_just_connected() {
     play(async {
@@ -354,8 +353,8 @@
     .unwrap();
 }
 
-/// A VM starts while nobody can tell it a configuration, and a caller comes. It is told that nothing was run
-/// and when to come back, and not that its route does not exist: it would believe that.
+/// A caller connects to a VM that has no configuration yet. The answer is that nothing was run and when to
+/// retry, and not that the route does not exist, after which the caller would not retry.
 #[test]
 fn before_the_first_configuration_callers_may_come_back() {
     play(async {
@@ -370,7 +369,7 @@
     .unwrap();
 }
 
-/// The route goes while a transaction is open. The change applies from the next transaction on.
+/// A route is removed while a transaction is open. The change applies from the next transaction on.
 #[test]
 fn a_transaction_keeps_its_route() {
     play(async {
@@ -391,8 +390,8 @@
     .unwrap();
 }
 
-/// The primary is about to end, and its replacement is held up. It serves for some seconds more;
-/// what it is sent after that would be lost with it.
+/// A primary is about to stop, and its replacement is delayed. It serves for some more seconds; work that
+/// it is sent after that would be lost.
 #[test]
 fn a_primary_that_leaves_gets_no_new_work_after_some_seconds() {
     play(async {
@@ -411,8 +410,8 @@
     .unwrap();
 }
 
-/// A replica loses the answer to the first statement of a transaction. Run again on another
-/// connection, the transaction would stand on two; its caller is told that it was rolled back.
+/// The answer to the first statement of a transaction on a replica is lost. Repeating it would open the
+/// transaction on a second connection; instead, the caller is told that it was rolled back.
 #[test]
 fn the_first_statement_of_a_transaction_is_not_run_twice() {
     play(async {
