--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt to run a statement on one database: on a connection of this VM, or through an owner.
 
 use crate::clock::{Span, Time};
-use crate::direct::exchange::{self, Ran, SILENT, Statement};
+use crate::direct::exchange::{self, Ran, SILENCE_TIMEOUT, Statement};
 use crate::direct::job::{Job, Part};
 use crate::direct::lead::{Epoch, Lease};
 use crate::direct::outcome::{self, Why};
@@ -48,7 +48,7 @@
 
 /// Where the next statement of a transaction is sent.
 #[derive(Debug)]
-pub enum Seat {
+pub enum Channel {
     /// On a connection of this VM.
     Own(Box<Lent>),
     /// On a connection of an owner.
@@ -59,25 +59,25 @@
 #[derive(Debug)]
 pub struct Held {
     /// Where its connection is.
-    pub seat: Seat,
+    pub channel: Channel,
     /// The database.
     pub target: Target,
     /// The epoch, if the database is a primary.
     pub epoch: Option<Epoch>,
-    under_way: Option<UnderWay>,
+    work_guard: Option<WorkGuard>,
     /// Whether a transaction may be open on the owner's connection.
     pub open: bool,
 }
 
 /// Work in progress on a primary, which a planned change waits for; it ends when dropped.
 #[derive(Debug)]
-struct UnderWay {
+struct WorkGuard {
     shared: Rc<Shared>,
     group: GroupId,
     epoch: Epoch,
 }
 
-impl UnderWay {
+impl WorkGuard {
     fn start(shared: &Rc<Shared>, group: &GroupId, epoch: Epoch) -> Self {
         shared.quietly().work.start(group, epoch);
         Self {
@@ -88,7 +88,7 @@
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         let last = {
             let mut view = self.shared.quietly();
@@ -102,7 +102,7 @@
 }
 
 /// The parameters of one attempt.
-struct Try<'a> {
+struct Run<'a> {
     targets: &'a Targets,
     session: &'a Session,
     job: &'a Job<'a>,
@@ -113,21 +113,21 @@
 pub async fn run(targets: &Targets, session: &Session, job: &Job<'_>, plan: &Plan) -> Attempt {
     let epoch = plan.lease.as_ref().map(|lease| lease.epoch);
     job.trace.tries(&plan.target.database.id, epoch);
-    let one = Try {
+    let one = Run {
         targets,
         session,
         job,
         plan,
     };
     if let Way::Through(owners) = &*targets.way(&plan.target.database, job.organisation)
-        && let Some(attempt) = one.through(owners).await
+        && let Some(attempt) = one.run_through(owners).await
     {
         return attempt;
     }
-    one.own().await
+    one.run_directly().await
 }
 
-impl Try<'_> {
+impl Run<'_> {
     /// The order that opens the transaction, if this is its first statement.
     fn begin(&self) -> Option<Order> {
         match self.job.part {
@@ -141,13 +141,13 @@
 
     /// Starts work under the plan's lease: none if the lease no longer allows it. Work on a replica needs
     /// no lease and always starts.
-    fn start(&self) -> Option<Option<UnderWay>> {
+    fn start(&self) -> Option<Option<WorkGuard>> {
         let Some(lease) = &self.plan.lease else {
             return Some(None);
         };
         let group = &self.job.route.group;
         let may_start = self.targets.may_start(group, lease.epoch);
-        may_start.then(|| Some(UnderWay::start(&self.targets.shared, group, lease.epoch)))
+        may_start.then(|| Some(WorkGuard::start(&self.targets.shared, group, lease.epoch)))
     }
 
     /// Whether the plan's lease is still valid; always true on a replica.
@@ -158,17 +158,17 @@
         self.targets.holds(&self.job.route.group, lease.epoch)
     }
 
-    fn held(&self, seat: Seat, under_way: Option<UnderWay>, open: bool) -> Held {
+    fn held(&self, channel: Channel, work_guard: Option<WorkGuard>, open: bool) -> Held {
         Held {
-            seat,
+            channel,
             target: self.plan.target.clone(),
             epoch: self.plan.lease.as_ref().map(|lease| lease.epoch),
-            under_way,
+            work_guard,
             open,
         }
     }
 
-    async fn own(&self) -> Attempt {
+    async fn run_directly(&self) -> Attempt {
         let begin = self.begin();
         let statement = Statement {
             begin: begin.as_ref(),
@@ -178,9 +178,9 @@
         let target = &self.plan.target;
         let (start, holds) = (|| self.start(), || self.holds());
         match exchange::start(self.targets, target, &statement, start, holds).await {
-            Ran::Answered(answer, lent, under_way, asked) => {
-                let held = self.held(Seat::Own(lent), under_way, false);
-                self.judge(held, asked, answer)
+            Ran::Answered(answer, lent, work_guard, asked) => {
+                let held = self.held(Channel::Own(lent), work_guard, false);
+                self.check(held, asked, answer)
             }
             Ran::NotRun(code) => Attempt::NotRun(code),
             Ran::Unreached => Attempt::Unreached,
@@ -189,10 +189,10 @@
     }
 
     /// Decides whether an answer may be returned to the caller.
-    fn judge(&self, held: Held, asked: Time, answer: Answer) -> Attempt {
+    fn check(&self, held: Held, asked: Time, answer: Answer) -> Attempt {
         let (targets, target) = (self.targets, &self.plan.target);
-        if let Seat::Own(_) = held.seat {
-            targets.answers(&target.database);
+        if let Channel::Own(_) = held.channel {
+            targets.responded(&target.database);
         }
         if let End::Error { code, .. } = answer.end
             && outcome::may_do_elsewhere(code)
@@ -221,17 +221,17 @@
     }
 
     /// Sends the statement through the first owner that takes it; none if no owner does.
-    async fn through(&self, owners: &[SocketAddr]) -> Option<Attempt> {
+    async fn run_through(&self, owners: &[SocketAddr]) -> Option<Attempt> {
         let lines = &self.targets.lines;
         let mut last = None;
         for owner in owners.iter().filter(|owner| !lines.doubts(**owner)) {
             let Ok(line) = lines.take(*owner).await else {
                 continue;
             };
-            match self.by(line).await {
-                Passed::Attempt(attempt) => return Some(attempt),
-                Passed::Elsewhere(attempt) => last = Some(attempt),
-                Passed::Away => {}
+            match self.relay(line).await {
+                Relayed::Final(attempt) => return Some(attempt),
+                Relayed::TryNext(attempt) => last = Some(attempt),
+                Relayed::NotTaken => {}
             }
             if self.targets.now() >= self.job.queue_until() {
                 break;
@@ -240,20 +240,20 @@
         last
     }
 
-    async fn by(&self, mut line: Line) -> Passed {
-        let Some(under_way) = self.start() else {
+    async fn relay(&self, mut line: Line) -> Relayed {
+        let Some(work_guard) = self.start() else {
             self.job.trace.ended("lease");
             self.targets.lines.give_back(line);
-            return Passed::Attempt(Attempt::NotRun(Code::NotPrimary));
+            return Relayed::Final(Attempt::NotRun(Code::NotPrimary));
         };
         let request = Request::Start(self.request());
         let asked = self.targets.now();
         self.targets.sent(&self.plan.target.database);
         let mut limit = self.job.deadline().since(asked);
-        if self.job.is_kept_by_nobody() {
+        if self.job.keeps_nothing() {
             // A frozen owner or a dead stream is given up after the same time as a silent database:
             // nothing of the statement is kept, so its caller can safely retry.
-            limit = limit.min(SILENT);
+            limit = limit.min(SILENCE_TIMEOUT);
         }
         self.job.trace.through(line.owner());
         let told = match self.targets.lines.ask(&mut line, &request, limit).await {
@@ -262,12 +262,12 @@
                 self.job.trace.ended("owner");
                 let late = why == Why::Silent && self.targets.now() >= self.job.deadline();
                 let why = if late { Why::Silent } else { Why::Broken };
-                return Passed::Attempt(Attempt::Lost(why));
+                return Relayed::Final(Attempt::Lost(why));
             }
         };
         let pool = &self.plan.target.pool;
         pool.owner_waits(self.targets.now() + told.wait);
-        self.passed(line, under_way, asked, told)
+        self.handle_reply(line, work_guard, asked, told)
     }
 
     fn request(&self) -> Start {
@@ -283,25 +283,31 @@
         }
     }
 
-    fn passed(&self, line: Line, under_way: Option<UnderWay>, asked: Time, told: Told) -> Passed {
+    fn handle_reply(
+        &self,
+        line: Line,
+        work_guard: Option<WorkGuard>,
+        asked: Time,
+        told: Told,
+    ) -> Relayed {
         let (targets, target) = (self.targets, &self.plan.target);
         let lines = &targets.lines;
         match told.reply {
             Reply::Answered(answer) => {
                 let first = matches!(self.job.part, Part::First { .. });
                 let opened = first && answer.state == State::Open;
-                let held = self.held(Seat::Through(line), under_way, opened);
-                Passed::Attempt(self.judge(held, asked, answer))
+                let held = self.held(Channel::Through(line), work_guard, opened);
+                Relayed::Final(self.check(held, asked, answer))
             }
             Reply::Away => {
                 lines.leave(line.owner());
-                Passed::Away
+                Relayed::NotTaken
             }
             Reply::Unknown => {
                 // The owner may have just started: this says nothing about the database.
                 self.job.trace.ended("unknown");
                 lines.give_back(line);
-                Passed::Away
+                Relayed::NotTaken
             }
             Reply::NotRun(code) => {
                 lines.give_back(line);
@@ -309,39 +315,39 @@
                 targets.refused(target, told.position, false);
                 let attempt = Attempt::NotRun(code);
                 match code {
-                    Code::Full | Code::OtherDatabase => Passed::Elsewhere(attempt),
-                    _ => Passed::Attempt(attempt),
+                    Code::Full | Code::OtherDatabase => Relayed::TryNext(attempt),
+                    _ => Relayed::Final(attempt),
                 }
             }
             Reply::Unreached => {
                 self.job.trace.ended("unreached");
                 lines.give_back(line);
-                targets.doubt(&target.database);
-                Passed::Elsewhere(Attempt::Unreached)
+                targets.suspect(&target.database);
+                Relayed::TryNext(Attempt::Unreached)
             }
             Reply::Granted(_) => {
                 // Not a valid reply to a statement: the stream is out of step and is closed.
                 self.job.trace.ended("owner");
-                Passed::Attempt(Attempt::Lost(Why::Broken))
+                Relayed::Final(Attempt::Lost(Why::Broken))
             }
             Reply::Lost(why) => {
                 self.job.trace.ended("lost");
                 lines.give_back(line);
-                targets.doubt(&target.database);
-                Passed::Attempt(Attempt::Lost(why))
+                targets.suspect(&target.database);
+                Relayed::Final(Attempt::Lost(why))
             }
         }
     }
 }
 
 /// The result of an attempt through one owner.
-enum Passed {
+enum Relayed {
     /// The final result.
-    Attempt(Attempt),
+    Final(Attempt),
     /// The result, unless the next owner succeeds.
-    Elsewhere(Attempt),
+    TryNext(Attempt),
     /// The owner did not take the statement.
-    Away,
+    NotTaken,
 }
 
 /// The request by which an owner is asked to run a statement.
@@ -363,22 +369,22 @@
 impl Held {
     /// Returns the connection; an open transaction is rolled back first.
     pub fn release(self, targets: &Targets) {
-        match self.seat {
-            Seat::Own(lent) => exchange::give_back(targets, lent, self.under_way),
-            Seat::Through(line) if !self.open => targets.lines.give_back(line),
-            Seat::Through(line) => end(targets, line, self.under_way),
+        match self.channel {
+            Channel::Own(lent) => exchange::give_back(targets, lent, self.work_guard),
+            Channel::Through(line) if !self.open => targets.lines.give_back(line),
+            Channel::Through(line) => end_transaction(targets, line, self.work_guard),
         }
     }
 }
 
 /// Asks an owner to roll a transaction back, in a task of its own.
-fn end(targets: &Targets, mut line: Line, under_way: Option<UnderWay>) {
+fn end_transaction(targets: &Targets, mut line: Line, work_guard: Option<WorkGuard>) {
     let lines = targets.lines.clone();
     actix_rt::spawn(async move {
         let ended = line.ask(&Request::End);
-        if let Ok(Ok(_)) = tokio::time::timeout(SILENT.into(), ended).await {
+        if let Ok(Ok(_)) = tokio::time::timeout(SILENCE_TIMEOUT.into(), ended).await {
             lines.give_back(line);
         }
-        drop(under_way);
+        drop(work_guard);
     });
 }
--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -12,7 +12,7 @@
 use crate::direct::line::{self, Ended};
 use crate::direct::session::{Begun, Phase, Session, Shape, Step, error};
 use crate::direct::statement::{Answer, Code, End, Message, Query};
-use crate::direct::trace::{Fate, Operation, Trace};
+use crate::direct::trace::{Completion, Operation, Trace};
 use crate::direct::transaction::Transaction;
 use bytes::BytesMut;
 use futures_util::FutureExt;
@@ -25,10 +25,10 @@
 const READ_SIZE: usize = 512;
 
 /// Time limit for a new session's start message.
-const GREETING: Span = Span::from_secs(5);
+const START_TIMEOUT: Span = Span::from_secs(5);
 
 /// Time limit for closing a session's stream.
-const FAREWELL: Span = Span::from_millis(200);
+const CLOSE_TIMEOUT: Span = Span::from_millis(200);
 
 /// How long a session must have been idle before a planned stop closes it.
 ///
@@ -36,18 +36,18 @@
 /// flight. If the session were closed, the message would get no answer, and a single write could not
 /// be repeated safely. Active callers send their next message within a round trip and their own
 /// processing time. Sessions that never pause are closed when transactions are rolled back.
-const QUIET: Span = Span::from_millis(150);
+const MIN_IDLE_TIME: Span = Span::from_millis(150);
 
 /// Time limit for a caller to read an answer, after which its session is closed.
-const SLOW_CALLER: Span = Span::from_secs(15);
+const WRITE_TIMEOUT: Span = Span::from_secs(15);
 
 /// If a caller closes its session this soon after an answer, it did so before it could read the answer:
 /// the round trip to any caller takes longer.
-const UNREAD: Span = Span::from_millis(2);
+const UNREAD_WINDOW: Span = Span::from_millis(2);
 
 /// Why a session ends.
 #[derive(Debug)]
-enum Gone {
+enum Exit {
     /// The caller disconnected, or sent something that is not a message.
     Left,
     /// The caller did not take an answer.
@@ -55,12 +55,12 @@
     /// It was closed by a planned stop.
     Stopped,
     /// Its key is no longer in the configuration.
-    Barred,
+    KeyRemoved,
 }
 
-impl From<std::io::Error> for Gone {
+impl From<std::io::Error> for Exit {
     fn from(_: std::io::Error) -> Self {
-        Gone::Left
+        Exit::Left
     }
 }
 
@@ -82,7 +82,7 @@
     configs: watch::Receiver<()>,
     stopping: watch::Receiver<Stopping>,
     /// When output was last sent to it.
-    told: Time,
+    last_sent: Time,
     operation: Operation,
 }
 
@@ -112,43 +112,43 @@
             known: None,
             configs,
             stopping,
-            told: Time::default(),
+            last_sent: Time::default(),
             operation: Operation::default(),
         }
     }
 
     /// Serves the session to its end.
     pub async fn serve(mut self) {
-        let gone = self.talk().await;
-        self.tell_end(&gone);
+        let exit = self.serve_messages().await;
+        self.log_exit(&exit);
         self.roll_back();
-        if let Ok(()) | Err(Gone::Stopped | Gone::Barred) = gone {
-            let _ = tokio::time::timeout(FAREWELL.into(), self.stream.shutdown()).await;
+        if let Ok(()) | Err(Exit::Stopped | Exit::KeyRemoved) = exit {
+            let _ = tokio::time::timeout(CLOSE_TIMEOUT.into(), self.stream.shutdown()).await;
         }
     }
 
     /// Logs the end of the session unless the caller ended it normally.
-    fn tell_end(&self, gone: &Result<(), Gone>) {
+    fn log_exit(&self, exit: &Result<(), Exit>) {
         let open = matches!(self.session.phase, Phase::Begun(_) | Phase::Open { .. });
-        let why = match gone {
-            Err(Gone::Unread) => "an answer was not taken by its caller",
-            Err(Gone::Stopped) => "a planned stop closes an idle session",
-            Err(Gone::Barred) => "nobody holds a session's key any more",
-            Ok(()) | Err(Gone::Left) if open => "a caller left in the middle of a transaction",
-            Ok(()) | Err(Gone::Left) => return,
+        let why = match exit {
+            Err(Exit::Unread) => "an answer was not taken by its caller",
+            Err(Exit::Stopped) => "a planned stop closes an idle session",
+            Err(Exit::KeyRemoved) => "nobody holds a session's key any more",
+            Ok(()) | Err(Exit::Left) if open => "a caller left in the middle of a transaction",
+            Ok(()) | Err(Exit::Left) => return,
         };
         line::session_ends(&self.front, why, &self.database, &self.operation);
     }
 
-    async fn talk(&mut self) -> Result<(), Gone> {
-        self.greet().await?;
+    async fn serve_messages(&mut self) -> Result<(), Exit> {
+        self.start().await?;
         loop {
             match self.next().await? {
                 Ok(Message::Query(query)) => {
                     let answer = self.answer(&query).await;
                     self.write(&answer).await?;
-                    if admission::is_barred(&answer) {
-                        return Err(Gone::Barred);
+                    if admission::ends_session(&answer) {
+                        return Err(Exit::KeyRemoved);
                     }
                 }
                 Ok(Message::Bye) => return Ok(()),
@@ -165,10 +165,10 @@
         }
     }
 
-    async fn greet(&mut self) -> Result<(), Gone> {
-        let first = tokio::time::timeout(GREETING.into(), self.next()).await;
-        let Ok(Ok(Message::Start { database, key })) = first.map_err(|_| Gone::Left)? else {
-            return Err(Gone::Left);
+    async fn start(&mut self) -> Result<(), Exit> {
+        let first = tokio::time::timeout(START_TIMEOUT.into(), self.next()).await;
+        let Ok(Ok(Message::Start { database, key })) = first.map_err(|_| Exit::Left)? else {
+            return Err(Exit::Left);
         };
         self.database = database;
         self.key = Some(key);
@@ -181,14 +181,14 @@
         match end {
             End::Done(_) => Ok(()),
             End::Error { code, .. } => {
-                self.tell_refusal(code);
-                Err(Gone::Left)
+                self.log_refusal(code);
+                Err(Exit::Left)
             }
         }
     }
 
     /// The caller's next message.
-    async fn next(&mut self) -> Result<Result<Message, Garbled>, Gone> {
+    async fn next(&mut self) -> Result<Result<Message, Garbled>, Exit> {
         loop {
             match (self.front.adapter.wire.read_message)(&mut self.input) {
                 Ok(Some(message)) => return Ok(Ok(message)),
@@ -202,34 +202,34 @@
 
     /// Reads more input, or handles what is due in the meantime: an idle timeout, a planned stop or a new
     /// configuration.
-    async fn receive(&mut self) -> Result<(), Gone> {
+    async fn receive(&mut self) -> Result<(), Exit> {
         let stopping = *self.stopping.borrow_and_update();
-        let quiet = self.quiet_span(stopping);
-        if stopping != Stopping::No && quiet.is_none() && self.end_for(stopping).await? {
+        let idle_left = self.idle_time_left(stopping);
+        if stopping != Stopping::No && idle_left.is_none() && self.close_for_stop(stopping).await? {
             return Ok(());
         }
-        let idle = self.idle_span();
-        let limit = idle.or(quiet);
+        let idle = self.idle_timeout();
+        let limit = idle.or(idle_left);
         let rest = limit.unwrap_or(Span::from_secs(86_400));
         tokio::select! {
             biased;
             read = self.stream.read_buf(&mut self.input) => match read? {
-                0 if self.front.now() < self.told + UNREAD => Err(Gone::Unread),
-                0 => Err(Gone::Left),
+                0 if self.front.now() < self.last_sent + UNREAD_WINDOW => Err(Exit::Unread),
+                0 => Err(Exit::Left),
                 _ => Ok(()),
             },
             _ = self.stopping.changed() => Ok(()),
             _ = self.configs.changed() => {
                 // Closing an idle session costs its caller nothing; a transaction is ended with its
                 // next statement.
-                match self.session.phase == Phase::Idle && self.is_unknown() {
-                    true => Err(Gone::Barred),
+                match self.session.phase == Phase::Idle && self.is_key_unknown() {
+                    true => Err(Exit::KeyRemoved),
                     false => Ok(()),
                 }
             }
             () = tokio::time::sleep(rest.into()), if limit.is_some() => {
                 if idle.is_some() {
-                    self.break_off("the transaction was idle for too long");
+                    self.abort_transaction("the transaction was idle for too long");
                 }
                 Ok(())
             }
@@ -237,15 +237,15 @@
     }
 
     /// How much longer a session must stay idle before a planned stop closes it.
-    fn quiet_span(&self, stopping: Stopping) -> Option<Span> {
+    fn idle_time_left(&self, stopping: Stopping) -> Option<Span> {
         let now = self.front.now();
-        let quiet = self.told + QUIET;
-        let goes_on = stopping == Stopping::Idle && self.transaction.is_none() && now < quiet;
-        goes_on.then(|| quiet.since(now))
+        let closes_at = self.last_sent + MIN_IDLE_TIME;
+        let goes_on = stopping == Stopping::Idle && self.transaction.is_none() && now < closes_at;
+        goes_on.then(|| closes_at.since(now))
     }
 
     /// How long an open transaction may stay idle.
-    fn idle_span(&self) -> Option<Span> {
+    fn idle_timeout(&self) -> Option<Span> {
         self.transaction.as_ref()?;
         let view = self.front.shared.look();
         Some(view.config.as_ref()?.idle)
@@ -255,27 +255,29 @@
     /// whether it has.
     ///
     /// A message that has arrived is answered: the caller sent it before it could notice the end.
-    async fn end_for(&mut self, stopping: Stopping) -> Result<bool, Gone> {
+    async fn close_for_stop(&mut self, stopping: Stopping) -> Result<bool, Exit> {
         match self.stream.read_buf(&mut self.input).now_or_never() {
             Some(read) => {
                 return if read? == 0 {
-                    Err(Gone::Left)
+                    Err(Exit::Left)
                 } else {
                     Ok(true)
                 };
             }
-            None if stopping == Stopping::Transactions => self.break_off("this VM is stopping"),
+            None if stopping == Stopping::Transactions => {
+                self.abort_transaction("this VM is stopping")
+            }
             None => {}
         }
         let idle = matches!(self.session.phase, Phase::Idle) && self.input.is_empty();
         match idle {
-            true => Err(Gone::Stopped),
+            true => Err(Exit::Stopped),
             false => Ok(false),
         }
     }
 
     /// Rolls back the open transaction; the caller is informed by the answer to its next statement.
-    fn break_off(&mut self, reason: &str) {
+    fn abort_transaction(&mut self, reason: &str) {
         if let Phase::Begun(_) = self.session.phase {
             self.session.phase = Phase::Broken;
         }
@@ -299,39 +301,39 @@
         let Some(route) = self.route() else {
             let end = error(Code::NoDatabase, "no route has that name any more");
             let answer = self.session.answer(end);
-            self.tell(None, Trace::default(), &answer);
+            self.log_request(None, Trace::default(), &answer);
             return answer;
         };
         let trace = Trace::default();
         let answer = match self.identity(&route) {
-            Identity::Unknown => self.bar(),
+            Identity::Unknown => self.reject(),
             Identity::Anyone | Identity::Of(_) => self.step(query, &route, now, &trace).await,
         };
-        self.tell(Some(&route), trace, &answer);
+        self.log_request(Some(&route), trace, &answer);
         answer
     }
 
     /// Counts an answered request in the metrics, and writes its log line if it gets one.
-    fn tell(&mut self, route: Option<&Route>, trace: Trace, answer: &Answer) {
+    fn log_request(&mut self, route: Option<&Route>, trace: Trace, answer: &Answer) {
         let steps = trace.into_steps();
         let now = self.front.now();
         let meter = &self.front.shared.meter;
-        let fate = match (&answer.end, route) {
+        let completion = match (&answer.end, route) {
             (End::Done(_), Some(route)) => {
                 if steps.tries > 0 {
                     meter.served(route.kind, now.since(self.operation.came));
                 }
-                Fate::Served {
+                Completion::Served {
                     objective: route.objective,
                 }
             }
             (End::Error { code, .. }, Some(route)) => {
                 meter.refused(&route.group, *code);
-                Fate::NotServed
+                Completion::NotServed
             }
-            (_, None) => Fate::NotServed,
+            (_, None) => Completion::NotServed,
         };
-        if let Some(reason) = self.operation.end(now, fate, &meter.sampler) {
+        if let Some(reason) = self.operation.end(now, completion, &meter.sampler) {
             let ended = Ended {
                 host: &self.database,
                 route,
@@ -431,22 +433,22 @@
         answer
     }
 
-    async fn write(&mut self, answer: &Answer) -> Result<(), Gone> {
+    async fn write(&mut self, answer: &Answer) -> Result<(), Exit> {
         let mut output = BytesMut::new();
         (self.front.adapter.wire.write_answer)(&mut output, answer, true);
         self.send(&output).await
     }
 
-    async fn send(&mut self, output: &[u8]) -> Result<(), Gone> {
+    async fn send(&mut self, output: &[u8]) -> Result<(), Exit> {
         let written = async {
             self.stream.write_all(output).await?;
             self.stream.flush().await
         };
-        let written = tokio::time::timeout(SLOW_CALLER.into(), written).await;
-        self.told = self.front.now();
+        let written = tokio::time::timeout(WRITE_TIMEOUT.into(), written).await;
+        self.last_sent = self.front.now();
         match written {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(Gone::Unread),
+            Ok(Err(_)) | Err(_) => Err(Exit::Unread),
         }
     }
 }
--- a/src/direct/caller/admission.rs
+++ b/src/direct/caller/admission.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 /// How long a new session waits for the first configuration; callers give up after 2 s.
-const CONFIGURED: Span = Span::from_millis(1_500);
+const CONFIG_TIMEOUT: Span = Span::from_millis(1_500);
 
 impl Caller {
     /// Waits for the first configuration.
@@ -25,7 +25,7 @@
                 changed.await;
             }
         };
-        let _ = tokio::time::timeout(CONFIGURED.into(), configured).await;
+        let _ = tokio::time::timeout(CONFIG_TIMEOUT.into(), configured).await;
     }
 
     /// The answer to a new session's start message.
@@ -68,21 +68,21 @@
     }
 
     /// Whether the session's key is no longer in the configuration.
-    pub(super) fn is_unknown(&mut self) -> bool {
+    pub(super) fn is_key_unknown(&mut self) -> bool {
         let route = self.route();
         route.is_some_and(|route| self.identity(&route) == Identity::Unknown)
     }
 
     /// Rolls back the transaction of a caller whose key is no longer in the configuration, and returns the
     /// answer that ends its session.
-    pub(super) fn bar(&mut self) -> Answer {
+    pub(super) fn reject(&mut self) -> Answer {
         self.roll_back();
         self.session.phase = Phase::Idle;
         self.session.answer(no_key())
     }
 
     /// Logs the refusal of a session.
-    pub(super) fn tell_refusal(&self, code: Code) {
+    pub(super) fn log_refusal(&self, code: Code) {
         match code {
             Code::NoKey => line::no_key(&self.front, &self.database, self.key.as_ref()),
             Code::Busy => line::no_config(&self.database),
@@ -96,6 +96,6 @@
 }
 
 /// Whether an answer ends its session.
-pub(super) fn is_barred(answer: &Answer) -> bool {
+pub(super) fn ends_session(answer: &Answer) -> bool {
     matches!(answer.end, End::Error { code, .. } if code == Code::NoKey)
 }
--- a/src/direct/connection.rs
+++ b/src/direct/connection.rs
@@ -17,7 +17,7 @@
 const READ_SIZE: usize = 1024;
 
 /// The most statements prepared on one connection before all are discarded.
-const MOST_SHAPES: usize = 256;
+const MAX_SHAPES: usize = 256;
 
 /// Why an exchange with a database was not completed.
 #[derive(Debug, thiserror::Error)]
@@ -169,8 +169,8 @@
             orders += 1;
         };
         let foreign = |name| !wanted.contains_key(name);
-        let crowded = self.state == State::Idle && self.shapes.len() >= MOST_SHAPES;
-        if crowded || self.values.keys().any(foreign) {
+        let full = self.state == State::Idle && self.shapes.len() >= MAX_SHAPES;
+        if full || self.values.keys().any(foreign) {
             order(&Order::Reset);
             self.values.clear();
             self.shapes.clear();
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -17,13 +17,13 @@
 
 /// A database that has not answered within this time is reported as failing, although its answer may
 /// still come: slow databases answer sooner, and a replacement should not wait for a route's timeout.
-pub const SILENT: Span = Span::from_millis(400);
+pub const SILENCE_TIMEOUT: Span = Span::from_millis(400);
 
 /// How long a rollback may take before its connection is closed instead.
-const ROLLBACK: Span = Span::from_millis(1_000);
+const ROLLBACK_TIMEOUT: Span = Span::from_millis(1_000);
 
 /// The delay before a busy database is tried again: about the time of a short statement.
-const BUSY_PAUSE: Span = Span::from_millis(15);
+const BUSY_RETRY_DELAY: Span = Span::from_millis(15);
 
 /// A statement, its preconditions and its deadlines.
 #[derive(Debug, Clone, Copy)]
@@ -71,11 +71,11 @@
     Unreached,
     /// The statement may have run.
     Lost(Why),
-    }
+}
 
-    /// Runs a single statement, or the first one of a transaction. `begin` is called once a connection is
-    /// available, and `holds` once everything is prepared; the statement is sent only if both allow it. The
-    /// value from `begin` is dropped when the connection is returned.
+/// Runs a single statement, or the first one of a transaction. `begin` is called once a connection is
+/// available, and `holds` once everything is prepared; the statement is sent only if both allow it. The
+/// value from `begin` is dropped when the connection is returned.
 pub async fn start<G: 'static>(
     targets: &Targets,
     target: &Target,
@@ -84,14 +84,14 @@
     holds: impl Fn() -> bool,
 ) -> Ran<G> {
     let pool = &target.pool;
-    let came = targets.now();
+    let queued_at = targets.now();
     // Statements that hang at a silent database free no slot, so nothing queues behind them.
-    let patience = match targets.is_failing(&target.database) {
+    let max_wait = match targets.is_failing(&target.database) {
         true => Span::ZERO,
-        false => statement.queue_until.since(came),
+        false => statement.queue_until.since(queued_at),
     };
-    let entered = pool.gate.enter(statement.urgency, patience).await;
-    statement.trace.queued(targets.now().since(came));
+    let entered = pool.gate.enter(statement.urgency, max_wait).await;
+    statement.trace.queued(targets.now().since(queued_at));
     let Ok(permit) = entered else {
         if targets.is_failing(&target.database) {
             statement.trace.ended("silent");
@@ -100,7 +100,10 @@
         statement.trace.ended("queue");
         return Ran::NotRun(Code::Busy);
     };
-    targets.shared.meter.queue_wait(targets.now().since(came));
+    targets
+        .shared
+        .meter
+        .queue_wait(targets.now().since(queued_at));
     let taken = pool.take(&targets.adapter, &target.database, statement.wanted());
     let mut lent = match taken.await {
         Ok(lent) => lent,
@@ -121,7 +124,7 @@
         Ok(Ok(None)) => {}
         Ok(Ok(Some(code))) => {
             note_refusal(targets, statement.trace, target, code);
-            targets.answers(&target.database);
+            targets.responded(&target.database);
             targets.refused(target, None, code == Code::Busy);
             give_back(targets, Box::new(lent), guard);
             return Ran::NotRun(code);
@@ -142,7 +145,7 @@
     drop(permit);
     match sent {
         Ok(answer) => Ran::Answered(answer, Box::new(lent), guard, asked),
-        Err(lost) => Ran::Lost(why(targets, statement, target, asked, &lost)),
+        Err(lost) => Ran::Lost(loss(targets, statement, target, asked, &lost)),
     }
 }
 
@@ -158,10 +161,10 @@
 ) -> Result<(Answer, Time), Failed> {
     let gate = &target.pool.gate;
     loop {
-        let came = targets.now();
-        let patience = statement.queue_until.since(came);
-        let entered = gate.enter(statement.urgency, patience).await;
-        statement.trace.queued(targets.now().since(came));
+        let queued_at = targets.now();
+        let max_wait = statement.queue_until.since(queued_at);
+        let entered = gate.enter(statement.urgency, max_wait).await;
+        statement.trace.queued(targets.now().since(queued_at));
         let Ok(permit) = entered else {
             statement.trace.ended("queue");
             return Err(Failed::Busy);
@@ -174,16 +177,16 @@
         let asked = targets.now();
         let answer = match send(targets, target, statement, connection).await {
             Ok(answer) => answer,
-            Err(lost) => return Err(Failed::Lost(why(targets, statement, target, asked, &lost))),
+            Err(lost) => return Err(Failed::Lost(loss(targets, statement, target, asked, &lost))),
         };
         let busy = matches!(answer.end, End::Error { code, .. } if code == Code::Busy);
-        let again = targets.now() + BUSY_PAUSE < statement.queue_until;
+        let again = targets.now() + BUSY_RETRY_DELAY < statement.queue_until;
         if !busy || answer.state != State::Open || !again {
             return Ok((answer, asked));
         }
         gate.refused(targets.now());
         drop(permit);
-        tokio::time::sleep(BUSY_PAUSE.into()).await;
+        tokio::time::sleep(BUSY_RETRY_DELAY.into()).await;
     }
 }
 
@@ -213,12 +216,12 @@
     let Err(lost) = result.unwrap_or(Err(Lost::Silent)) else {
         return Ok(());
     };
-    why(targets, statement, target, targets.now(), &lost);
+    loss(targets, statement, target, targets.now(), &lost);
     Err(Failed::Broken)
 }
 
 /// Sends a statement and reads its answer until its deadline. Reports the database as failing after
-/// [`SILENT`].
+/// [`SILENCE_TIMEOUT`].
 async fn send(
     targets: &Targets,
     target: &Target,
@@ -229,14 +232,14 @@
     let after = statement.after.filter(|_| statement.begin.is_none());
     let mut run = pin!(connection.run(statement.query, statement.shape, after));
     let left = statement.deadline.since(targets.now());
-    if let Ok(result) = tokio::time::timeout(left.min(SILENT).into(), &mut run).await {
+    if let Ok(result) = tokio::time::timeout(left.min(SILENCE_TIMEOUT).into(), &mut run).await {
         return result;
     }
     targets.failed(&target.database);
     let database = &target.database;
     log::info!(
         request:% = statement.query.id, group:% = database.group, database:% = database.id,
-        epoch:% = Shown(statement.trace.epoch()), took_ms = SILENT.0 / 1_000;
+        epoch:% = Shown(statement.trace.epoch()), took_ms = SILENCE_TIMEOUT.0 / 1_000;
         "no answer yet"
     );
     let left = statement.deadline.since(targets.now());
@@ -245,7 +248,7 @@
 }
 
 /// Records that a statement's answer was lost, and returns the reason.
-fn why(
+fn loss(
     targets: &Targets,
     statement: &Statement<'_>,
     target: &Target,
@@ -262,7 +265,7 @@
     );
     match lost {
         Lost::Silent => {
-            target.pool.distrust(asked);
+            target.pool.close_idle_before(asked);
             Why::Silent
         }
         Lost::Broken(_) | Lost::Garbled(_) => Why::Broken,
@@ -294,7 +297,7 @@
             note_refusal(targets, trace, target, *code);
             // `Full` may be a refusal remembered by the pool, and no new response.
             if *code != Code::Full {
-                targets.answers(database);
+                targets.responded(database);
             }
             targets.refused(target, None, false);
             Ran::NotRun(*code)
@@ -307,9 +310,9 @@
     }
 }
 
-/// Returns a connection to the pool, after rolling back its transaction if one is open. `kept` is
+/// Returns a connection to the pool, after rolling back its transaction if one is open. `guard` is
 /// dropped after that.
-pub fn give_back<G: 'static>(targets: &Targets, mut lent: Box<Lent>, kept: G) {
+pub fn give_back<G: 'static>(targets: &Targets, mut lent: Box<Lent>, guard: G) {
     if lent.connection().is_clean() {
         lent.give_back(&targets.adapter);
         return;
@@ -320,8 +323,8 @@
     let adapter = targets.adapter.clone();
     actix_rt::spawn(async move {
         let rolled = lent.connection().order(&Order::Rollback);
-        let _ = tokio::time::timeout(ROLLBACK.into(), rolled).await;
+        let _ = tokio::time::timeout(ROLLBACK_TIMEOUT.into(), rolled).await;
         lent.give_back(&adapter);
-        drop(kept);
+        drop(guard);
     });
 }
--- a/src/direct/fresh.rs
+++ b/src/direct/fresh.rs
@@ -12,10 +12,10 @@
 
 /// Pairs closer together than this are dropped: for reads of some seconds' age, a resolution finer
 /// than a replica's usual delay gains nothing.
-const SPACING: Span = Span::from_millis(100);
+const MIN_SPACING: Span = Span::from_millis(100);
 
 /// The most pairs per group: enough for 6 s, well over the highest age that routes allow.
-const MOST: usize = 64;
+const MAX_PAIRS: usize = 64;
 
 #[derive(Debug, Clone, Copy)]
 struct Pair {
@@ -24,7 +24,7 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Known {
+struct Positions {
     epoch: Epoch,
     /// Both fields rise strictly from each pair to the next.
     pairs: VecDeque<Pair>,
@@ -45,14 +45,14 @@
 
 /// The newest positions of every group.
 #[derive(Debug, Clone, Default)]
-pub struct Fresh(BTreeMap<GroupId, Known>);
+pub struct Fresh(BTreeMap<GroupId, Positions>);
 
 impl Fresh {
     /// Records that the primary of `epoch`, asked at `asked`, answered with `position`. The lease must
     /// still have been valid after the answer was read.
     pub fn learn(&mut self, group: &GroupId, epoch: Epoch, asked: Time, position: Position) {
         if !self.0.contains_key(group) {
-            self.0.insert(group.clone(), Known::default());
+            self.0.insert(group.clone(), Positions::default());
         }
         let Some(known) = self.0.get_mut(group) else {
             return;
@@ -97,8 +97,13 @@
     }
 
     /// Records a position from another VM that was asked at `asked`; network time counts as age.
-    pub fn hear(&mut self, told: &Progress, asked: Time) {
-        self.learn(&told.group, told.epoch, asked - told.age, told.position);
+    pub fn hear(&mut self, progress: &Progress, asked: Time) {
+        self.learn(
+            &progress.group,
+            progress.epoch,
+            asked - progress.age,
+            progress.position,
+        );
     }
 
     /// Discards positions of epochs before `epoch`: the log may have lost them.
@@ -112,10 +117,10 @@
     }
 }
 
-impl Known {
+impl Positions {
     fn add(&mut self, new: Pair) {
-        let says_more = |old: &Pair| old.asked >= new.asked && old.position <= new.position;
-        if self.pairs.iter().rev().any(says_more) {
+        let supersedes = |old: &Pair| old.asked >= new.asked && old.position <= new.position;
+        if self.pairs.iter().rev().any(supersedes) {
             return;
         }
         self.pairs
@@ -126,18 +131,18 @@
         }
         let at = at.min(self.pairs.len());
         self.pairs.insert(at, new);
-        if self.pairs.len() > MOST {
+        if self.pairs.len() > MAX_PAIRS {
             self.pairs.pop_front();
         }
     }
 
-    /// Drops the newest pair if it is closer than [`SPACING`] to the one before it.
+    /// Drops the newest pair if it is closer than [`MIN_SPACING`] to the one before it.
     fn thin_newest(&mut self) {
         let mut newest = self.pairs.iter().rev();
         let (Some(last), Some(before)) = (newest.next(), newest.next()) else {
             return;
         };
-        if last.asked.since(before.asked) < SPACING {
+        if last.asked.since(before.asked) < MIN_SPACING {
             self.pairs.pop_back();
         }
     }
--- a/src/direct/front.rs
+++ b/src/direct/front.rs
@@ -16,17 +16,17 @@
 
 /// How long the load balancer may still send callers after a stop has begun: it probes every second
 /// and acts on the second answer.
-const BALANCED: Span = Span::from_millis(2_200);
+const BALANCER_DELAY: Span = Span::from_millis(2_200);
 
 /// The part of a stop's grace period that is reserved for sending the last answers.
-const LAST_ANSWERS: Span = Span::from_millis(400);
+const ANSWER_RESERVE: Span = Span::from_millis(400);
 
 /// How long a caller with an unknown key waits for a newer configuration: a heartbeat's round trip
 /// between regions plus the transfer of a long configuration from a near VM.
-const CONFIG_WAIT: Span = Span::from_millis(250);
+const CONFIG_TIMEOUT: Span = Span::from_millis(250);
 
 /// The shortest interval between two requests for a newer configuration on behalf of such callers.
-const CONFIG_WANTED_EVERY: Span = Span::from_secs(1);
+const CONFIG_REQUEST_INTERVAL: Span = Span::from_secs(1);
 
 /// The location of this VM.
 #[derive(Debug, Clone)]
@@ -78,7 +78,7 @@
     sessions: Cell<u32>,
     ended: Notify,
     /// When a newer configuration was last asked for.
-    config_wanted: Cell<Time>,
+    config_requested: Cell<Time>,
 }
 
 impl fmt::Debug for Front {
@@ -95,7 +95,7 @@
             adapter,
             shared,
             stopping: watch::Sender::new(Stopping::No),
-            config_wanted: Cell::default(),
+            config_requested: Cell::default(),
             sessions: Cell::new(0),
             ended: Notify::new(),
         })
@@ -114,18 +114,18 @@
     /// no more callers, open transactions after half of `grace`.
     pub async fn stop(&self, grace: Span) {
         let half = grace.percent(50);
-        tokio::time::sleep(BALANCED.min(half).into()).await;
+        tokio::time::sleep(BALANCER_DELAY.min(half).into()).await;
         self.stopping.send_replace(Stopping::Idle);
-        let rest = half.0.saturating_sub(BALANCED.0);
-        if self.is_over(Span(rest)).await {
+        let rest = half.0.saturating_sub(BALANCER_DELAY.0);
+        if self.all_ended_within(Span(rest)).await {
             return;
         }
         self.stopping.send_replace(Stopping::Transactions);
-        let rest = half.0.saturating_sub(LAST_ANSWERS.0);
-        self.is_over(Span(rest)).await;
+        let rest = half.0.saturating_sub(ANSWER_RESERVE.0);
+        self.all_ended_within(Span(rest)).await;
     }
 
-    async fn is_over(&self, span: Span) -> bool {
+    async fn all_ended_within(&self, span: Span) -> bool {
         let all_ended = async {
             while self.sessions.get() > 0 {
                 self.ended.notified().await;
@@ -142,16 +142,16 @@
     pub async fn wait_for_newer_config(&self) {
         let mut configs = self.shared.configs();
         let now = self.now();
-        let asked = self.config_wanted.get();
-        let since = match asked > Time::default() && now < asked + CONFIG_WANTED_EVERY {
-            true => asked,
+        let requested = self.config_requested.get();
+        let since = match requested > Time::default() && now < requested + CONFIG_REQUEST_INTERVAL {
+            true => requested,
             false => {
-                self.config_wanted.set(now);
+                self.config_requested.set(now);
                 self.shared.wants_config.notify_one();
                 now
             }
         };
-        let left = (since + CONFIG_WAIT).since(now);
+        let left = (since + CONFIG_TIMEOUT).since(now);
         if left > Span::ZERO {
             let _ = tokio::time::timeout(left.into(), configs.changed()).await;
         }
--- a/src/direct/gate.rs
+++ b/src/direct/gate.rs
@@ -16,36 +16,36 @@
 use tokio::sync::oneshot;
 
 /// The assumed time of a statement before the first answer: that of a usual short statement.
-const UNKNOWN: Span = Span::from_millis(15);
+const INITIAL_TIME: Span = Span::from_millis(15);
 
-/// A new sample has the weight 1/`WEIGHT` in the average time: a database that became slow is
+/// A new sample has the weight `1 / AVERAGE_WEIGHT` in the average time: a database that became slow is
 /// detected after about ten answers.
-const WEIGHT: u64 = 8;
+const AVERAGE_WEIGHT: u64 = 8;
 
 /// The factor by which a refusal lowers the limit.
-const CUT: f64 = 0.5;
+const DECREASE_FACTOR: f64 = 0.5;
 
 /// Refusals closer together than this have the same cause and lower the limit only once.
-const SAME_CROWD: Span = Span::from_millis(50);
+const MIN_DECREASE_INTERVAL: Span = Span::from_millis(50);
 
 /// The shortest retry time given to a caller: retrying within about a statement's time is useless.
-const LEAST_RETRY: Span = Span::from_millis(20);
+const MIN_RETRY_DELAY: Span = Span::from_millis(20);
 
 /// The position of work in the queue: lower values go first.
 pub type Urgency = u8;
 
 /// The urgency of statements of an open transaction, which holds a connection while it waits.
-pub const OPEN: Urgency = 0;
+pub const OPEN_TRANSACTION: Urgency = 0;
 
 #[derive(Debug)]
 struct Inner {
     slots: u32,
-    allowed: f64,
+    limit: f64,
     running: u32,
-    turn: u64,
+    sequence: u64,
     waiting: BTreeMap<(Urgency, u64), oneshot::Sender<Permit>>,
     typical: Span,
-    cut_at: Time,
+    decreased_at: Time,
 }
 
 /// The limiter of one database.
@@ -69,12 +69,12 @@
     pub fn new(slots: u32) -> Self {
         Self(Rc::new(RefCell::new(Inner {
             slots: slots.max(1),
-            allowed: f64::from(slots.max(1)),
+            limit: f64::from(slots.max(1)),
             running: 0,
-            turn: 0,
+            sequence: 0,
             waiting: BTreeMap::new(),
-            typical: UNKNOWN,
-            cut_at: Time::default(),
+            typical: INITIAL_TIME,
+            decreased_at: Time::default(),
         })))
     }
 
@@ -83,7 +83,7 @@
         let mut inner = self.0.borrow_mut();
         if inner.slots != slots.max(1) {
             inner.slots = slots.max(1);
-            inner.allowed = f64::from(inner.slots);
+            inner.limit = f64::from(inner.slots);
         }
     }
 
@@ -98,16 +98,16 @@
     }
 
     /// A permit within `max_wait`, or the time after which to retry.
-    pub async fn enter(&self, urgency: Urgency, patience: Span) -> Result<Permit, Span> {
+    pub async fn enter(&self, urgency: Urgency, max_wait: Span) -> Result<Permit, Span> {
         if let Some(permit) = self.try_enter() {
             return Ok(permit);
         }
         let wait = self.wait(urgency);
-        if wait > patience {
+        if wait > max_wait {
             return Err(self.retry());
         }
-        let (key, turn) = self.queue(urgency);
-        match tokio::time::timeout(patience.into(), turn).await {
+        let (key, permit) = self.queue(urgency);
+        match tokio::time::timeout(max_wait.into(), permit).await {
             Ok(Ok(permit)) => Ok(permit),
             _ => {
                 self.0.borrow_mut().waiting.remove(&key);
@@ -118,8 +118,8 @@
 
     fn queue(&self, urgency: Urgency) -> ((Urgency, u64), oneshot::Receiver<Permit>) {
         let mut inner = self.0.borrow_mut();
-        inner.turn += 1;
-        let key = (urgency, inner.turn);
+        inner.sequence += 1;
+        let key = (urgency, inner.sequence);
         let (sender, receiver) = oneshot::channel();
         inner.waiting.insert(key, sender);
         (key, receiver)
@@ -132,7 +132,7 @@
             return Span::ZERO;
         }
         let before = inner.waiting.range(..=(urgency, u64::MAX)).count() as f64 + 1.0;
-        Span((inner.typical.0 as f64 * before / inner.allowed.max(1.0)) as u64)
+        Span((inner.typical.0 as f64 * before / inner.limit.max(1.0)) as u64)
     }
 
     /// The moving average of recent statement times.
@@ -142,26 +142,26 @@
 
     /// After what time work that is refused now should be retried.
     pub fn retry(&self) -> Span {
-        self.wait(Urgency::MAX).max(LEAST_RETRY)
+        self.wait(Urgency::MAX).max(MIN_RETRY_DELAY)
     }
 
     /// Records that a statement was answered after `took`.
     pub fn answered(&self, took: Span) {
         let mut inner = self.0.borrow_mut();
-        let typical = (inner.typical.0 * (WEIGHT - 1) + took.0) / WEIGHT;
+        let typical = (inner.typical.0 * (AVERAGE_WEIGHT - 1) + took.0) / AVERAGE_WEIGHT;
         inner.typical = Span(typical);
-        let raised = inner.allowed + 1.0 / inner.allowed.max(1.0);
-        inner.allowed = raised.min(f64::from(inner.slots));
+        let raised = inner.limit + 1.0 / inner.limit.max(1.0);
+        inner.limit = raised.min(f64::from(inner.slots));
     }
 
     /// Records that the database refused a statement because it is busy.
     pub fn refused(&self, now: Time) {
         let mut inner = self.0.borrow_mut();
-        if now.since(inner.cut_at) < SAME_CROWD {
+        if now.since(inner.decreased_at) < MIN_DECREASE_INTERVAL {
             return;
         }
-        inner.cut_at = now;
-        inner.allowed = (inner.allowed * CUT).max(1.0);
+        inner.decreased_at = now;
+        inner.limit = (inner.limit * DECREASE_FACTOR).max(1.0);
     }
 
     fn leave(&self) {
@@ -187,6 +187,6 @@
 
 impl Inner {
     fn has_room(&self) -> bool {
-        f64::from(self.running) + 1.0 <= self.allowed.max(1.0).round()
+        f64::from(self.running) + 1.0 <= self.limit.max(1.0).round()
     }
 }
--- a/src/direct/history.rs
+++ b/src/direct/history.rs
@@ -3,14 +3,14 @@
 //! When one entry changes in a list of hundreds of VMs, databases or primaries, every VM gets the change
 //! with its next heartbeat. Sending the whole list to each would be 70 MB per change with 300 VMs and 700
 //! groups, over a link of 10 Mbit/s: answers would be late, VMs would count as silent, and that changes
-//! the list again. The last [`STEPS`] changes are kept, some seconds of a rolling restart; a VM with an
+//! the list again. The last [`MAX_STEPS`] changes are kept, some seconds of a rolling restart; a VM with an
 //! older state has been disconnected.
 
 use std::collections::{BTreeSet, VecDeque};
 
 /// The most changes that are kept, and the most entries that they may name in total.
-const STEPS: usize = 64;
-const MOST: usize = 2_048;
+const MAX_STEPS: usize = 64;
+const MAX_NAMED_ENTRIES: usize = 2_048;
 
 /// The last changes of a list, identified by the digest of the list before each.
 #[derive(Debug, Clone)]
@@ -42,7 +42,7 @@
     pub fn note(&mut self, before: u64, changed: Vec<K>) {
         self.named += changed.len();
         self.steps.push_back(Step { before, changed });
-        while self.steps.len() > STEPS || self.named > MOST {
+        while self.steps.len() > MAX_STEPS || self.named > MAX_NAMED_ENTRIES {
             let Some(oldest) = self.steps.pop_front() else {
                 return;
             };
--- a/src/direct/job.rs
+++ b/src/direct/job.rs
@@ -13,7 +13,7 @@
 /// The percentage of a route's timeout that a statement may wait for a primary. A planned change takes
 /// less. Callers try three times; with 50, VMs that could not serve them held them for most of their
 /// time (the price of trilho-sede's trouble-3 was 0.106 in all, 0.046 with 25).
-const NEWS_PERCENT: u64 = 25;
+const PRIMARY_WAIT_PERCENT: u64 = 25;
 
 /// The percentage of a route's objective that work may wait for a busy database. A later refusal costs
 /// its caller time in which another VM could have served it. With 25, refusals reached their callers
@@ -98,13 +98,13 @@
 
     /// Until when it may wait for a primary.
     pub fn news_until(&self) -> Time {
-        self.came + self.route.timeout.percent(NEWS_PERCENT)
+        self.came + self.route.timeout.percent(PRIMARY_WAIT_PERCENT)
     }
 
     /// Its position in the queue.
     pub fn urgency(&self) -> Urgency {
         match self.part {
-            Part::Next => gate::OPEN,
+            Part::Next => gate::OPEN_TRANSACTION,
             Part::Single | Part::First { .. } => self.route.priority.saturating_add(1),
         }
     }
@@ -123,7 +123,7 @@
     }
 
     /// Whether nothing of it can be kept, even if it ran.
-    pub fn is_kept_by_nobody(&self) -> bool {
+    pub fn keeps_nothing(&self) -> bool {
         matches!(self.part, Part::First { .. }) || self.is_repeatable()
     }
 
--- a/src/direct/lead.rs
+++ b/src/direct/lead.rs
@@ -81,17 +81,17 @@
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct Record {
     lead: Lead,
     asked: Time,
     /// When the quorum that last confirmed this epoch was asked.
-    vouched: Option<Time>,
+    confirmed: Option<Time>,
 }
 
 /// This VM's leads and leases, by group.
 #[derive(Debug, Clone, Default)]
 pub struct Book {
-    groups: BTreeMap<GroupId, Known>,
+    groups: BTreeMap<GroupId, Record>,
     /// Epochs up to this one were released. Also kept for groups that no read has returned yet: a
     /// read in flight may still return the released epoch.
     dropped: BTreeMap<GroupId, Epoch>,
@@ -104,20 +104,20 @@
 impl Book {
     /// Records the lead returned by a read requested at `asked`. Older epochs are ignored.
     pub fn learn(&mut self, group: &GroupId, lead: Lead, asked: Time) {
-        let known = self.groups.get(group);
-        if known.is_none_or(|known| known.lead != lead) {
+        let record = self.groups.get(group);
+        if record.is_none_or(|record| record.lead != lead) {
             self.digest.set(None);
         }
         match self.groups.get_mut(group) {
             None => {
-                let known = Known {
+                let record = Record {
                     lead,
                     asked,
-                    vouched: None,
+                    confirmed: None,
                 };
-                self.groups.insert(group.clone(), known);
+                self.groups.insert(group.clone(), record);
             }
-            Some(known) => known.learn(lead, asked),
+            Some(record) => record.learn(lead, asked),
         }
     }
 
@@ -136,8 +136,8 @@
 
     /// Releases all epochs.
     pub fn drop_all(&mut self) {
-        let known = self.groups.iter();
-        let epochs: Vec<_> = known.map(|(g, k)| (g.clone(), k.lead.epoch)).collect();
+        let record = self.groups.iter();
+        let epochs: Vec<_> = record.map(|(g, k)| (g.clone(), k.lead.epoch)).collect();
         for (group, epoch) in epochs {
             self.drop_epoch(&group, epoch);
         }
@@ -145,15 +145,15 @@
 
     /// The lease on a group's primary under which new work may start at `now`.
     pub fn lease(&self, group: &GroupId, now: Time) -> Option<Lease> {
-        let known = self.groups.get(group)?;
+        let record = self.groups.get(group)?;
         let closed = self.closed.get(group).copied().unwrap_or_default();
-        let open = !known.lead.changing && known.lead.epoch > closed;
-        let usable = open && self.holds(group, known.lead.epoch, now);
+        let open = !record.lead.changing && record.lead.epoch > closed;
+        let usable = open && self.holds(group, record.lead.epoch, now);
         usable.then(|| Lease {
-            epoch: known.lead.epoch,
-            primary: known.lead.primary.clone(),
-            born: known.lead.born,
-            until: known.until(),
+            epoch: record.lead.epoch,
+            primary: record.lead.primary.clone(),
+            born: record.lead.born,
+            until: record.until(),
         })
     }
 
@@ -163,50 +163,50 @@
     /// released the epoch, or until the lease from its last read before that has expired.
     pub fn holds(&self, group: &GroupId, epoch: Epoch, now: Time) -> bool {
         let dropped = self.dropped.get(group).copied().unwrap_or_default();
-        self.groups.get(group).is_some_and(|known| {
-            let leads = known.lead.epoch == epoch || known.lead.continues == Some(epoch);
-            leads && known.lead.epoch > dropped && now < known.until()
+        self.groups.get(group).is_some_and(|record| {
+            let leads = record.lead.epoch == epoch || record.lead.continues == Some(epoch);
+            leads && record.lead.epoch > dropped && now < record.until()
         })
     }
 
     /// Whether a replacement of the primary is known to have begun.
     pub fn is_changing(&self, group: &GroupId) -> bool {
         let ended = |of: &BTreeMap<GroupId, Epoch>| of.get(group).copied().unwrap_or_default();
-        let given_up = ended(&self.dropped).max(ended(&self.closed));
+        let released = ended(&self.dropped).max(ended(&self.closed));
         self.groups
             .get(group)
-            .is_some_and(|known| known.lead.changing || known.lead.epoch <= given_up)
+            .is_some_and(|record| record.lead.changing || record.lead.epoch <= released)
     }
 
     /// The epochs that this VM confirms to others: neither released, nor closed, nor being replaced
     /// in its own latest read, which must be younger than [`LEASE`]. A VM whose row was removed has no
     /// such read, so a replacement need not wait for it.
     pub fn vouches(&self, now: Time) -> Vec<(GroupId, Epoch)> {
-        let open = |(group, known): &(&GroupId, &Known)| {
+        let open = |(group, record): &(&GroupId, &Record)| {
             let ended = |of: &BTreeMap<GroupId, Epoch>| {
                 let epoch = of.get(*group).copied().unwrap_or_default();
-                known.lead.epoch <= epoch
+                record.lead.epoch <= epoch
             };
-            let given_up = ended(&self.dropped) || ended(&self.closed);
-            !given_up && !known.lead.changing && now < known.asked + LEASE
+            let released = ended(&self.dropped) || ended(&self.closed);
+            !released && !record.lead.changing && now < record.asked + LEASE
         };
         let open = self.groups.iter().filter(open);
-        open.map(|(group, known)| (group.clone(), known.lead.epoch))
+        open.map(|(group, record)| (group.clone(), record.lead.epoch))
             .collect()
     }
 
     /// Extends the lease on a group's epoch that a quorum, asked at `asked`, has confirmed. Returns
     /// whether the lease became longer.
     pub fn vouch(&mut self, group: &GroupId, epoch: Epoch, asked: Time) -> bool {
-        let Some(known) = self.groups.get_mut(group) else {
+        let Some(record) = self.groups.get_mut(group) else {
             return false;
         };
-        if known.lead.epoch != epoch || known.lead.changing {
+        if record.lead.epoch != epoch || record.lead.changing {
             return false;
         }
-        let until = known.until();
-        known.vouched = known.vouched.max(Some(asked));
-        known.until() > until
+        let until = record.until();
+        record.confirmed = record.confirmed.max(Some(asked));
+        record.until() > until
     }
 
     /// When the lease on a group's epoch expires, unless it is released before.
@@ -216,17 +216,17 @@
 
     /// The latest known lead of a group, and when its read was requested.
     pub fn known(&self, group: &GroupId) -> Option<(&Lead, Time)> {
-        let known = self.groups.get(group)?;
-        Some((&known.lead, known.asked))
+        let record = self.groups.get(group)?;
+        Some((&record.lead, record.asked))
     }
 
     /// Digest of all known leads.
     pub fn digest(&self) -> u64 {
-        if let Some(known) = self.digest.get() {
-            return known;
+        if let Some(digest) = self.digest.get() {
+            return digest;
         }
         let leads = self.groups.iter();
-        let digest = digest(leads.map(|(group, known)| (group, &known.lead)));
+        let digest = digest(leads.map(|(group, record)| (group, &record.lead)));
         self.digest.set(Some(digest));
         digest
     }
@@ -234,7 +234,7 @@
     /// All known leads, if their digest is `by`.
     pub fn shown(&self, by: u64) -> Option<Vec<(GroupId, Lead)>> {
         let leads = self.groups.iter();
-        let leads = || leads.map(|(group, known)| (group.clone(), known.lead.clone()));
+        let leads = || leads.map(|(group, record)| (group.clone(), record.lead.clone()));
         (self.digest() == by).then(|| leads().collect())
     }
 
@@ -244,9 +244,9 @@
     }
 }
 
-impl Known {
+impl Record {
     fn until(&self) -> Time {
-        let extended = self.vouched.unwrap_or_default() + TERM;
+        let extended = self.confirmed.unwrap_or_default() + TERM;
         (self.asked + TERM).max(extended.min(self.asked + LEASE))
     }
 
@@ -255,7 +255,7 @@
             return;
         }
         if lead.epoch > self.lead.epoch {
-            self.vouched = None;
+            self.confirmed = None;
         }
         // A read that shows a change in progress gives no lease: it must not extend the lease from
         // a read before the change.
--- a/src/direct/owner.rs
+++ b/src/direct/owner.rs
@@ -18,14 +18,14 @@
 
 /// How many VMs own connections to a database if not all do. A frozen owner delays a third of the
 /// statements until it is detected; with more owners each one would see a smaller part of the queue.
-pub const OWNERS: usize = 3;
+pub const MAX_OWNERS: usize = 3;
 
 /// With at least this many connections per VM, every VM connects directly. Two are enough for a
 /// statement and a transaction at once.
-const OWN_SHARE: usize = 2;
+const MIN_CONNECTIONS_PER_VM: usize = 2;
 
 /// The percentage of its share of a database's connections that a VM keeps open between statements.
-const KEPT_PERCENT: u32 = 66;
+const KEPT_OPEN_PERCENT: u32 = 66;
 
 /// How a VM reaches a database.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 
 /// A database to connect to.
 #[derive(Debug, Clone, Copy)]
-pub struct Goal<'a> {
+pub struct Destination<'a> {
     /// Its id.
     pub id: &'a DatabaseId,
     /// The number of connections that it accepts.
@@ -54,12 +54,16 @@
     Owners(Vec<SocketAddr>),
 }
 
-/// Which VMs connect to `goal`; `is_near` returns whether a failure domain is near it.
-pub fn access(fellows: &[Fellow], goal: Goal<'_>, is_near: impl Fn(&Domain) -> bool) -> Access {
-    if fellows.len() * OWN_SHARE <= goal.connections as usize {
+/// Which VMs connect to `destination`; `is_near` returns whether a failure domain is near it.
+pub fn access(
+    peers: &[Fellow],
+    destination: Destination<'_>,
+    is_near: impl Fn(&Domain) -> bool,
+) -> Access {
+    if peers.len() * MIN_CONNECTIONS_PER_VM <= destination.connections as usize {
         return Access::All;
     }
-    match owners(fellows, goal.id, is_near) {
+    match owners(peers, destination.id, is_near) {
         owners if owners.is_empty() => Access::All,
         owners => Access::Owners(owners),
     }
@@ -70,14 +74,14 @@
     ///
     /// The rest is left for transactions, and for VMs that restart after a power loss while the
     /// database still counts the connections of their previous processes for some seconds.
-    pub fn places(&self, connections: u32, vms: usize) -> u32 {
+    pub fn max_kept(&self, connections: u32, vms: usize) -> u32 {
         let sharers = match self {
             Self::All => vms.max(1),
             Self::Owners(owners) => owners.len(),
         };
         let share = connections / u32::try_from(sharers).unwrap_or(u32::MAX);
         // Without a configuration the number of connections is unbounded.
-        share.saturating_mul(KEPT_PERCENT) / 100
+        share.saturating_mul(KEPT_OPEN_PERCENT) / 100
     }
 
     /// How a VM with relay address `relay` reaches the database `id`, for no particular organisation.
@@ -125,20 +129,20 @@
 /// The owners of a database: the first VMs near it by rendezvous hashing, and VMs further away if
 /// those are too few. If one VM joins or leaves, only the databases that it owns change owners.
 pub fn owners(
-    fellows: &[Fellow],
+    peers: &[Fellow],
     id: &DatabaseId,
     is_near: impl Fn(&Domain) -> bool,
 ) -> Vec<SocketAddr> {
     let seed = xxh3_64(id.as_str().as_bytes());
-    let relays = fellows.iter().filter_map(|fellow| {
-        let relay = fellow.serves()?;
-        let far = !is_near(&fellow.domain);
+    let relays = peers.iter().filter_map(|peer| {
+        let relay = peer.serves()?;
+        let far = !is_near(&peer.domain);
         Some((far, Reverse(weight(relay, seed)), relay))
     });
     let mut relays: Vec<_> = relays.collect();
-    if relays.len() > OWNERS {
-        relays.select_nth_unstable(OWNERS - 1);
-        relays.truncate(OWNERS);
+    if relays.len() > MAX_OWNERS {
+        relays.select_nth_unstable(MAX_OWNERS - 1);
+        relays.truncate(MAX_OWNERS);
     }
     relays.sort_unstable();
     relays.into_iter().map(|(_, _, relay)| relay).collect()
--- a/src/direct/pool.rs
+++ b/src/direct/pool.rs
@@ -21,34 +21,34 @@
 
 /// Time limit for opening a connection: several times a round trip between regions plus the wait for
 /// a slot of a busy database.
-const OPENING: Span = Span::from_millis(600);
+const OPEN_TIMEOUT: Span = Span::from_millis(600);
 
 /// How long a connection stays idle before it is closed. Opening one occupies a slot for 12 ms, but
 /// an idle one is not available to other VMs. When all VMs lose power, a database counts their
 /// connections for another 3 s, so restarting VMs can use only those that were free before.
-const IDLE: Span = Span::from_millis(400);
+const IDLE_TIMEOUT: Span = Span::from_millis(400);
 
 /// How long no connection is opened after a first refusal because the database is full: the time of
 /// one or two statements of a transaction.
-const FULL_PAUSE: Span = Span::from_millis(40);
+const MIN_FULL_DELAY: Span = Span::from_millis(40);
 
 /// How long no connections are kept idle after a refusal because the database is full.
-const SCARCE: Span = Span::from_secs(1);
+const SCARCITY_PERIOD: Span = Span::from_secs(1);
 
 /// How long a reported log position counts as current. An owner gets one with each answer, some
 /// hundred per second, and a lagging replica advances in jumps.
-const POSITION_LIFE: Span = Span::from_millis(40);
+const MAX_POSITION_AGE: Span = Span::from_millis(40);
 
 /// The longest delay after repeated refusals: a database drops the connections of a lost VM after
 /// some seconds.
-const LONGEST_FULL_PAUSE: Span = Span::from_millis(320);
+const MAX_FULL_DELAY: Span = Span::from_millis(320);
 
 /// How long an organisation's connection stays idle while the pool is within its limit: a small
 /// organisation sends a statement every few seconds.
-const KEPT: Span = Span::from_secs(10);
+const ORGANISATION_IDLE_TIMEOUT: Span = Span::from_secs(10);
 
 /// The shortest interval between two checks for idle connections to close.
-const LEAST_REST: Span = Span::from_millis(50);
+const MIN_SWEEP_INTERVAL: Span = Span::from_millis(50);
 
 /// What a statement requires of its connection.
 #[derive(Debug, Clone, Copy)]
@@ -66,11 +66,11 @@
     pub gate: Gate,
     idle: RefCell<Vec<Connection>>,
     /// The number of connections in use.
-    lent: Cell<u32>,
+    in_use: Cell<u32>,
     /// The most connections that are kept open, including those in use.
-    places: Cell<u32>,
+    max_kept: Cell<u32>,
     full_until: Cell<Time>,
-    full_pause: Cell<Span>,
+    full_delay: Cell<Span>,
     returned: Notify,
     waiting: Cell<u32>,
     /// Until when a statement would have to wait at the owner that was asked last.
@@ -84,42 +84,42 @@
 #[derive(Debug)]
 pub struct Lent {
     connection: Connection,
-    seat: Seat,
+    usage: Usage,
     opened: bool,
 }
 
 /// Counts a connection as in use, and notifies a waiting task when it is free again.
 #[derive(Debug)]
-struct Seat {
+struct Usage {
     pool: Rc<Pool>,
     /// Whether it has a connection: if opening failed, no waiting task is notified.
-    taken: bool,
+    connected: bool,
 }
 
-impl Seat {
+impl Usage {
     fn new(pool: &Rc<Pool>) -> Self {
-        pool.lent.set(pool.lent.get() + 1);
+        pool.in_use.set(pool.in_use.get() + 1);
         Self {
             pool: pool.clone(),
-            taken: true,
+            connected: true,
         }
     }
 }
 
-impl Drop for Seat {
+impl Drop for Usage {
     fn drop(&mut self) {
-        self.pool.lent.set(self.pool.lent.get() - 1);
-        if self.taken {
+        self.pool.in_use.set(self.pool.in_use.get() - 1);
+        if self.connected {
             self.pool.returned.notify_one();
         }
     }
 }
 
 impl Lent {
-    fn new(connection: Connection, seat: Seat, opened: bool) -> Self {
+    fn new(connection: Connection, usage: Usage, opened: bool) -> Self {
         Self {
             connection,
-            seat,
+            usage,
             opened,
         }
     }
@@ -138,12 +138,12 @@
     pub fn give_back(self, adapter: &Adapter) {
         let Self {
             mut connection,
-            seat,
+            usage,
             opened: _,
         } = self;
         let now = (adapter.clock)();
-        let pool = seat.pool.clone();
-        if !connection.is_clean() || pool.leaves_to_others(now) {
+        let pool = usage.pool.clone();
+        if !connection.is_clean() || pool.is_scarce(now) {
             return;
         }
         connection.used = now;
@@ -158,10 +158,10 @@
         Rc::new(Self {
             gate: Gate::new(slots),
             idle: RefCell::default(),
-            lent: Cell::new(0),
-            places: Cell::new(0),
+            in_use: Cell::new(0),
+            max_kept: Cell::new(0),
             full_until: Cell::default(),
-            full_pause: Cell::new(FULL_PAUSE),
+            full_delay: Cell::new(MIN_FULL_DELAY),
             returned: Notify::new(),
             waiting: Cell::new(0),
             owner_waits: Cell::default(),
@@ -178,24 +178,24 @@
         wanted: Wanted<'_>,
     ) -> Result<Lent, Closed> {
         if let Some(connection) = self.reuse(wanted) {
-            return Ok(Lent::new(connection, Seat::new(self), false));
+            return Ok(Lent::new(connection, Usage::new(self), false));
         }
         if (adapter.clock)() < self.full_until.get() {
             return Err(Closed::Refused(Code::Full));
         }
-        let mut seat = Seat::new(self);
+        let mut usage = Usage::new(self);
         if wanted.organisation.is_some() {
             self.make_room();
         }
-        match Connection::open(adapter, database, wanted.organisation, OPENING).await {
+        match Connection::open(adapter, database, wanted.organisation, OPEN_TIMEOUT).await {
             Ok(connection) => {
-                self.full_pause.set(FULL_PAUSE);
-                Ok(Lent::new(connection, seat, true))
+                self.full_delay.set(MIN_FULL_DELAY);
+                Ok(Lent::new(connection, usage, true))
             }
             Err(closed) => {
-                seat.taken = false;
+                usage.connected = false;
                 if let Closed::Refused(Code::Full) = closed {
-                    self.pause((adapter.clock)());
+                    self.back_off((adapter.clock)());
                 }
                 Err(closed)
             }
@@ -203,15 +203,15 @@
     }
 
     /// Sets the most connections that are kept open.
-    pub fn resize(&self, places: u32) {
-        self.places.set(places);
+    pub fn resize(&self, max_kept: u32) {
+        self.max_kept.set(max_kept);
     }
 
     /// Closes the connection that was idle longest, if the limit of open connections is exceeded.
     fn make_room(&self) {
         let mut idle = self.idle.borrow_mut();
-        let held = idle.len() + self.lent.get() as usize;
-        if held <= self.places.get() as usize {
+        let open = idle.len() + self.in_use.get() as usize;
+        if open <= self.max_kept.get() as usize {
             return;
         }
         let oldest = idle.iter().enumerate().min_by_key(|(_, one)| one.used);
@@ -221,20 +221,20 @@
     }
 
     /// How long a connection stays idle before it is closed.
-    fn keeps(&self, connection: &Connection) -> Span {
-        let held = self.idle.borrow().len() + self.lent.get() as usize;
+    fn idle_timeout(&self, connection: &Connection) -> Span {
+        let open = self.idle.borrow().len() + self.in_use.get() as usize;
         match connection.organisation() {
-            Some(_) if held <= self.places.get() as usize => KEPT,
-            _ => IDLE,
+            Some(_) if open <= self.max_kept.get() as usize => ORGANISATION_IDLE_TIMEOUT,
+            _ => IDLE_TIMEOUT,
         }
     }
 
     /// Opens no connection for a while; the delay doubles with each consecutive refusal.
-    fn pause(&self, now: Time) {
-        let pause = self.full_pause.get();
-        self.full_until.set(now + pause);
-        let longer = pause.percent(200).min(LONGEST_FULL_PAUSE);
-        self.full_pause.set(longer);
+    fn back_off(&self, now: Time) {
+        let delay = self.full_delay.get();
+        self.full_until.set(now + delay);
+        let longer = delay.percent(200).min(MAX_FULL_DELAY);
+        self.full_delay.set(longer);
     }
 
     /// After what time a caller that got no connection should retry: during consecutive refusals,
@@ -245,14 +245,14 @@
     }
 
     /// Records the log position that the database reported.
-    pub fn has(&self, position: Position, now: Time) {
+    pub fn note_position(&self, position: Position, now: Time) {
         self.position.set(Some((position, now)));
     }
 
     /// The last reported log position, if it is recent enough to count as current.
     pub fn position(&self, now: Time) -> Option<Position> {
         let (position, at) = self.position.get()?;
-        (now < at + POSITION_LIFE).then_some(position)
+        (now < at + MAX_POSITION_AGE).then_some(position)
     }
 
     /// Records until when a statement would have to wait at an owner.
@@ -270,7 +270,7 @@
     /// Waits until a connection is returned, or a retry is due.
     pub async fn wait(&self) {
         self.waiting.set(self.waiting.get() + 1);
-        let _ = tokio::time::timeout(FULL_PAUSE.into(), self.returned.notified()).await;
+        let _ = tokio::time::timeout(MIN_FULL_DELAY.into(), self.returned.notified()).await;
         self.waiting.set(self.waiting.get() - 1);
     }
 
@@ -278,16 +278,16 @@
     ///
     /// While a database is full, some VMs could hold all its connections by using them occasionally;
     /// others would have none and could not even read its log position.
-    fn leaves_to_others(&self, now: Time) -> bool {
+    fn is_scarce(&self, now: Time) -> bool {
         let was_full = self.full_until.get() > Time::default();
-        was_full && self.waiting.get() == 0 && now < self.full_until.get() + SCARCE
+        was_full && self.waiting.get() == 0 && now < self.full_until.get() + SCARCITY_PERIOD
     }
 
     /// Closes idle connections last used before `since`: when one connection stops responding, others
     /// opened before then have often stopped too.
-    pub fn distrust(&self, since: Time) {
-        let trusted = |connection: &Connection| connection.used >= since;
-        self.idle.borrow_mut().retain(trusted);
+    pub fn close_idle_before(&self, since: Time) {
+        let used_since = |connection: &Connection| connection.used >= since;
+        self.idle.borrow_mut().retain(used_since);
     }
 
     /// Takes the idle connection that fits a session's values best; of equal ones the most recent.
@@ -311,7 +311,7 @@
         let clock = adapter.clock.clone();
         actix_rt::spawn(async move {
             while let Some(due) = pool.due() {
-                let rest = due.since(clock()).max(LEAST_REST);
+                let rest = due.since(clock()).max(MIN_SWEEP_INTERVAL);
                 tokio::time::sleep(rest.into()).await;
                 pool.close_unused(clock());
             }
@@ -322,12 +322,16 @@
     /// When the next idle connection is due to be closed.
     fn due(&self) -> Option<Time> {
         let idle = self.idle.borrow();
-        idle.iter().map(|one| one.used + self.keeps(one)).min()
+        idle.iter()
+            .map(|one| one.used + self.idle_timeout(one))
+            .min()
     }
 
     fn close_unused(&self, now: Time) {
         let idle = self.idle.borrow();
-        let kept = idle.iter().map(|one| now < one.used + self.keeps(one));
+        let kept = idle
+            .iter()
+            .map(|one| now < one.used + self.idle_timeout(one));
         let mut kept: Vec<bool> = kept.collect();
         drop(idle);
         let mut kept = kept.drain(..);
--- a/src/direct/session.rs
+++ b/src/direct/session.rs
@@ -13,7 +13,7 @@
 
 /// The most bytes of a session's values and prepared statements together: far more than a normal
 /// session needs, and small enough that hundreds of sessions at the limit fit into a VM's memory.
-const MOST_BYTES: usize = 64 * 1024;
+const MAX_BYTES: usize = 64 * 1024;
 
 /// Session values by name.
 pub type Values = BTreeMap<Box<str>, Box<str>>;
@@ -262,13 +262,13 @@
     /// Reserves the bytes of a value or prepared statement; returns whether they fit. Replaced ones stay
     /// counted until the limit is reached, and then everything is counted again.
     fn reserve(&mut self, bytes: usize) -> bool {
-        if self.bytes + bytes <= MOST_BYTES {
+        if self.bytes + bytes <= MAX_BYTES {
             self.bytes += bytes;
             return true;
         }
         self.recount();
         self.bytes += bytes;
-        self.bytes <= MOST_BYTES
+        self.bytes <= MAX_BYTES
     }
 
     fn recount(&mut self) {
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -9,7 +9,7 @@
 use crate::direct::gate::Urgency;
 use crate::direct::lead::{Epoch, Lease};
 use crate::direct::outcome;
-use crate::direct::owner::{self, Access, Goal, Way};
+use crate::direct::owner::{self, Access, Destination, Way};
 use crate::direct::pool::Pool;
 use crate::direct::quota::Quotas;
 use crate::direct::relay::line::Lines;
@@ -23,11 +23,11 @@
 
 /// While a database is failing, one read per this interval is sent to it, to detect its recovery;
 /// all others avoid it.
-const PROBE: Span = Span::from_millis(500);
+const PROBE_INTERVAL: Span = Span::from_millis(500);
 
 /// How long a primary that is about to stop is still sent new work. It serves for at least 7 s after
 /// it announced that, and the register is up to 2 s behind.
-const LEAVING: Span = Span::from_millis(4_500);
+const LEAVING_GRACE: Span = Span::from_millis(4_500);
 
 /// The criteria by which copies are ordered for a read.
 ///
@@ -38,8 +38,8 @@
 /// region is preferred unless it takes over twice as long, or this VM's limit of statements in
 /// flight there is reached.
 #[derive(Debug, Clone, Copy)]
-pub struct Standing {
-    /// Whether it is failing and was probed within [`PROBE`].
+pub struct Preference {
+    /// Whether it is failing and was probed within [`PROBE_INTERVAL`].
     pub left_out: bool,
     /// Whether a statement would have to queue.
     pub waits: bool,
@@ -53,7 +53,7 @@
 /// share of a far copy to one half.
 const NEAR_SHARE: f64 = 0.45;
 
-impl Standing {
+impl Preference {
     /// The sort key; copies with equal keys keep the router's order.
     pub fn rank(&self) -> (bool, bool, bool) {
         let preferred = self.near && self.share >= NEAR_SHARE;
@@ -81,31 +81,31 @@
     /// The quotas of the organisations.
     pub quotas: Rc<Quotas>,
     place: Place,
-    pools: RefCell<BTreeMap<DatabaseId, Opened>>,
+    pools: RefCell<BTreeMap<DatabaseId, Instance>>,
     routers: RefCell<BTreeMap<GroupId, Router>>,
     probed: RefCell<BTreeMap<DatabaseId, Time>>,
     /// Since when each leaving primary is known to be about to stop.
     leaving: RefCell<BTreeMap<DatabaseId, Time>>,
-    ways: RefCell<BTreeMap<DatabaseId, Known>>,
+    access_cache: RefCell<BTreeMap<DatabaseId, CachedAccess>>,
 }
 
 /// The connections to one incarnation (life) of a database.
 #[derive(Debug)]
-struct Opened {
+struct Instance {
     born: Option<Birth>,
     pool: Rc<Pool>,
 }
 
 /// How a database is reached, and the inputs that this was computed from.
 #[derive(Debug, Clone)]
-struct Known {
+struct CachedAccess {
     access: Rc<Access>,
     /// The way for requests of no particular organisation.
     way: Rc<Way>,
-    fellows: u64,
+    peers_digest: u64,
     connections: u32,
     /// The number of connections that this VM may keep open to it.
-    places: u32,
+    max_kept: u32,
 }
 
 impl fmt::Debug for Targets {
@@ -128,7 +128,7 @@
             routers: RefCell::default(),
             probed: RefCell::default(),
             leaving: RefCell::default(),
-            ways: RefCell::default(),
+            access_cache: RefCell::default(),
         })
     }
 
@@ -149,7 +149,7 @@
             return true;
         }
         let since = leaving.entry(database.id.clone()).or_insert(now);
-        now < *since + LEAVING
+        now < *since + LEAVING_GRACE
     }
 
     /// Whether new work may start on a group's primary of `epoch`.
@@ -182,7 +182,7 @@
     /// A lease on a database that is not registered or is about to stop does not count as a change:
     /// the waiting caller would retry at once, in an endless loop.
     pub async fn wait_for_news(&self, group: &GroupId, epoch: Option<Epoch>, span: Span) -> bool {
-        let news = async {
+        let primary_changed = async {
             loop {
                 let changed = self.shared.changed();
                 if self.usable_epoch(group) != epoch {
@@ -191,7 +191,9 @@
                 changed.await;
             }
         };
-        tokio::time::timeout(span.into(), news).await.is_ok()
+        tokio::time::timeout(span.into(), primary_changed)
+            .await
+            .is_ok()
     }
 
     /// The epoch of the primary that is usable now.
@@ -217,34 +219,34 @@
     }
 
     /// Which VMs connect to a database; recomputed when the VMs or its connections have changed.
-    fn access(&self, database: &Database) -> Known {
+    fn access(&self, database: &Database) -> CachedAccess {
         let view = self.shared.look();
         let config = view.config.as_ref();
         let group = config.and_then(|config| config.groups.get(&database.group));
         let connections = group.map_or(u32::MAX, |group| group.connections);
-        let fellows = view.fellows.digest();
-        let mut ways = self.ways.borrow_mut();
-        if let Some(known) = ways.get(&database.id)
-            && (known.fellows, known.connections) == (fellows, connections)
+        let peers_digest = view.fellows.digest();
+        let mut access_cache = self.access_cache.borrow_mut();
+        if let Some(known) = access_cache.get(&database.id)
+            && (known.peers_digest, known.connections) == (peers_digest, connections)
         {
             return known.clone();
         }
         let list = view.fellows.list();
-        let goal = Goal {
+        let destination = Destination {
             id: &database.id,
             connections,
         };
         let is_near = |domain: &_| self.place.are_near(domain, &database.domain);
-        let access = owner::access(list, goal, is_near);
-        let known = Known {
+        let access = owner::access(list, destination, is_near);
+        let known = CachedAccess {
             way: Rc::new(access.way(self.place.relay, &database.id)),
-            places: access.places(connections, list.len()),
+            max_kept: access.max_kept(connections, list.len()),
             access: Rc::new(access),
-            fellows,
+            peers_digest,
             connections,
         };
-        ways.retain(|id, _| view.databases.contains_key(id));
-        ways.insert(database.id.clone(), known.clone());
+        access_cache.retain(|id, _| view.databases.contains_key(id));
+        access_cache.insert(database.id.clone(), known.clone());
         known
     }
 
@@ -293,7 +295,7 @@
     /// The copies to try before the primary for a read that needs position `after`, best first.
     pub fn copies(&self, group: &GroupId, after: Position, urgency: Urgency) -> Vec<Target> {
         let now = self.now();
-        let mut copies: Vec<(Standing, Target)> = Vec::new();
+        let mut copies: Vec<(Preference, Target)> = Vec::new();
         let members = self.members(group);
         let order = self.order(group, after, &members);
         for (id, near, share) in order {
@@ -301,15 +303,15 @@
                 continue;
             };
             let target = self.target(database.clone());
-            let standing = Standing {
+            let preference = Preference {
                 left_out: self.is_left_out(&id, now),
                 waits: target.pool.wait_at(now, urgency) > Span::ZERO,
                 near,
                 share,
             };
-            copies.push((standing, target));
+            copies.push((preference, target));
         }
-        copies.sort_by_key(|(standing, _)| standing.rank());
+        copies.sort_by_key(|(preference, _)| preference.rank());
         copies.into_iter().map(|(_, target)| target).collect()
     }
 
@@ -351,7 +353,7 @@
         found.collect()
     }
 
-    /// Whether a database is failing and was probed within [`PROBE`]. If it was not, this call counts
+    /// Whether a database is failing and was probed within [`PROBE_INTERVAL`]. If it was not, this call counts
     /// as the probe.
     fn is_left_out(&self, database: &DatabaseId, now: Time) -> bool {
         let report = self.shared.look().reports.report(database, now);
@@ -360,7 +362,7 @@
         }
         let mut probed = self.probed.borrow_mut();
         match probed.get(database) {
-            Some(last) if now.since(*last) < PROBE => true,
+            Some(last) if now.since(*last) < PROBE_INTERVAL => true,
             _ => {
                 probed.insert(database.clone(), now);
                 false
@@ -380,7 +382,7 @@
     /// Only direct responses count as evidence that a database is alive. When relayed answers and
     /// owners' queue reports counted too, 67 VMs reported an unresponsive primary as alive, and one
     /// group was refused for 9 s.
-    pub fn answers(&self, database: &Database) {
+    pub fn responded(&self, database: &Database) {
         let now = self.now();
         self.shared.quietly().reports.answered(&database.id, now);
     }
@@ -393,7 +395,7 @@
 
     /// Records a database's answer to another VM's statement, which was sent at `asked`.
     pub fn heard(&self, target: &Target, asked: Time, answer: &Answer, urgency: Urgency) {
-        self.answers(&target.database);
+        self.responded(&target.database);
         match answer.end {
             End::Error { code, .. } if outcome::may_do_elsewhere(code) => {
                 self.refused(target, answer.position, code == Code::Busy);
@@ -412,7 +414,7 @@
         let Some(position) = answer.position else {
             return;
         };
-        target.pool.has(position, now);
+        target.pool.note_position(position, now);
         let hint = hint(&target.pool, now, position, urgency);
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.answered(now, &database.id, took, &hint);
@@ -429,7 +431,7 @@
         let Some(position) = position else {
             return;
         };
-        target.pool.has(position, now);
+        target.pool.note_position(position, now);
         let hint = hint(&target.pool, now, position, Urgency::MAX);
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.refused(now, &database.id, &hint);
@@ -447,11 +449,11 @@
     pub fn failed(&self, database: &Database) {
         let now = self.now();
         self.shared.quietly().reports.failed(&database.id, now);
-        self.doubt(database);
+        self.suspect(database);
     }
 
     /// Records that another VM could not reach a database, or got no answer from it.
-    pub fn doubt(&self, database: &Database) {
+    pub fn suspect(&self, database: &Database) {
         let now = self.now();
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.failed(now, &database.id);
@@ -460,28 +462,28 @@
 
     fn target(&self, database: Rc<Database>) -> Target {
         let pool = self.pool(&database);
-        pool.resize(self.access(&database).places);
+        pool.resize(self.access(&database).max_kept);
         Target { database, pool }
     }
 
     fn pool(&self, database: &Database) -> Rc<Pool> {
         let mut pools = self.pools.borrow_mut();
-        if let Some(opened) = pools.get(&database.id)
-            && opened.born == database.born
+        if let Some(instance) = pools.get(&database.id)
+            && instance.born == database.born
         {
-            opened.pool.gate.resize(database.slots);
-            return opened.pool.clone();
+            instance.pool.gate.resize(database.slots);
+            return instance.pool.clone();
         }
         // A database that restarted gets a new pool: connections, queue and position belong to its
         // previous life.
         let view = self.shared.look();
         pools.retain(|id, _| view.databases.contains_key(id));
         let pool = Pool::new(database.slots);
-        let opened = Opened {
+        let instance = Instance {
             born: database.born,
             pool: pool.clone(),
         };
-        pools.insert(database.id.clone(), opened);
+        pools.insert(database.id.clone(), instance);
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.forget(&database.id);
         }
--- a/src/direct/trace.rs
+++ b/src/direct/trace.rs
@@ -3,7 +3,7 @@
 //! A VM serves hundreds of statements a second and fails only a few, unless it is overloaded or has
 //! lost a dependency. Lines for all served requests would cost processor time and hide the failures.
 //! So every request that was not served gets a line, and a served one gets a line when its operation
-//! exceeds its route's objective. Of the rest one in [`SAMPLE`] gets a line for comparison: one every
+//! exceeds its route's objective. Of the rest one in [`SAMPLE_INTERVAL`] gets a line for comparison: one every
 //! few seconds on a busy VM.
 
 use crate::clock::{Span, Time};
@@ -14,10 +14,10 @@
 use std::net::SocketAddr;
 
 /// One in this many operations that were served in time gets a line.
-pub const SAMPLE: u32 = 1_000;
+pub const SAMPLE_INTERVAL: u32 = 1_000;
 
 /// The most characters that are shown of a text chosen by a caller.
-const SHOWN: usize = 48;
+const MAX_SHOWN_CHARS: usize = 48;
 
 /// Why a request gets a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum Completion {
     /// Successfully.
     Served {
         /// The longest time that its whole operation should take.
@@ -135,9 +135,9 @@
 
     /// Ends the request that was answered at `now`; returns the reason for a line if it gets one. The
     /// caller's pauses between the statements of a transaction don't count.
-    pub fn end(&mut self, now: Time, fate: Fate, sampler: &Sampler) -> Option<Reason> {
+    pub fn end(&mut self, now: Time, completion: Completion, sampler: &Sampler) -> Option<Reason> {
         self.spent = self.spent + now.since(self.came);
-        let Fate::Served { objective } = fate else {
+        let Completion::Served { objective } = completion else {
             return Some(Reason::NotServed);
         };
         if self.spent > objective && !self.late {
@@ -153,15 +153,15 @@
     }
 }
 
-/// Picks one request in [`SAMPLE`], counted over all sessions of a VM.
+/// Picks one request in [`SAMPLE_INTERVAL`], counted over all sessions of a VM.
 #[derive(Debug, Default)]
 pub struct Sampler(Cell<u32>);
 
 impl Sampler {
     fn picks(&self) -> bool {
         let count = self.0.get() + 1;
-        self.0.set(count % SAMPLE);
-        count == SAMPLE
+        self.0.set(count % SAMPLE_INTERVAL);
+        count == SAMPLE_INTERVAL
     }
 }
 
@@ -180,6 +180,6 @@
 
 /// Truncates a text chosen by a caller, which may be as long as a message.
 pub fn clip(text: &str) -> &str {
-    let end = text.char_indices().nth(SHOWN).map(|(at, _)| at);
+    let end = text.char_indices().nth(MAX_SHOWN_CHARS).map(|(at, _)| at);
     &text[..end.unwrap_or(text.len())]
 }
--- a/src/direct/transaction.rs
+++ b/src/direct/transaction.rs
@@ -1,7 +1,7 @@
 //! A transaction that is open on a database connection.
 
 use crate::clock::Time;
-use crate::direct::attempt::{self, Held, Seat};
+use crate::direct::attempt::{self, Channel, Held};
 use crate::direct::config::Route;
 use crate::direct::exchange::{self, Failed};
 use crate::direct::job::Job;
@@ -66,8 +66,8 @@
             Err((code, text)) => return self.fail(targets, code, text),
         };
         job.trace.ended("answered");
-        if let Seat::Own(_) = self.held.seat {
-            targets.answers(&self.held.target.database);
+        if let Channel::Own(_) = self.held.channel {
+            targets.responded(&self.held.target.database);
         }
         let code = match &answer.end {
             End::Done(_) => None,
@@ -145,16 +145,16 @@
                 .is_none_or(|e| targets.holds(&self.route.group, e))
         };
         let target = &self.held.target;
-        let ran = match &mut self.held.seat {
-            Seat::Own(lent) => {
+        let ran = match &mut self.held.channel {
+            Channel::Own(lent) => {
                 let statement = job.statement(&session.values);
                 exchange::next(targets, target, lent.connection(), &statement, holds).await
             }
-            Seat::Through(_) if !holds() => {
+            Channel::Through(_) if !holds() => {
                 job.trace.ended("lease");
                 Err(Failed::Ended)
             }
-            Seat::Through(line) => through(targets, session, job, line).await,
+            Channel::Through(line) => through(targets, session, job, line).await,
         };
         if let Ok((answer, _)) = &ran {
             self.held.open &= answer.state == State::Open;
--- a/tests/direct_fresh.rs
+++ b/tests/direct_fresh.rs
@@ -50,12 +50,12 @@
 /// A VM gets a position of the primary from another VM after an unknown network delay. If the position
 /// were dated by its arrival, a read would miss commits that were acknowledged in the meantime.
 #[test]
-fn what_another_vm_tells_is_dated_by_when_it_was_asked() {
+fn a_received_position_is_dated_by_its_request() {
     let mut steward = Fresh::default();
     steward.learn(&group(), 1, at(5_000), position(7));
-    let told = steward.told(at(5_200));
+    let received = steward.told(at(5_200));
     let mut fresh = Fresh::default();
-    fresh.hear(&told[0], at(900));
+    fresh.hear(&received[0], at(900));
     assert_eq!(fresh.oldest_allowed(&group(), at(700)), Some(position(7)));
     assert_eq!(fresh.oldest_allowed(&group(), at(701)), None);
 }
@@ -65,17 +65,17 @@
     // returned was reported by the primary when asked no earlier than allowed.
     fn no_position_is_older_than_asked_for(answers: Vec<(u16, u8)>, since: u16) -> bool {
         let mut fresh = Fresh::default();
-        let mut told = Vec::new();
+        let mut reported = Vec::new();
         for (asked, after) in answers {
             let offset = u64::from(asked) + u64::from(after);
             fresh.learn(&group(), 1, at(u64::from(asked)), position(offset));
-            told.push((u64::from(asked), position(offset)));
+            reported.push((u64::from(asked), position(offset)));
         }
         match fresh.oldest_allowed(&group(), at(u64::from(since))) {
-            Some(found) => told.iter().any(|(asked, one)| {
+            Some(found) => reported.iter().any(|(asked, one)| {
                 *one == found && *asked >= u64::from(since)
             }),
-            None => told.iter().all(|(asked, _)| *asked < u64::from(since)),
+            None => reported.iter().all(|(asked, _)| *asked < u64::from(since)),
         }
     }
 }
@@ -86,14 +86,14 @@
 #[test]
 fn what_was_known_before_a_process_began_keeps_its_age() {
     let now = lentilspoke::net::system::clock()();
-    let told = Progress {
+    let received = Progress {
         group: group(),
         epoch: 1,
         position: position(59),
         age: Span::from_secs(3),
     };
     let mut fresh = Fresh::default();
-    fresh.hear(&told, now);
+    fresh.hear(&received, now);
     let since = now - Span::from_millis(1_500);
     assert_eq!(fresh.oldest_allowed(&group(), since), None);
 }
--- a/tests/direct_history.rs
+++ b/tests/direct_history.rs
@@ -92,7 +92,7 @@
 /// When one of 251 VMs leaves, a VM that has the previous list gets only this change; a VM with an unknown
 /// state gets the whole list.
 #[test]
-fn a_vm_that_ends_is_told_alone() {
+fn a_vm_that_leaves_is_sent_as_one_change() {
     let fellows = |but: Option<u8>| {
         let numbers = (0..=250).filter(|number| Some(*number) != but);
         numbers.map(fellow).collect::<Vec<_>>()
@@ -109,7 +109,7 @@
 
 /// The same for databases.
 #[test]
-fn whoever_is_told_changes_knows_the_same_databases() {
+fn applied_changes_give_the_same_databases() {
     fn same(registers: Vec<(Vec<(u8, bool)>, bool)>) -> bool {
         let (mut here, mut there) = (Register::default(), Register::default());
         for (at, (list, asks)) in registers.into_iter().enumerate() {
@@ -136,7 +136,7 @@
 /// A register has 200 databases. A VM with an unknown state gets no content and must read the store, unless
 /// it asks for all of it; a VM with the previous state gets only the one database that changed.
 #[test]
-fn a_long_register_is_not_told_in_full() {
+fn a_long_register_is_not_sent_in_full() {
     let all = |primary| (0..200).map(|n| database(n, n == 3 && primary)).collect();
     let mut here = Register::default();
     here.told(all(false), NOW);
@@ -153,7 +153,7 @@
 /// A VM learns of a database between its request and the answer, which holds the changes since the request.
 /// Applied together they would give a register that neither VM had, so the changes are rejected.
 #[test]
-fn changes_of_another_register_are_not_taken_over() {
+fn changes_of_another_register_are_rejected() {
     let mut here = Register::default();
     here.told([database(1, false)].into(), NOW);
     let known = here.digest();
--- a/tests/direct_lines.rs
+++ b/tests/direct_lines.rs
@@ -4,7 +4,7 @@
 mod scripted;
 
 use lentilspoke::clock::{Span, Time};
-use lentilspoke::direct::trace::{Fate, Operation, Reason, SAMPLE, Sampler};
+use lentilspoke::direct::trace::{Completion, Operation, Reason, SAMPLE_INTERVAL, Sampler};
 use lentilspoke::logs::body;
 use lentilspoke::logs::queue::Queue;
 use lentilspoke::standin::direct::host::play;
@@ -233,28 +233,29 @@
     assert_eq!(ids, expected);
 }
 
-/// One in [`SAMPLE`] requests served in time has a line. A late transaction has one at the statement with
+/// One in [`SAMPLE_INTERVAL`] requests served in time has a line. A late transaction has one at the statement with
 /// which it becomes late; the caller's pauses don't count.
 #[test]
 fn which_requests_have_a_line() {
     let sampler = Sampler::default();
     let mut operation = Operation::default();
-    let fate = Fate::Served {
+    let completion = Completion::Served {
         objective: Span::from_millis(300),
     };
-    let mut play = |at: u64, took: u64, first, fate| {
+    let mut play = |at: u64, took: u64, first, completion| {
         let came = Time(at * 1_000);
         operation.begin("q", came, first);
-        operation.end(came + Span::from_millis(took), fate, &sampler)
+        operation.end(came + Span::from_millis(took), completion, &sampler)
     };
-    assert_eq!(play(0, 200, true, fate), None);
-    assert_eq!(play(5_000, 90, false, fate), None);
-    assert_eq!(play(6_000, 11, false, fate), Some(Reason::Late));
-    assert_eq!(play(7_000, 10, false, fate), None);
+    assert_eq!(play(0, 200, true, completion), None);
+    assert_eq!(play(5_000, 90, false, completion), None);
+    assert_eq!(play(6_000, 11, false, completion), Some(Reason::Late));
+    assert_eq!(play(7_000, 10, false, completion), None);
     assert_eq!(
-        play(8_000, 1, false, Fate::NotServed),
+        play(8_000, 1, false, Completion::NotServed),
         Some(Reason::NotServed)
     );
-    let picked = (0..2 * SAMPLE).filter(|_| play(9_000, 1, true, fate) == Some(Reason::Sample));
+    let picked = (0..2 * SAMPLE_INTERVAL)
+        .filter(|_| play(9_000, 1, true, completion) == Some(Reason::Sample));
     assert_eq!(picked.count(), 2);
 }
--- a/tests/direct_owner.rs
+++ b/tests/direct_owner.rs
@@ -1,6 +1,6 @@
 //! Which VMs own connections to a database, and through which owners the others reach it.
 
-use lentilspoke::direct::owner::{Access, Goal, OWNERS, Way, access, owners};
+use lentilspoke::direct::owner::{Access, Destination, MAX_OWNERS, Way, access, owners};
 use lentilspoke::direct::view::Fellow;
 use lentilspoke::types::{Cores, DatabaseId, Domain};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 }
 
 /// VMs in six failure domains.
-fn fellows(count: usize) -> Vec<Fellow> {
+fn peers(count: usize) -> Vec<Fellow> {
     let fellow = |number| Fellow {
         address: format!("10.{}.0.{number}:7000", number % 6)
             .parse()
@@ -35,35 +35,35 @@
     ["d0", "d3"].contains(&domain.as_str())
 }
 
-fn way_of(vm: usize, fellows: &[Fellow], id: &DatabaseId, connections: u32) -> Way {
-    access(fellows, Goal { id, connections }, is_near).way(Some(relay(vm)), id)
+fn way_of(vm: usize, peers: &[Fellow], id: &DatabaseId, connections: u32) -> Way {
+    access(peers, Destination { id, connections }, is_near).way(Some(relay(vm)), id)
 }
 
 #[test]
 fn few_vms_have_connections_of_their_own() {
-    let (id, fellows) = (database(1), fellows(8));
-    assert_eq!(way_of(1, &fellows, &id, 23), Way::Own);
-    assert!(matches!(way_of(1, &fellows, &id, 15), Way::Through(_)));
+    let (id, peers) = (database(1), peers(8));
+    assert_eq!(way_of(1, &peers, &id, 23), Way::Own);
+    assert!(matches!(way_of(1, &peers, &id, 15), Way::Through(_)));
 }
 
 /// With 63 VMs and 32 connections, each database has three owners in its own region. All other VMs go
 /// through these, and each owner is the first choice of a fair share of the VMs.
 #[test]
 fn many_vms_go_through_owners_near_the_database() {
-    let fellows = fellows(63);
+    let peers = peers(63);
     let mut owned = BTreeMap::<SocketAddr, usize>::new();
     for number in 0..24 {
         let id = database(number);
-        let owners = owners(&fellows, &id, is_near);
-        assert_eq!(owners.len(), OWNERS);
+        let owners = owners(&peers, &id, is_near);
+        assert_eq!(owners.len(), MAX_OWNERS);
         for owner in &owners {
-            let owner = fellows.iter().find(|f| f.relay == Some(*owner)).unwrap();
+            let owner = peers.iter().find(|f| f.relay == Some(*owner)).unwrap();
             assert!(is_near(&owner.domain));
             *owned.entry(owner.relay.unwrap()).or_default() += 1;
         }
         let mut first = BTreeMap::<SocketAddr, usize>::new();
         for vm in 0..63 {
-            match way_of(vm, &fellows, &id, 32) {
+            match way_of(vm, &peers, &id, 32) {
                 Way::Own => assert!(owners.contains(&relay(vm))),
                 Way::Through(list) => {
                     assert!(list.iter().all(|owner| owners.contains(owner)));
@@ -83,7 +83,7 @@
 /// When a VM is lost, each of its databases gets one new owner; no other owner changes.
 #[test]
 fn a_lost_vm_moves_its_own_databases_only() {
-    let all = fellows(63);
+    let all = peers(63);
     for number in 0..24 {
         let id = database(number);
         let before = owners(&all, &id, is_near);
@@ -95,40 +95,40 @@
             .collect();
         let after = owners(&left, &id, is_near);
         assert!(before[1..].iter().all(|owner| after.contains(owner)));
-        assert_eq!(after.len(), OWNERS);
+        assert_eq!(after.len(), MAX_OWNERS);
     }
 }
 
 /// When a whole region is lost, its databases get owners in other regions.
 #[test]
 fn databases_of_a_lost_region_have_owners() {
-    let left: Vec<_> = fellows(63)
+    let left: Vec<_> = peers(63)
         .into_iter()
         .filter(|f| !is_near(&f.domain))
         .collect();
-    assert_eq!(owners(&left, &database(1), is_near).len(), OWNERS);
+    assert_eq!(owners(&left, &database(1), is_near).len(), MAX_OWNERS);
 }
 
 /// If no VM relays, as in an earlier release, every VM connects directly.
 #[test]
-fn nobody_relays() {
-    let mut fellows = fellows(63);
-    fellows.iter_mut().for_each(|fellow| fellow.relay = None);
-    assert_eq!(way_of(1, &fellows, &database(1), 32), Way::Own);
+fn vms_connect_directly_if_none_relays() {
+    let mut peers = peers(63);
+    peers.iter_mut().for_each(|fellow| fellow.relay = None);
+    assert_eq!(way_of(1, &peers, &database(1), 32), Way::Own);
 }
 
 /// Which VMs connect to a database of 48 connections.
-fn shared(fellows: &[Fellow], id: &DatabaseId) -> Access {
+fn shared(peers: &[Fellow], id: &DatabaseId) -> Access {
     let connections = 48;
-    access(fellows, Goal { id, connections }, is_near)
+    access(peers, Destination { id, connections }, is_near)
 }
 
 /// A database has 48 connections for 85 VMs. All VMs, including its other two owners, send an organisation's
 /// statements to the same owner first. Organisations are spread evenly over the three owners.
 #[test]
-fn an_organisation_meets_its_connections() {
-    let (id, fellows) = (database(1), fellows(85));
-    let access = shared(&fellows, &id);
+fn all_vms_send_an_organisation_to_the_same_owner() {
+    let (id, peers) = (database(1), peers(85));
+    let access = shared(&peers, &id);
     let mut firsts = BTreeMap::<SocketAddr, usize>::new();
     for number in 0..90 {
         let organisation = format!("o{number}").parse().unwrap();
@@ -140,7 +140,7 @@
         assert!((0..85).all(|vm| first(vm) == owner));
         *firsts.entry(owner).or_default() += 1;
     }
-    assert_eq!(firsts.len(), OWNERS);
+    assert_eq!(firsts.len(), MAX_OWNERS);
     assert!(
         firsts.values().all(|count| (18..=42).contains(count)),
         "{firsts:?}"
@@ -151,14 +151,14 @@
 /// and to VMs that restart after a power loss.
 #[test]
 fn owners_keep_a_part_of_the_connections() {
-    let (id, fellows) = (database(1), fellows(85));
-    let access = shared(&fellows, &id);
-    assert_eq!(access.places(48, 85) * OWNERS as u32, 30);
+    let (id, peers) = (database(1), peers(85));
+    let access = shared(&peers, &id);
+    assert_eq!(access.max_kept(48, 85) * MAX_OWNERS as u32, 30);
 }
 
 /// Guards against an overflow on a VM that has no configuration yet, for which the number of connections is
 /// unbounded.
 #[test]
 fn places_of_an_unbounded_database() {
-    assert!(Access::All.places(u32::MAX, 1) > 0);
+    assert!(Access::All.max_kept(u32::MAX, 1) > 0);
 }
--- a/tests/direct_serve.rs
+++ b/tests/direct_serve.rs
@@ -48,10 +48,10 @@
     play(async {
         let world = World::new();
         let mut caller = world.caller("newest").await;
-        let told = caller
+        let answers = caller
             .play(&["begin", "read x", "write x 1", "commit"])
             .await;
-        assert_snapshot!(told, @r"
+        assert_snapshot!(answers, @r"
         begin: done - | state open -
         read x: done sig | state open 1/10
         write x 1: done sig | state open 1/10
@@ -360,10 +360,10 @@
     play(async {
         let world = World::new();
         world.shared.change(|view| view.config = None);
-        let told = world.refusal("newest").await;
+        let answers = world.refusal("newest").await;
         assert!(
-            told.starts_with("error busy no configuration is known here yet; retry_ms="),
-            "{told}"
+            answers.starts_with("error busy no configuration is known here yet; retry_ms="),
+            "{answers}"
         );
     })
     .unwrap();
@@ -420,8 +420,8 @@
         caller.ask("read x").await;
         world.script(|id, _, text| (id == "b" && text.starts_with("read")).then_some(Act::Break));
         world.seen();
-        let told = caller.play(&["begin read", "read x", "rollback"]).await;
-        assert_snapshot!(told, @r"
+        let answers = caller.play(&["begin read", "read x", "rollback"]).await;
+        assert_snapshot!(answers, @r"
         begin read: done - | state open -
         read x: error rolled-back the connection to the database broke | state failed -
         rollback: done - | state idle -
