--- a/src/direct/lead.rs
+++ b/src/direct/lead.rs
@@ -90,7 +90,7 @@
 
 /// This VM's leads and leases, by group.
 #[derive(Debug, Clone, Default)]
-pub struct Book {
+pub struct Leases {
     groups: BTreeMap<GroupId, Record>,
     /// Epochs up to this one were released. Also kept for groups that no read has returned yet: a
     /// read in flight may still return the released epoch.
@@ -101,7 +101,7 @@
     digest: Cell<Option<u64>>,
 }
 
-impl Book {
+impl Leases {
     /// Records the lead returned by a read requested at `asked`. Older epochs are ignored.
     pub fn learn(&mut self, group: &GroupId, lead: Lead, asked: Time) {
         let record = self.groups.get(group);
--- a/src/direct/view.rs
+++ b/src/direct/view.rs
@@ -4,7 +4,7 @@
 use crate::direct::config::{Config, Database, Route};
 use crate::direct::fresh::Fresh;
 use crate::direct::history::History;
-use crate::direct::lead::{Book, Epoch, Lease};
+use crate::direct::lead::{Epoch, Lease, Leases};
 use crate::direct::meter::Meter;
 use crate::direct::reached::Reached;
 use crate::direct::tenure::Tenure;
@@ -25,7 +25,7 @@
     /// The databases that are registered.
     pub databases: BTreeMap<DatabaseId, Database>,
     /// Who leads.
-    pub book: Book,
+    pub book: Leases,
     /// The VMs that are registered, this one among them.
     pub fellows: Fellows,
     /// How long this VM may hand out what it keeps for others.
--- a/src/model/leads.rs
+++ b/src/model/leads.rs
@@ -1,7 +1,7 @@
 //! How each VM knows who leads, and how a primary is replaced, as a specification to search.
 //!
 //! Some VMs, of which two may be steward, the rows in the store, one group of three databases, and
-//! the platform that is ordered to promote. What a VM believes is the real `direct::lead::Book`.
+//! the platform that is ordered to promote. What a VM believes is the real `direct::lead::Leases`.
 //! Nothing at a database fences anyone: a replaced primary goes on for ever.
 //!
 //! Leases are those of one reading, of [`lead::TERM`](crate::direct::lead::TERM); that they go on by
--- a/src/model/leads/belief.rs
+++ b/src/model/leads/belief.rs
@@ -4,7 +4,7 @@
 use super::vm::{Call, News, Notes, Vm};
 use super::{CANDIDATES, LEASE, REPLACED, Safeguard, Spec, State, VMS, give_up, with};
 use crate::clock::{Span, Time};
-use crate::direct::lead::{self, Book, Lead};
+use crate::direct::lead::{self, Lead, Leases};
 
 const TICK: Span = Span(lead::TERM.0 / LEASE as u64);
 /// A moment late enough that every age below it is a valid time.
@@ -12,8 +12,8 @@
 
 impl Spec {
     /// What the VM's real book would hold.
-    fn book(&self, vm: &Vm) -> Book {
-        let mut book = Book::default();
+    fn book(&self, vm: &Vm) -> Leases {
+        let mut book = Leases::default();
         // A VM that has read nothing was told to drop before it learns.
         if vm.notes.is_none() {
             book.drop_epoch(&self.group, vm.dropped.into());
--- a/src/model/vouch.rs
+++ b/src/model/vouch.rs
@@ -1,7 +1,7 @@
 //! Leases that go on by the word of other VMs, and the wait of a replacement, as a specification.
 //!
 //! Four or five VMs, of which two may be steward, their rows and the lead's in the store, and one
-//! group. What a VM believes, and what it vouches for, is the real `direct::lead::Book`; how long a
+//! group. What a VM believes, and what it vouches for, is the real `direct::lead::Leases`; how long a
 //! steward waits is the real `direct::control::promotion::Drops`.
 //!
 //! A step that does not happen was lost, cut off, or asleep, as in [`leads`](crate::model::leads).
--- a/src/model/vouch/belief.rs
+++ b/src/model/vouch/belief.rs
@@ -3,7 +3,7 @@
 use super::vm::{Age, Call, LeadRow, Notes, Round, Vm};
 use super::{NOW, OLD, Safeguard, Spec, State, TERM, TICK, VMS, with};
 use crate::clock::{Span, Time};
-use crate::direct::lead::{self, Book, Lead, QUORUM};
+use crate::direct::lead::{self, Lead, Leases, QUORUM};
 
 /// The epoch that each VM vouches for.
 pub(super) type Words = [Option<u8>; VMS];
@@ -25,8 +25,8 @@
     }
 
     /// What the VM's real book would hold.
-    fn book(&self, vm: &Vm) -> Book {
-        let mut book = Book::default();
+    fn book(&self, vm: &Vm) -> Leases {
+        let mut book = Leases::default();
         if let Some(notes) = vm.notes {
             let open = LeadRow {
                 changing: false,
--- a/tests/direct_control.rs
+++ b/tests/direct_control.rs
@@ -11,7 +11,7 @@
 use lentilspoke::direct::control::steward::{Cause, Errand, Scene, Told, survey};
 use lentilspoke::direct::control::store::Patience;
 use lentilspoke::direct::control::takeover::{Hearing, Watch};
-use lentilspoke::direct::lead::{Book, Lead};
+use lentilspoke::direct::lead::{Lead, Leases};
 use lentilspoke::direct::statement::Standing;
 use lentilspoke::direct::table::{self, Era};
 use lentilspoke::direct::view::Report;
@@ -303,7 +303,7 @@
 #[test]
 fn epoch_given_up_before_it_was_known_stays_given_up() {
     let group: GroupId = "g".parse().unwrap();
-    let mut book = Book::default();
+    let mut book = Leases::default();
     book.drop_epoch(&group, 3);
     book.learn(&group, lead(3, false), at(0));
     assert_eq!(book.lease(&group, at(1)), None);
@@ -317,7 +317,7 @@
 #[test]
 fn work_under_way_ends_during_a_planned_change() {
     let group: GroupId = "g".parse().unwrap();
-    let mut book = Book::default();
+    let mut book = Leases::default();
     book.learn(&group, lead(3, false), at(0));
     assert!(book.holds(&group, 3, at(2_499)) && !book.holds(&group, 3, at(2_500)));
     book.vouch(&group, 3, at(4_900));
--- a/tests/direct_era.rs
+++ b/tests/direct_era.rs
@@ -9,7 +9,7 @@
     Duty, Member, MemberId, Reading, duty_row, encode, era_row, lead_row, member_row,
 };
 use lentilspoke::direct::control::store::Store;
-use lentilspoke::direct::lead::{Book, Lead};
+use lentilspoke::direct::lead::{Lead, Leases};
 use lentilspoke::direct::table::{Change, Era, Fault, Row, RowId, Version};
 use lentilspoke::standin::direct::host;
 use lentilspoke::standin::direct::machine::Machine;
@@ -302,7 +302,7 @@
 /// outlives what took its place.
 #[test]
 fn what_started_goes_on_in_the_next_era() {
-    let mut book = Book::default();
+    let mut book = Leases::default();
     let (now, asked) = (Time(1_000_000), Time(900_000));
     book.learn(&group(), lead(3, "a", false), asked);
     let next = resume::first(Era(2), Some(lead(3, "a", false)), Some(3), &database("a"));
--- a/tests/direct_lease.rs
+++ b/tests/direct_lease.rs
@@ -3,7 +3,7 @@
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::direct::control::promotion::Drops;
 use lentilspoke::direct::control::rows::MemberId;
-use lentilspoke::direct::lead::{Book, Lead, QUORUM, TERM, UNHEARD};
+use lentilspoke::direct::lead::{Lead, Leases, QUORUM, TERM, UNHEARD};
 use lentilspoke::types::GroupId;
 
 const INTENT: u64 = 20_000;
@@ -32,14 +32,14 @@
 }
 
 /// A book that read epoch 1 at a moment.
-fn book(asked: u64) -> Book {
-    let mut book = Book::default();
+fn book(asked: u64) -> Leases {
+    let mut book = Leases::default();
     book.learn(&group(), lead(1, false), at(asked));
     book
 }
 
 /// Until when a book holds epoch 1, to 1 ms.
-fn held(book: &Book) -> u64 {
+fn held(book: &Leases) -> u64 {
     let held = |ms: &u64| book.holds(&group(), 1, at(*ms));
     (0..40_000).filter(held).max().map_or(0, |last| last + 1)
 }
@@ -73,10 +73,10 @@
     assert_eq!(open.vouches(at(8_999)), [(group(), 1)]);
     assert_eq!(open.vouches(at(9_000)), []);
     for change in [
-        (|book: &mut Book| book.drop_epoch(&group(), 1)) as fn(&mut Book),
+        (|book: &mut Leases| book.drop_epoch(&group(), 1)) as fn(&mut Leases),
         |book| book.close_epoch(&group(), 1),
         |book| book.learn(&group(), lead(1, true), at(1_100)),
-        Book::drop_all,
+        Leases::drop_all,
     ] {
         let mut ended = open.clone();
         change(&mut ended);
@@ -185,7 +185,7 @@
         }
         let ordered = now >= INTENT + READ && drops.end().is_none_or(|end| end <= at(now));
         if ordered {
-            let holds = |book: &Book| book.holds(&group(), 1, at(now));
+            let holds = |book: &Leases| book.holds(&group(), 1, at(now));
             return books.iter().position(holds).map(|vm| (vm, now - INTENT));
         }
     }
--- a/tests/direct_news.rs
+++ b/tests/direct_news.rs
@@ -5,7 +5,7 @@
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::direct::control::news::telling;
 use lentilspoke::direct::control::nudge::Nudge;
-use lentilspoke::direct::lead::{Book, Lead, digest};
+use lentilspoke::direct::lead::{Lead, Leases, digest};
 use lentilspoke::direct::view::View;
 use lentilspoke::types::GroupId;
 use registered::{at, databases, id};
@@ -26,7 +26,7 @@
 #[test]
 fn nothing_changed_is_said_of_what_was_known() {
     let groups: [GroupId; 2] = ["g", "h"].map(|name| name.parse().unwrap());
-    let mut book = Book::default();
+    let mut book = Leases::default();
     for group in &groups {
         book.learn(group, lead(1, "a", false), at(1_000));
     }
