--- a/src/direct/control/vouch.rs
+++ b/src/direct/control/vouch.rs
@@ -74,7 +74,7 @@
             if enough {
                 let shared = &self.setup.shared;
                 let lapsed = shared.look().book.until(group) <= Some(self.now());
-                shared.quietly().book.vouch(group, *epoch, asked);
+                shared.quietly().book.extend(group, *epoch, asked);
                 if lapsed {
                     // Whatever waits for a lease may go on.
                     shared.change(|_| ());
--- a/src/direct/lead.rs
+++ b/src/direct/lead.rs
@@ -197,7 +197,7 @@
 
     /// Extends the lease on a group's epoch that a quorum, asked at `asked`, has confirmed. Returns
     /// whether the lease became longer.
-    pub fn vouch(&mut self, group: &GroupId, epoch: Epoch, asked: Time) -> bool {
+    pub fn extend(&mut self, group: &GroupId, epoch: Epoch, asked: Time) -> bool {
         let Some(record) = self.groups.get_mut(group) else {
             return false;
         };
--- a/src/model/vouch/belief.rs
+++ b/src/model/vouch/belief.rs
@@ -38,7 +38,7 @@
             };
             book.learn(&self.group, self.lead(open), ago(age));
             if let Some(vouched) = notes.vouched {
-                book.vouch(&self.group, open.epoch.into(), ago(vouched));
+                book.extend(&self.group, open.epoch.into(), ago(vouched));
             }
             book.learn(&self.group, self.lead(notes.lead), ago(OLD));
         }
@@ -186,7 +186,7 @@
             false => 0,
         };
         let mut book = self.book(vm);
-        let longer = book.vouch(&self.group, round.epoch.into(), ago(age));
+        let longer = book.extend(&self.group, round.epoch.into(), ago(age));
         if let Some(notes) = &mut vm.notes {
             let newer = notes.vouched.is_none_or(|known| age < known);
             // Nor is it lost where the long lease ends first: a newer reading makes that one longer.
--- a/tests/direct_control.rs
+++ b/tests/direct_control.rs
@@ -320,9 +320,9 @@
     let mut book = Leases::default();
     book.learn(&group, lead(3, false), at(0));
     assert!(book.holds(&group, 3, at(2_499)) && !book.holds(&group, 3, at(2_500)));
-    book.vouch(&group, 3, at(4_900));
+    book.extend(&group, 3, at(4_900));
     book.learn(&group, lead(3, true), at(5_000));
-    book.vouch(&group, 3, at(5_001));
+    book.extend(&group, 3, at(5_001));
     assert!(book.holds(&group, 3, at(7_399)) && !book.holds(&group, 3, at(7_400)));
     assert_eq!(book.lease(&group, at(5_001)), None);
     assert!(book.holds(&group, 3, at(5_001)) && !book.holds(&group, 3, at(8_000)));
--- a/tests/direct_lease.rs
+++ b/tests/direct_lease.rs
@@ -50,14 +50,14 @@
 fn word_of_others_makes_a_lease_longer() {
     let mut lease = book(1_000);
     assert_eq!(held(&lease), 3_500);
-    assert!(lease.vouch(&group(), 1, at(2_700)));
+    assert!(lease.extend(&group(), 1, at(2_700)));
     assert_eq!(held(&lease), 5_200);
-    assert!(!lease.vouch(&group(), 2, at(4_000)));
-    assert!(lease.vouch(&group(), 1, at(8_000)));
+    assert!(!lease.extend(&group(), 2, at(4_000)));
+    assert!(lease.extend(&group(), 1, at(8_000)));
     assert_eq!(held(&lease), 9_000);
     let mut changing = lease.clone();
     changing.learn(&group(), lead(1, true), at(8_100));
-    assert!(!changing.vouch(&group(), 1, at(8_200)));
+    assert!(!changing.extend(&group(), 1, at(8_200)));
     lease.learn(&group(), lead(2, false), at(3_000));
     assert_eq!(lease.until(&group()), Some(at(5_500)));
     lease.drop_epoch(&group(), 2);
@@ -69,7 +69,7 @@
 #[test]
 fn who_vouches() {
     let mut open = book(1_000);
-    open.vouch(&group(), 1, at(3_000));
+    open.extend(&group(), 1, at(3_000));
     assert_eq!(open.vouches(at(8_999)), [(group(), 1)]);
     assert_eq!(open.vouches(at(9_000)), []);
     for change in [
@@ -170,7 +170,7 @@
             .filter(|book| !book.vouches(at(now)).is_empty());
         if stand.count() >= enough {
             for book in &mut books {
-                book.vouch(&group(), 1, at(now + late));
+                book.extend(&group(), 1, at(now + late));
             }
         }
         for (number, (_, does)) in vms.iter().enumerate() {
