--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -223,7 +223,7 @@
                     Answer::Taken(control.take_offer(token, version).await)
                 }
                 Question::Vouch => {
-                    let vouched = control.setup.shared.look().book.vouches(control.now());
+                    let vouched = control.setup.shared.look().book.extendable(control.now());
                     Answer::Vouched(control.setup.life, vouched)
                 }
                 Question::Store { ask, within } => {
--- a/src/direct/control/vouch.rs
+++ b/src/direct/control/vouch.rs
@@ -55,7 +55,7 @@
     /// When the first reading gets old of the groups whose leases may go on.
     fn ages_at(&self) -> Option<Time> {
         let view = self.setup.shared.look();
-        let open = view.book.vouches(self.now());
+        let open = view.book.extendable(self.now());
         let asked = |(group, _): &(GroupId, Epoch)| Some(view.book.known(group)?.1 + OLD);
         open.iter().filter_map(asked).min()
     }
@@ -64,7 +64,7 @@
     /// round before.
     async fn round(&self, last: &mut BTreeMap<GroupId, (Epoch, Standing)>) -> Span {
         let asked = self.now();
-        let wanted = self.setup.shared.look().book.vouches(asked);
+        let wanted = self.setup.shared.look().book.extendable(asked);
         let words = self.ask_fellows().await;
         let mut all = !wanted.is_empty();
         for (group, epoch) in &wanted {
--- a/src/direct/lead.rs
+++ b/src/direct/lead.rs
@@ -181,7 +181,7 @@
     /// The epochs that this VM confirms to others: neither released, nor closed, nor being replaced
     /// in its own latest read, which must be younger than [`LEASE`]. A VM whose row was removed has no
     /// such read, so a replacement need not wait for it.
-    pub fn vouches(&self, now: Time) -> Vec<(GroupId, Epoch)> {
+    pub fn extendable(&self, now: Time) -> Vec<(GroupId, Epoch)> {
         let open = |(group, record): &(&GroupId, &Record)| {
             let ended = |of: &BTreeMap<GroupId, Epoch>| {
                 let epoch = of.get(*group).copied().unwrap_or_default();
--- a/src/model/vouch/belief.rs
+++ b/src/model/vouch/belief.rs
@@ -209,7 +209,7 @@
             vm.dropped = 0;
         }
         let word = (self.group.clone(), epoch.into());
-        let vouched = self.book(&vm).vouches(NOW);
+        let vouched = self.book(&vm).extendable(NOW);
         vouched.contains(&word).then_some(epoch)
     }
 }
--- a/tests/direct_lease.rs
+++ b/tests/direct_lease.rs
@@ -70,8 +70,8 @@
 fn who_vouches() {
     let mut open = book(1_000);
     open.extend(&group(), 1, at(3_000));
-    assert_eq!(open.vouches(at(8_999)), [(group(), 1)]);
-    assert_eq!(open.vouches(at(9_000)), []);
+    assert_eq!(open.extendable(at(8_999)), [(group(), 1)]);
+    assert_eq!(open.extendable(at(9_000)), []);
     for change in [
         (|book: &mut Leases| book.drop_epoch(&group(), 1)) as fn(&mut Leases),
         |book| book.close_epoch(&group(), 1),
@@ -80,7 +80,7 @@
     ] {
         let mut ended = open.clone();
         change(&mut ended);
-        assert_eq!(ended.vouches(at(1_200)), []);
+        assert_eq!(ended.extendable(at(1_200)), []);
     }
 }
 
@@ -167,7 +167,7 @@
         };
         let stand = asked
             .iter()
-            .filter(|book| !book.vouches(at(now)).is_empty());
+            .filter(|book| !book.extendable(at(now)).is_empty());
         if stand.count() >= enough {
             for book in &mut books {
                 book.extend(&group(), 1, at(now + late));
