--- a/src/direct/control/promotion.rs
+++ b/src/direct/control/promotion.rs
@@ -4,7 +4,7 @@
 use crate::clock::{Span, Time};
 use crate::direct::control::rows::MemberId;
 use crate::direct::control::takeover::ORDER_WITHIN;
-use crate::direct::lead::{LEASE, TERM, UNHEARD};
+use crate::direct::lead::{LEASE, MAX_SILENT, TERM};
 use crate::direct::statement::Standing;
 use crate::types::{DatabaseId, Domain, Position, Term};
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
 /// [`LEASE`] after that at the latest. For a VM that was evicted the same holds of that moment,
 /// as later readings are no leases for it. Its own word, or its end, makes it sooner.
 ///
-/// Once no more than [`UNHEARD`] are left, [`TERM`] from there is enough: beyond [`TERM`] since
+/// Once no more than [`MAX_SILENT`] are left, [`TERM`] from there is enough: beyond [`TERM`] since
 /// the intent a lease needs a voucher that is not among these. That one has dropped the epoch, or
 /// has ended, or has no young reading any more, so it was asked before. A VM that was no member
 /// any more when the rows were read had stopped to vouch by then.
@@ -89,7 +89,7 @@
     }
 
     fn count(&mut self, now: Time) {
-        if self.waited.len() <= UNHEARD {
+        if self.waited.len() <= MAX_SILENT {
             self.few.get_or_insert(now);
         }
     }
--- a/src/direct/lead.rs
+++ b/src/direct/lead.rs
@@ -8,7 +8,7 @@
 //! after they were asked, but never beyond t + [`LEASE`].
 //!
 //! To replace a primary, the steward first records that it is changing and then waits until every VM
-//! that may hold a lease has released it. If more than [`UNHEARD`] VMs don't confirm that, it waits
+//! that may hold a lease has released it. If more than [`MAX_SILENT`] VMs don't confirm that, it waits
 //! for [`LEASE`] from their last possible request; otherwise for [`TERM`] from the last confirmation
 //! of the others. The shorter wait is safe because an extension needs more VMs than are unconfirmed,
 //! so at least one of them was asked before it released the epoch. The lease is checked again after
@@ -32,12 +32,12 @@
 pub const TERM: Span = Span::from_millis(2_500);
 
 /// The most VMs that may fail to confirm a release for a replacement to wait for [`TERM`] only.
-pub const UNHEARD: usize = 2;
+pub const MAX_SILENT: usize = 2;
 
 /// How many VMs, including the lease's holder, must confirm an epoch to extend a lease beyond
-/// [`TERM`]. It is one more than [`UNHEARD`], so that at least one of them also confirmed its release
+/// [`TERM`]. It is one more than [`MAX_SILENT`], so that at least one of them also confirmed its release
 /// to the steward. Requiring a majority would stop all writes on the smaller side of a partition.
-pub const QUORUM: usize = UNHEARD + 1;
+pub const QUORUM: usize = MAX_SILENT + 1;
 
 /// The number of a group's current primary: rises with each change of primary.
 pub type Epoch = u64;
--- a/src/model/vouch/steward.rs
+++ b/src/model/vouch/steward.rs
@@ -6,7 +6,7 @@
 use crate::clock::{Span, Time};
 use crate::direct::control::promotion::{Drops, lapsed_at};
 use crate::direct::control::rows::MemberId;
-use crate::direct::lead::{self, UNHEARD};
+use crate::direct::lead::{self, MAX_SILENT};
 use std::net::{IpAddr, Ipv4Addr};
 
 /// The margin for clocks that run unlike. The steward's is taken to be ahead by all of it.
@@ -95,7 +95,7 @@
         let mut rest = 0_u8;
         for (v, row) in rows.members.iter().enumerate() {
             let Some(row) = row else { continue };
-            let all = self.kept(Safeguard::FewLeft) || rest.count_ones() < UNHEARD as u32;
+            let all = self.kept(Safeguard::FewLeft) || rest.count_ones() < MAX_SILENT as u32;
             rest |= u8::from(all) << v;
             let marked = duty.seen[v].filter(|_| row.evicted);
             since[v] = marked.map_or(intent.age, |(_, age)| age.max(intent.age));
--- a/tests/direct_lease.rs
+++ b/tests/direct_lease.rs
@@ -3,7 +3,7 @@
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::direct::control::promotion::Drops;
 use lentilspoke::direct::control::rows::MemberId;
-use lentilspoke::direct::lead::{Lead, Leases, QUORUM, TERM, UNHEARD};
+use lentilspoke::direct::lead::{Lead, Leases, MAX_SILENT, QUORUM, TERM};
 use lentilspoke::types::GroupId;
 
 const INTENT: u64 = 20_000;
@@ -236,6 +236,6 @@
 /// they could vouch for each other, and one of them act on the old primary.
 #[test]
 fn size_of_a_quorum() {
-    assert_eq!((UNHEARD, QUORUM), (2, 3));
+    assert_eq!((MAX_SILENT, QUORUM), (2, 3));
     assert_eq!(TERM, Span::from_millis(2_500));
 }
