--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -4,7 +4,7 @@
 use crate::direct::exchange::{self, Ran, SILENCE_TIMEOUT, Statement};
 use crate::direct::job::{Job, Part};
 use crate::direct::lead::{Epoch, Lease};
-use crate::direct::outcome::{self, Why};
+use crate::direct::outcome::{self, Loss};
 use crate::direct::owner::Way;
 use crate::direct::pool::Lent;
 use crate::direct::relay::line::Line;
@@ -43,7 +43,7 @@
     /// The statement has not run: the database was not reached.
     Unreached,
     /// The statement may have run.
-    Lost(Why),
+    Lost(Loss),
 }
 
 /// Where the next statement of a transaction is sent.
@@ -184,7 +184,7 @@
             }
             Ran::NotRun(code) => Attempt::NotRun(code),
             Ran::Unreached => Attempt::Unreached,
-            Ran::Lost(why) => Attempt::Lost(why),
+            Ran::Lost(loss) => Attempt::Lost(loss),
         }
     }
 
@@ -205,13 +205,13 @@
         targets.answered(target, asked, &answer, self.job.urgency());
         if !self.holds() {
             self.job.trace.ended("lease");
-            return Attempt::Lost(Why::Lapsed);
+            return Attempt::Lost(Loss::Lapsed);
         }
         if let (Some(epoch), Some(position)) = (held.epoch, answer.position)
             && targets.has_lost_log(target, epoch, asked, position)
         {
             self.job.trace.ended("log lost");
-            return Attempt::Lost(Why::Lapsed);
+            return Attempt::Lost(Loss::Lapsed);
         }
         self.job.trace.ended("answered");
         if let (Some(epoch), Some(position)) = (held.epoch, answer.position) {
@@ -258,11 +258,11 @@
         self.job.trace.through(line.owner());
         let told = match self.targets.lines.ask(&mut line, &request, limit).await {
             Ok(told) => told,
-            Err(why) => {
+            Err(loss) => {
                 self.job.trace.ended("owner");
-                let late = why == Why::Silent && self.targets.now() >= self.job.deadline();
-                let why = if late { Why::Silent } else { Why::Broken };
-                return Relayed::Final(Attempt::Lost(why));
+                let late = loss == Loss::Silent && self.targets.now() >= self.job.deadline();
+                let loss = if late { Loss::Silent } else { Loss::Broken };
+                return Relayed::Final(Attempt::Lost(loss));
             }
         };
         let pool = &self.plan.target.pool;
@@ -328,13 +328,13 @@
             Reply::Granted(_) => {
                 // Not a valid reply to a statement: the stream is out of step and is closed.
                 self.job.trace.ended("owner");
-                Relayed::Final(Attempt::Lost(Why::Broken))
+                Relayed::Final(Attempt::Lost(Loss::Broken))
             }
-            Reply::Lost(why) => {
+            Reply::Lost(loss) => {
                 self.job.trace.ended("lost");
                 lines.give_back(line);
                 targets.suspect(&target.database);
-                Relayed::Final(Attempt::Lost(why))
+                Relayed::Final(Attempt::Lost(loss))
             }
         }
     }
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -5,7 +5,7 @@
 use crate::direct::connection::{Closed, Connection, Lost};
 use crate::direct::gate::Urgency;
 use crate::direct::meter::code_name;
-use crate::direct::outcome::Why;
+use crate::direct::outcome::Loss;
 use crate::direct::pool::{Lent, Wanted};
 use crate::direct::session::{Shape, Values};
 use crate::direct::statement::{Answer, Code, End, Order, Query, State};
@@ -70,7 +70,7 @@
     /// The statement has not run: the database was not reached.
     Unreached,
     /// The statement may have run.
-    Lost(Why),
+    Lost(Loss),
 }
 
 /// Runs a single statement, or the first one of a transaction. `begin` is called once a connection is
@@ -200,7 +200,7 @@
     /// It has not run: the connection broke before it was sent.
     Broken,
     /// It may have run.
-    Lost(Why),
+    Lost(Loss),
 }
 
 /// Sets session values on the connection that changed since the transaction began.
@@ -254,7 +254,7 @@
     target: &Target,
     asked: Time,
     lost: &Lost,
-) -> Why {
+) -> Loss {
     let database = &target.database;
     targets.failed(database);
     statement.trace.ended("lost");
@@ -266,9 +266,9 @@
     match lost {
         Lost::Silent => {
             target.pool.close_idle_before(asked);
-            Why::Silent
+            Loss::Silent
         }
-        Lost::Broken(_) | Lost::Garbled(_) => Why::Broken,
+        Lost::Broken(_) | Lost::Garbled(_) => Loss::Broken,
     }
 }
 
--- a/src/direct/outcome.rs
+++ b/src/direct/outcome.rs
@@ -12,7 +12,7 @@
 
 /// Why an answer is not returned to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum Loss {
     /// The connection broke, or the input was no valid answer.
     Broken,
     /// No answer arrived before the statement's deadline.
@@ -22,18 +22,18 @@
 }
 
 /// The error for a statement that was sent; `wrote` is whether its transaction has written before.
-pub fn lost(job: &Job<'_>, wrote: bool, why: Why) -> (Code, &'static str) {
+pub fn lost(job: &Job<'_>, wrote: bool, loss: Loss) -> (Code, &'static str) {
     let kept = match job.part {
         Part::Single => job.writes,
         Part::First { .. } => false,
         Part::Next => job.commit && wrote,
     };
-    match (why, kept) {
-        (Why::Silent, _) => (Code::Late, "the route's timeout is over"),
-        (Why::Broken, true) => (Code::Unknown, "the answer was lost"),
-        (Why::Lapsed, true) => (Code::Unknown, "the primary was replaced meanwhile"),
-        (Why::Broken, false) => (Code::RolledBack, "the connection to the database broke"),
-        (Why::Lapsed, false) => (Code::RolledBack, "the primary was replaced"),
+    match (loss, kept) {
+        (Loss::Silent, _) => (Code::Late, "the route's timeout is over"),
+        (Loss::Broken, true) => (Code::Unknown, "the answer was lost"),
+        (Loss::Lapsed, true) => (Code::Unknown, "the primary was replaced meanwhile"),
+        (Loss::Broken, false) => (Code::RolledBack, "the connection to the database broke"),
+        (Loss::Lapsed, false) => (Code::RolledBack, "the primary was replaced"),
     }
 }
 
--- a/src/direct/relay/line.rs
+++ b/src/direct/relay/line.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::Adapter;
-use crate::direct::outcome::Why;
+use crate::direct::outcome::Loss;
 use crate::direct::relay::{Channel, Request, Told};
 use futures_util::FutureExt;
 use std::cell::{Cell, RefCell};
@@ -158,16 +158,21 @@
     }
 
     /// Asks an owner over one of its streams, and passes it over if no reply comes `within` that time.
-    pub async fn ask(&self, line: &mut Line, request: &Request, within: Span) -> Result<Told, Why> {
+    pub async fn ask(
+        &self,
+        line: &mut Line,
+        request: &Request,
+        within: Span,
+    ) -> Result<Told, Loss> {
         match tokio::time::timeout(within.into(), line.ask(request)).await {
             Ok(Ok(told)) => Ok(told),
             Ok(Err(error)) => {
                 self.doubt(line.owner, &error);
-                Err(Why::Broken)
+                Err(Loss::Broken)
             }
             Err(_) => {
                 self.doubt(line.owner, &"no reply in time");
-                Err(Why::Silent)
+                Err(Loss::Silent)
             }
         }
     }
--- a/src/direct/relay/mod.rs
+++ b/src/direct/relay/mod.rs
@@ -15,7 +15,7 @@
 use crate::clock::Span;
 use crate::direct::adapter::Stream;
 use crate::direct::gate::Urgency;
-use crate::direct::outcome::Why;
+use crate::direct::outcome::Loss;
 use crate::direct::quota::bucket::Grant;
 use crate::direct::session::{Shape, Values};
 use crate::direct::statement::{Answer, Code};
@@ -132,7 +132,7 @@
     /// It has not run: the owner is about to stop.
     Away,
     /// It may have run.
-    Lost(Why),
+    Lost(Loss),
     /// To a request for a part of an allowance.
     Granted(Grant),
 }
--- a/src/direct/run.rs
+++ b/src/direct/run.rs
@@ -18,7 +18,7 @@
 use crate::direct::identity::Allowance;
 use crate::direct::job::{Job, Part};
 use crate::direct::meter::Meter;
-use crate::direct::outcome::{self, Why};
+use crate::direct::outcome::{self, Loss};
 use crate::direct::quota::Refusal;
 use crate::direct::session::{Phase, Session, error};
 use crate::direct::statement::{Answer, Code, End, State};
@@ -64,7 +64,7 @@
     NotRun,
     /// It may have run. The first statement of a transaction is not run again then: it would be
     /// on another connection than before.
-    Lost(Why),
+    Lost(Loss),
 }
 
 /// What to do after a try at the primary.
@@ -314,7 +314,7 @@
                 Then::Again
             }
             Attempt::Lost(why) => {
-                let repeats = why != Why::Silent && job.is_repeatable() && self.may_repeat();
+                let repeats = why != Loss::Silent && job.is_repeatable() && self.may_repeat();
                 if repeats && now < job.news_until() {
                     return Then::Again;
                 }
--- a/src/direct/transaction.rs
+++ b/src/direct/transaction.rs
@@ -5,7 +5,7 @@
 use crate::direct::config::Route;
 use crate::direct::exchange::{self, Failed};
 use crate::direct::job::Job;
-use crate::direct::outcome::{self, Why};
+use crate::direct::outcome::{self, Loss};
 use crate::direct::relay::line::Line;
 use crate::direct::relay::{Reply, Request};
 use crate::direct::session::Session;
@@ -83,7 +83,7 @@
         targets.answered(&self.held.target, asked, &answer, job.urgency());
         if !self.holds(targets) {
             job.trace.ended("lease");
-            let (code, text) = outcome::lost(job, self.wrote, Why::Lapsed);
+            let (code, text) = outcome::lost(job, self.wrote, Loss::Lapsed);
             return self.fail(targets, code, text);
         }
         self.learn(targets, session, job, asked, &answer);
@@ -170,7 +170,7 @@
                 let text = "the connection to the database broke";
                 (Code::RolledBack, text)
             }
-            Failed::Lost(why) => outcome::lost(job, self.wrote, why),
+            Failed::Lost(loss) => outcome::lost(job, self.wrote, loss),
         }
     }
 }
@@ -196,10 +196,10 @@
             Err(Failed::Busy)
         }
         Reply::NotRun(_) | Reply::Unreached | Reply::Unknown | Reply::Away => Err(Failed::Broken),
-        Reply::Granted(_) => Err(Failed::Lost(Why::Broken)),
-        Reply::Lost(why) => {
+        Reply::Granted(_) => Err(Failed::Lost(Loss::Broken)),
+        Reply::Lost(loss) => {
             job.trace.ended("lost");
-            Err(Failed::Lost(why))
+            Err(Failed::Lost(loss))
         }
     }
 }
