--- a/src/direct/run.rs
+++ b/src/direct/run.rs
@@ -254,7 +254,7 @@
             let left = job.news_until().since(came);
             let news = self
                 .targets
-                .wait_for_news(group, None, left.min(LOOK_AGAIN));
+                .wait_for_primary_change(group, None, left.min(LOOK_AGAIN));
             let came_news = news.await;
             let now = self.targets.now();
             job.trace.without_primary(now.since(came));
@@ -309,7 +309,9 @@
                 }
                 let group = &job.route.group;
                 let epoch = plan.lease.as_ref().map(|lease| lease.epoch);
-                self.targets.wait_for_news(group, epoch, ASK_AGAIN).await;
+                self.targets
+                    .wait_for_primary_change(group, epoch, ASK_AGAIN)
+                    .await;
                 job.trace.without_primary(self.targets.now().since(now));
                 Then::Again
             }
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -181,7 +181,12 @@
     ///
     /// A lease on a database that is not registered or is about to stop does not count as a change:
     /// the waiting caller would retry at once, in an endless loop.
-    pub async fn wait_for_news(&self, group: &GroupId, epoch: Option<Epoch>, span: Span) -> bool {
+    pub async fn wait_for_primary_change(
+        &self,
+        group: &GroupId,
+        epoch: Option<Epoch>,
+        span: Span,
+    ) -> bool {
         let primary_changed = async {
             loop {
                 let changed = self.shared.changed();
