--- a/src/direct/job.rs
+++ b/src/direct/job.rs
@@ -97,7 +97,7 @@
     }
 
     /// Until when it may wait for a primary.
-    pub fn news_until(&self) -> Time {
+    pub fn primary_wait_until(&self) -> Time {
         self.came + self.route.timeout.percent(PRIMARY_WAIT_PERCENT)
     }
 
--- a/src/direct/run.rs
+++ b/src/direct/run.rs
@@ -251,14 +251,14 @@
                 return Then::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
             }
             let came = self.targets.now();
-            let left = job.news_until().since(came);
+            let left = job.primary_wait_until().since(came);
             let news = self
                 .targets
                 .wait_for_primary_change(group, None, left.min(LOOK_AGAIN));
             let came_news = news.await;
             let now = self.targets.now();
             job.trace.without_primary(now.since(came));
-            if came_news || now < job.news_until() {
+            if came_news || now < job.primary_wait_until() {
                 return Then::Again;
             }
             return Then::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
@@ -303,7 +303,7 @@
                 Then::Answer(self.fail(session, job, code, "refused by the database"))
             }
             Attempt::NotRun(_) | Attempt::Unreached => {
-                if now + ASK_AGAIN >= job.news_until() {
+                if now + ASK_AGAIN >= job.primary_wait_until() {
                     let text = "the primary does not serve";
                     return Then::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
                 }
@@ -317,7 +317,7 @@
             }
             Attempt::Lost(why) => {
                 let repeats = why != Loss::Silent && job.is_repeatable() && self.may_repeat();
-                if repeats && now < job.news_until() {
+                if repeats && now < job.primary_wait_until() {
                     return Then::Again;
                 }
                 let (code, text) = outcome::lost(job, false, why);
