--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -195,7 +195,7 @@
             targets.responded(&target.database);
         }
         if let End::Error { code, .. } = answer.end
-            && outcome::may_do_elsewhere(code)
+            && outcome::may_succeed_elsewhere(code)
         {
             exchange::note_refusal(targets, self.job.trace, target, code);
             targets.refused(target, answer.position, code == Code::Busy);
--- a/src/direct/outcome.rs
+++ b/src/direct/outcome.rs
@@ -38,7 +38,7 @@
 }
 
 /// Whether a statement refused with `code` may succeed on another copy, or on the same one later.
-pub fn may_do_elsewhere(code: Code) -> bool {
+pub fn may_succeed_elsewhere(code: Code) -> bool {
     match code {
         Code::Busy
         | Code::Behind
--- a/src/direct/run.rs
+++ b/src/direct/run.rs
@@ -299,7 +299,7 @@
                 plan.target.pool.wait().await;
                 Then::Again
             }
-            Attempt::NotRun(code) if !outcome::may_do_elsewhere(code) => {
+            Attempt::NotRun(code) if !outcome::may_succeed_elsewhere(code) => {
                 Then::Answer(self.fail(session, job, code, "refused by the database"))
             }
             Attempt::NotRun(_) | Attempt::Unreached => {
@@ -385,5 +385,5 @@
 
 /// Whether an answer says that no database has run anything.
 fn never_ran(answer: &Answer) -> bool {
-    matches!(answer.end, End::Error { code, .. } if outcome::may_do_elsewhere(code))
+    matches!(answer.end, End::Error { code, .. } if outcome::may_succeed_elsewhere(code))
 }
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -402,7 +402,7 @@
     pub fn heard(&self, target: &Target, asked: Time, answer: &Answer, urgency: Urgency) {
         self.responded(&target.database);
         match answer.end {
-            End::Error { code, .. } if outcome::may_do_elsewhere(code) => {
+            End::Error { code, .. } if outcome::may_succeed_elsewhere(code) => {
                 self.refused(target, answer.position, code == Code::Busy);
             }
             _ => self.answered(target, asked, answer, urgency),
