--- a/src/direct/relay/serve.rs
+++ b/src/direct/relay/serve.rs
@@ -330,7 +330,7 @@
         asked: Time,
         urgency: Urgency,
     ) -> Reply {
-        targets.heard(&open.target, asked, &answer, urgency);
+        targets.answered_for_peer(&open.target, asked, &answer, urgency);
         match stays && answer.state == State::Open {
             true => self.open = Some(open),
             false => exchange::give_back(targets, open.lent, open.busy),
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -399,7 +399,13 @@
     }
 
     /// Records a database's answer to another VM's statement, which was sent at `asked`.
-    pub fn heard(&self, target: &Target, asked: Time, answer: &Answer, urgency: Urgency) {
+    pub fn answered_for_peer(
+        &self,
+        target: &Target,
+        asked: Time,
+        answer: &Answer,
+        urgency: Urgency,
+    ) {
         self.responded(&target.database);
         match answer.end {
             End::Error { code, .. } if outcome::may_succeed_elsewhere(code) => {
