--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -175,7 +175,7 @@
     fn fresh_news(&self, now: Time) -> Vec<Progress> {
         let view = self.setup.shared.look();
         let most = MOST_FRESH / view.fellows.list().len().max(1);
-        let mut told = view.fresh.told(now);
+        let mut told = view.fresh.progress(now);
         told.retain(|progress| progress.age < NEWS);
         if told.len() > most {
             // Others are told of other groups.
@@ -284,7 +284,7 @@
         for progress in &news.fresh {
             let now = self.now();
             let mut view = self.setup.shared.quietly();
-            view.fresh.hear(progress, asked);
+            view.fresh.receive(progress, asked);
             view.reached
                 .note(&progress.group, progress.epoch, progress.position, now);
         }
--- a/src/direct/fresh.rs
+++ b/src/direct/fresh.rs
@@ -82,7 +82,7 @@
 
     /// The newest position of each group, to send to another VM. A VM that can't reach a primary uses the
     /// positions of others to read from replicas.
-    pub fn told(&self, now: Time) -> Vec<Progress> {
+    pub fn progress(&self, now: Time) -> Vec<Progress> {
         let known = self.0.iter();
         let newest = known.filter_map(|(group, known)| {
             let pair = known.pairs.back()?;
@@ -97,7 +97,7 @@
     }
 
     /// Records a position from another VM that was asked at `asked`; network time counts as age.
-    pub fn hear(&mut self, progress: &Progress, asked: Time) {
+    pub fn receive(&mut self, progress: &Progress, asked: Time) {
         self.learn(
             &progress.group,
             progress.epoch,
--- a/src/model/ages.rs
+++ b/src/model/ages.rs
@@ -154,7 +154,7 @@
                 position: position(pair.place),
                 age: Span(TICK.0 * u64::from(pair.told)),
             };
-            fresh.hear(&progress, ago(pair.age));
+            fresh.receive(&progress, ago(pair.age));
         }
         fresh
     }
@@ -217,7 +217,7 @@
     /// The first VM answers with its newest pair.
     fn told(&self, state: &State) -> Option<State> {
         let call = state.calls[1].filter(|call| call.answer.is_none())?;
-        let told = self.fresh(state, 0).told(NOW).into_iter().next()?;
+        let told = self.fresh(state, 0).progress(NOW).into_iter().next()?;
         let age = (told.age.0 / TICK.0) as u8;
         let pair = Pair {
             epoch: told.epoch as u8,
--- a/tests/direct_fresh.rs
+++ b/tests/direct_fresh.rs
@@ -53,9 +53,9 @@
 fn a_received_position_is_dated_by_its_request() {
     let mut steward = Fresh::default();
     steward.learn(&group(), 1, at(5_000), position(7));
-    let received = steward.told(at(5_200));
+    let received = steward.progress(at(5_200));
     let mut fresh = Fresh::default();
-    fresh.hear(&received[0], at(900));
+    fresh.receive(&received[0], at(900));
     assert_eq!(fresh.oldest_allowed(&group(), at(700)), Some(position(7)));
     assert_eq!(fresh.oldest_allowed(&group(), at(701)), None);
 }
@@ -93,7 +93,7 @@
         age: Span::from_secs(3),
     };
     let mut fresh = Fresh::default();
-    fresh.hear(&received, now);
+    fresh.receive(&received, now);
     let since = now - Span::from_millis(1_500);
     assert_eq!(fresh.oldest_allowed(&group(), since), None);
 }
