--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -6,7 +6,7 @@
 use crate::direct::lead::{Epoch, Lease};
 use crate::direct::outcome::{self, Loss};
 use crate::direct::owner::Way;
-use crate::direct::pool::Lent;
+use crate::direct::pool::Checkout;
 use crate::direct::relay::line::Line;
 use crate::direct::relay::{Ask, Opening, Reply, Request, Start, Told};
 use crate::direct::session::Session;
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub enum Channel {
     /// On a connection of this VM.
-    Own(Box<Lent>),
+    Own(Box<Checkout>),
     /// On a connection of an owner.
     Through(Line),
 }
@@ -178,8 +178,8 @@
         let target = &self.plan.target;
         let (start, holds) = (|| self.start(), || self.holds());
         match exchange::start(self.targets, target, &statement, start, holds).await {
-            Ran::Answered(answer, lent, work_guard, asked) => {
-                let held = self.held(Channel::Own(lent), work_guard, false);
+            Ran::Answered(answer, checkout, work_guard, asked) => {
+                let held = self.held(Channel::Own(checkout), work_guard, false);
                 self.check(held, asked, answer)
             }
             Ran::NotRun(code) => Attempt::NotRun(code),
@@ -370,7 +370,7 @@
     /// Returns the connection; an open transaction is rolled back first.
     pub fn release(self, targets: &Targets) {
         match self.channel {
-            Channel::Own(lent) => exchange::give_back(targets, lent, self.work_guard),
+            Channel::Own(checkout) => exchange::give_back(targets, checkout, self.work_guard),
             Channel::Through(line) if !self.open => targets.lines.give_back(line),
             Channel::Through(line) => end_transaction(targets, line, self.work_guard),
         }
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -6,7 +6,7 @@
 use crate::direct::gate::Urgency;
 use crate::direct::meter::code_name;
 use crate::direct::outcome::Loss;
-use crate::direct::pool::{Lent, Wanted};
+use crate::direct::pool::{Checkout, Wanted};
 use crate::direct::session::{Shape, Values};
 use crate::direct::statement::{Answer, Code, End, Order, Query, State};
 use crate::direct::targets::{Target, Targets};
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub enum Ran<G> {
     /// The database answered; the time is when the statement was sent.
-    Answered(Answer, Box<Lent>, G, Time),
+    Answered(Answer, Box<Checkout>, G, Time),
     /// The statement has not run.
     NotRun(Code),
     /// The statement has not run: the database was not reached.
@@ -105,20 +105,20 @@
         .meter
         .queue_wait(targets.now().since(queued_at));
     let taken = pool.take(&targets.adapter, &target.database, statement.wanted());
-    let mut lent = match taken.await {
-        Ok(lent) => lent,
+    let mut checkout = match taken.await {
+        Ok(checkout) => checkout,
         Err(closed) => return not_opened(targets, statement.trace, target, &closed),
     };
-    if lent.is_new() {
+    if checkout.is_new() {
         targets.shared.meter.connection_opened(&target.database.id);
     }
     let Some(guard) = begin() else {
         statement.trace.ended("lease");
-        lent.give_back(&targets.adapter);
+        checkout.give_back(&targets.adapter);
         return Ran::NotRun(Code::NotPrimary);
     };
     let left = statement.deadline.since(targets.now());
-    let connection = lent.connection();
+    let connection = checkout.connection();
     let prepared = connection.prepare(statement.values, statement.begin);
     match tokio::time::timeout(left.into(), prepared).await {
         Ok(Ok(None)) => {}
@@ -126,7 +126,7 @@
             note_refusal(targets, statement.trace, target, code);
             targets.responded(&target.database);
             targets.refused(target, None, code == Code::Busy);
-            give_back(targets, Box::new(lent), guard);
+            give_back(targets, Box::new(checkout), guard);
             return Ran::NotRun(code);
         }
         Ok(Err(_)) | Err(_) => {
@@ -137,14 +137,14 @@
     }
     if !holds() {
         statement.trace.ended("lease");
-        give_back(targets, Box::new(lent), guard);
+        give_back(targets, Box::new(checkout), guard);
         return Ran::NotRun(Code::NotPrimary);
     }
     let asked = targets.now();
-    let sent = send(targets, target, statement, lent.connection()).await;
+    let sent = send(targets, target, statement, checkout.connection()).await;
     drop(permit);
     match sent {
-        Ok(answer) => Ran::Answered(answer, Box::new(lent), guard, asked),
+        Ok(answer) => Ran::Answered(answer, Box::new(checkout), guard, asked),
         Err(lost) => Ran::Lost(loss(targets, statement, target, asked, &lost)),
     }
 }
@@ -312,19 +312,19 @@
 
 /// Returns a connection to the pool, after rolling back its transaction if one is open. `guard` is
 /// dropped after that.
-pub fn give_back<G: 'static>(targets: &Targets, mut lent: Box<Lent>, guard: G) {
-    if lent.connection().is_clean() {
-        lent.give_back(&targets.adapter);
+pub fn give_back<G: 'static>(targets: &Targets, mut checkout: Box<Checkout>, guard: G) {
+    if checkout.connection().is_clean() {
+        checkout.give_back(&targets.adapter);
         return;
     }
-    if !lent.connection().is_settled() {
+    if !checkout.connection().is_settled() {
         return;
     }
     let adapter = targets.adapter.clone();
     actix_rt::spawn(async move {
-        let rolled = lent.connection().order(&Order::Rollback);
+        let rolled = checkout.connection().order(&Order::Rollback);
         let _ = tokio::time::timeout(ROLLBACK_TIMEOUT.into(), rolled).await;
-        lent.give_back(&adapter);
+        checkout.give_back(&adapter);
         drop(guard);
     });
 }
--- a/src/direct/pool.rs
+++ b/src/direct/pool.rs
@@ -82,7 +82,7 @@
 
 /// A connection in use; it is closed when dropped without being given back.
 #[derive(Debug)]
-pub struct Lent {
+pub struct Checkout {
     connection: Connection,
     usage: Usage,
     opened: bool,
@@ -115,7 +115,7 @@
     }
 }
 
-impl Lent {
+impl Checkout {
     fn new(connection: Connection, usage: Usage, opened: bool) -> Self {
         Self {
             connection,
@@ -176,9 +176,9 @@
         adapter: &Adapter,
         database: &Database,
         wanted: Wanted<'_>,
-    ) -> Result<Lent, Closed> {
+    ) -> Result<Checkout, Closed> {
         if let Some(connection) = self.reuse(wanted) {
-            return Ok(Lent::new(connection, Usage::new(self), false));
+            return Ok(Checkout::new(connection, Usage::new(self), false));
         }
         if (adapter.clock)() < self.full_until.get() {
             return Err(Closed::Refused(Code::Full));
@@ -190,7 +190,7 @@
         match Connection::open(adapter, database, wanted.organisation, OPEN_TIMEOUT).await {
             Ok(connection) => {
                 self.full_delay.set(MIN_FULL_DELAY);
-                Ok(Lent::new(connection, usage, true))
+                Ok(Checkout::new(connection, usage, true))
             }
             Err(closed) => {
                 usage.connected = false;
--- a/src/direct/relay/serve.rs
+++ b/src/direct/relay/serve.rs
@@ -5,7 +5,7 @@
 use crate::direct::exchange::{self, Failed, Ran, Statement};
 use crate::direct::front::Stopping;
 use crate::direct::gate::Urgency;
-use crate::direct::pool::Lent;
+use crate::direct::pool::Checkout;
 use crate::direct::relay::{Ask, Channel, Reply, Request, Start, Told};
 use crate::direct::session::Shape;
 use crate::direct::statement::{Answer, Code, Message, Order, Query, State};
@@ -63,7 +63,7 @@
 /// A transaction that is open.
 #[derive(Debug)]
 struct Open {
-    lent: Box<Lent>,
+    checkout: Box<Checkout>,
     target: Target,
     busy: Busy,
 }
@@ -262,9 +262,9 @@
         let busy = self.relay.begin();
         let ran = exchange::start(&targets, &target, &statement, || Some(busy), || true).await;
         let reply = match ran {
-            Ran::Answered(answer, lent, busy, asked) => {
+            Ran::Answered(answer, checkout, busy, asked) => {
                 let open = Open {
-                    lent,
+                    checkout,
                     target: target.clone(),
                     busy,
                 };
@@ -290,12 +290,12 @@
         // The VM that asks writes the request's line.
         let trace = Trace::default();
         let statement = self.statement(&ask, &query, shape.as_ref(), &trace);
-        let (target, connection) = (open.target.clone(), open.lent.connection());
+        let (target, connection) = (open.target.clone(), open.checkout.connection());
         let ran = exchange::next(&targets, &target, connection, &statement, || true).await;
         let reply = match ran {
             Ok((answer, asked)) => self.passed_on(&targets, open, true, answer, asked, ask.urgency),
             Err(failed) => {
-                exchange::give_back(&targets, open.lent, open.busy);
+                exchange::give_back(&targets, open.checkout, open.busy);
                 match failed {
                     Failed::Busy => Reply::NotRun(Code::Busy),
                     Failed::Ended | Failed::Broken => Reply::NotRun(Code::RolledBack),
@@ -333,7 +333,7 @@
         targets.answered_for_peer(&open.target, asked, &answer, urgency);
         match stays && answer.state == State::Open {
             true => self.open = Some(open),
-            false => exchange::give_back(targets, open.lent, open.busy),
+            false => exchange::give_back(targets, open.checkout, open.busy),
         }
         Reply::Answered(answer)
     }
@@ -372,7 +372,7 @@
 
     fn roll_back(&mut self) {
         if let Some(open) = self.open.take() {
-            exchange::give_back(&self.relay.targets, open.lent, open.busy);
+            exchange::give_back(&self.relay.targets, open.checkout, open.busy);
         }
     }
 }
--- a/src/direct/transaction.rs
+++ b/src/direct/transaction.rs
@@ -146,9 +146,9 @@
         };
         let target = &self.held.target;
         let ran = match &mut self.held.channel {
-            Channel::Own(lent) => {
+            Channel::Own(checkout) => {
                 let statement = job.statement(&session.values);
-                exchange::next(targets, target, lent.connection(), &statement, holds).await
+                exchange::next(targets, target, checkout.connection(), &statement, holds).await
             }
             Channel::Through(_) if !holds() => {
                 job.trace.ended("lease");
