--- a/src/direct/front.rs
+++ b/src/direct/front.rs
@@ -30,7 +30,7 @@
 
 /// The location of this VM.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Location {
     /// Its failure domain.
     pub domain: Domain,
     /// The address where it accepts other VMs' statements, if it relays any.
@@ -39,7 +39,7 @@
     pub regions: BTreeMap<Domain, Box<str>>,
 }
 
-impl Place {
+impl Location {
     /// Whether a failure domain lies in this VM's region.
     pub fn is_near(&self, domain: &Domain) -> bool {
         self.are_near(domain, &self.domain)
@@ -89,7 +89,7 @@
 
 impl Front {
     /// Creates a front without sessions.
-    pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Place) -> Rc<Self> {
+    pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Location) -> Rc<Self> {
         Rc::new(Self {
             runner: Runner::new(adapter.clone(), shared.clone(), place),
             adapter,
--- a/src/direct/quota/spend.rs
+++ b/src/direct/quota/spend.rs
@@ -1,7 +1,7 @@
 //! Spends and keeps allowances: asks keepers on behalf of this VM's callers, and answers other VMs.
 
 use crate::clock::{Span, Time};
-use crate::direct::front::Place;
+use crate::direct::front::Location;
 use crate::direct::identity::Allowance;
 use crate::direct::quota::bucket::{Bucket, Grant, Share};
 use crate::direct::quota::keeper::{self, KEEPERS};
@@ -48,7 +48,7 @@
 pub struct Quotas {
     shared: Rc<Shared>,
     lines: Rc<Lines>,
-    place: Place,
+    place: Location,
     purses: RefCell<BTreeMap<OrganisationId, Purse>>,
     buckets: RefCell<BTreeMap<OrganisationId, Kept>>,
     keepers: RefCell<Known>,
@@ -79,7 +79,7 @@
 
 impl Quotas {
     /// Nothing at hand.
-    pub fn new(shared: Rc<Shared>, lines: Rc<Lines>, place: Place) -> Rc<Self> {
+    pub fn new(shared: Rc<Shared>, lines: Rc<Lines>, place: Location) -> Rc<Self> {
         Rc::new(Self {
             shared,
             lines,
--- a/src/direct/run.rs
+++ b/src/direct/run.rs
@@ -14,7 +14,7 @@
 use crate::direct::adapter::Adapter;
 use crate::direct::attempt::{self, Attempt, Held, Plan};
 use crate::direct::config::Kind;
-use crate::direct::front::Place;
+use crate::direct::front::Location;
 use crate::direct::identity::Allowance;
 use crate::direct::job::{Job, Part};
 use crate::direct::meter::Meter;
@@ -75,7 +75,7 @@
 
 impl Runner {
     /// A runner without connections.
-    pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Place) -> Self {
+    pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Location) -> Self {
         Self {
             targets: Targets::new(adapter, shared, place),
             budget: RefCell::default(),
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -5,7 +5,7 @@
 use crate::core::route::{Candidate, Need, Router};
 use crate::direct::adapter::Adapter;
 use crate::direct::config::Database;
-use crate::direct::front::Place;
+use crate::direct::front::Location;
 use crate::direct::gate::Urgency;
 use crate::direct::lead::{Epoch, Lease};
 use crate::direct::outcome;
@@ -80,7 +80,7 @@
     pub lines: Rc<Lines>,
     /// The quotas of the organisations.
     pub quotas: Rc<Quotas>,
-    place: Place,
+    place: Location,
     pools: RefCell<BTreeMap<DatabaseId, Instance>>,
     routers: RefCell<BTreeMap<GroupId, Router>>,
     probed: RefCell<BTreeMap<DatabaseId, Time>>,
@@ -116,7 +116,7 @@
 
 impl Targets {
     /// Creates the set without open connections.
-    pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Place) -> Rc<Self> {
+    pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Location) -> Rc<Self> {
         let lines = Lines::new(adapter.clone());
         Rc::new(Self {
             quotas: Quotas::new(shared.clone(), lines.clone(), place.clone()),
--- a/src/net/direct.rs
+++ b/src/net/direct.rs
@@ -178,7 +178,7 @@
             relay: direct.relay,
             seeds: direct.seeds.clone(),
         });
-        let place = front::Place {
+        let place = front::Location {
             domain: settings.domain.clone(),
             relay: direct.relay,
             regions: direct.regions.clone(),
--- a/src/standin/direct/program.rs
+++ b/src/standin/direct/program.rs
@@ -3,7 +3,7 @@
 use crate::clock::Span;
 use crate::direct::adapter::Later;
 use crate::direct::control::{Control, Setup};
-use crate::direct::front::{Front, Place};
+use crate::direct::front::{Front, Location};
 use crate::direct::relay::serve::Relay;
 use crate::direct::view::Shared;
 use crate::standin::direct::machine::{Machine, Program};
@@ -36,7 +36,7 @@
         relay: Some(machine.relay),
         seeds: machine.seeds,
     });
-    let place = Place {
+    let place = Location {
         domain: machine.domain,
         relay: Some(machine.relay),
         regions: machine.regions,
--- a/tests/direct_relay.rs
+++ b/tests/direct_relay.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::direct::adapter::{Adapter, Documents, Stream};
-use lentilspoke::direct::front::Place;
+use lentilspoke::direct::front::Location;
 use lentilspoke::direct::gate::Urgency;
 use lentilspoke::direct::relay::line::Lines;
 use lentilspoke::direct::relay::serve::Relay;
@@ -209,7 +209,7 @@
         }),
         clock: Rc::new(|| Time(1_000_000)),
     };
-    let place = Place {
+    let place = Location {
         domain: "d1".parse().unwrap(),
         relay: None,
         regions: BTreeMap::new(),
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -4,7 +4,7 @@
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::direct::adapter::{Adapter, Documents, Stream};
 use lentilspoke::direct::config::{Config, Database, Group, Kind, Route};
-use lentilspoke::direct::front::{Front, Place};
+use lentilspoke::direct::front::{Front, Location};
 use lentilspoke::direct::lead::Lead;
 use lentilspoke::direct::table::{Fault, RowId};
 use lentilspoke::direct::view::Shared;
@@ -112,7 +112,7 @@
         let script: Rc<RefCell<Script>> = Rc::new(RefCell::new(Box::new(|_, _, _| None)));
         let seen = Rc::new(RefCell::new(String::new()));
         let adapter = adapter(started, script.clone(), seen.clone());
-        let place = Place {
+        let place = Location {
             domain: "nairobi".parse().unwrap(),
             relay: None,
             regions: BTreeMap::new(),
