--- a/src/direct/adapter.rs
+++ b/src/direct/adapter.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{Span, Time};
 use crate::direct::config::{Config, Database};
-use crate::direct::statement::{Answer, Message, Order, Query, Standing};
+use crate::direct::statement::{Answer, Message, Order, Query, Status};
 use crate::direct::table::{Ask, Fault, RowId, Told};
 use crate::types::{DatabaseId, GroupId, OrganisationId, Position, VmId};
 use bytes::BytesMut;
@@ -54,8 +54,8 @@
     /// Reads a database's whole answer: to the start of the session (which has no end of its
     /// own but an error's) if `starting`, else to a statement.
     pub read_answer: fn(input: &mut BytesMut, starting: bool) -> Result<Option<Answer>, Garbled>,
-    /// Reads the rows that answer [`Order::Standing`].
-    pub read_standing: fn(answer: &Answer) -> Option<Standing>,
+    /// Reads the rows that answer [`Order::Status`].
+    pub read_status: fn(answer: &Answer) -> Option<Status>,
 }
 
 /// Where the platform keeps what it tells us, and how to read it.
--- a/src/direct/control/order.rs
+++ b/src/direct/control/order.rs
@@ -9,7 +9,7 @@
 use crate::direct::control::duty::Renewed;
 use crate::direct::control::promotion::{Choice, Permit, Pick, Word};
 use crate::direct::control::steward::Cause;
-use crate::direct::statement::Standing;
+use crate::direct::statement::Status;
 use crate::types::{Birth, DatabaseId, Domain, Position};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use std::rc::Rc;
@@ -64,7 +64,7 @@
         self: &Rc<Self>,
         work: &Work,
         chosen: &Chosen,
-        before: Standing,
+        before: Status,
         only: bool,
     ) -> Result<bool, Lost> {
         let id = &chosen.id;
@@ -124,13 +124,13 @@
         &self,
         work: &Work,
         id: &DatabaseId,
-        before: Standing,
+        before: Status,
         only: bool,
     ) -> Option<bool> {
         let until = self.now() + LEADS_WITHIN;
         let settled = self.now() + PROMOTED_WITHIN;
         let trusted = !before.primary || (only && *id == work.old);
-        let is_new = |standing: Standing| trusted || standing.term > before.term;
+        let is_new = |standing: Status| trusted || standing.term > before.term;
         while self.now() < until {
             let known = self.registered(id);
             let Some(database) = known else {
@@ -214,7 +214,7 @@
         work: &Work,
         target: Option<Position>,
         not: &[DatabaseId],
-    ) -> Result<(Chosen, Standing), Lost> {
+    ) -> Result<(Chosen, Status), Lost> {
         let mut asked: Vec<Chosen> = Vec::new();
         let mut choice = Choice::new(self.now(), None, None, []);
         loop {
--- a/src/direct/control/probe.rs
+++ b/src/direct/control/probe.rs
@@ -130,10 +130,10 @@
         },
     };
     for _ in 0..BUSY_TRIES {
-        let Some(answer) = open.ask(&Order::Standing).await else {
+        let Some(answer) = open.ask(&Order::Status).await else {
             return Word::Pending;
         };
-        if let Some(standing) = (adapter.wire.read_standing)(&answer) {
+        if let Some(standing) = (adapter.wire.read_status)(&answer) {
             *link = Some(open);
             return Word::Stands(standing);
         }
--- a/src/direct/control/promotion.rs
+++ b/src/direct/control/promotion.rs
@@ -5,7 +5,7 @@
 use crate::direct::control::rows::MemberId;
 use crate::direct::control::takeover::ORDER_WITHIN;
 use crate::direct::lead::{LEASE, MAX_SILENT, TERM};
-use crate::direct::statement::Standing;
+use crate::direct::statement::Status;
 use crate::types::{DatabaseId, Domain, Position, Term};
 use std::collections::BTreeMap;
 
@@ -127,7 +127,7 @@
     /// It can't be reached, or is no candidate any more.
     Absent,
     /// How it stands.
-    Stands(Standing),
+    Stands(Status),
 }
 
 /// A database that may lead.
@@ -193,7 +193,7 @@
     }
 
     /// How a database stands, if it said so.
-    pub fn standing(&self, id: &DatabaseId) -> Option<Standing> {
+    pub fn standing(&self, id: &DatabaseId) -> Option<Status> {
         let candidate = self.candidates.iter().find(|c| c.id == *id)?;
         match candidate.word {
             Word::Stands(standing) => Some(standing),
--- a/src/direct/statement.rs
+++ b/src/direct/statement.rs
@@ -161,7 +161,7 @@
 
 /// The status that a database reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct Status {
     /// Whether it considers itself the primary.
     pub primary: bool,
     /// The newest term that it knows of; a primary's is its own.
@@ -201,7 +201,7 @@
     /// Discards all session values and prepared statements.
     Reset,
     /// Asks for the database's status.
-    Standing,
+    Status,
     /// Makes the database a replica if it is primary of a lower term.
     StepDown(crate::types::Term),
 }
--- a/src/standin/direct/wire.rs
+++ b/src/standin/direct/wire.rs
@@ -10,7 +10,7 @@
 use crate::direct::adapter::{Garbled, Wire};
 use crate::direct::identity::Key;
 use crate::direct::statement::{
-    Answer, Code, End, Message, Order, Query, Standing, State, Statement,
+    Answer, Code, End, Message, Order, Query, State, Statement, Status,
 };
 use crate::types::{DatabaseId, GroupId, OrganisationId, Position};
 use bytes::{Bytes, BytesMut};
@@ -79,7 +79,7 @@
         write_order,
         write_bye,
         read_answer,
-        read_standing,
+        read_status,
     }
 }
 
@@ -252,7 +252,7 @@
             (format!("prepare {name} {kind} {shape}"), None)
         }
         Order::Reset => ("reset".into(), None),
-        Order::Standing => ("standing".into(), None),
+        Order::Status => ("standing".into(), None),
         Order::StepDown(term) => (format!("step-down {term}"), None),
     };
     ask(output, OWN, after, &text);
@@ -317,11 +317,11 @@
     }
 }
 
-fn read_standing(answer: &Answer) -> Option<Standing> {
+fn read_status(answer: &Answer) -> Option<Status> {
     let row = std::str::from_utf8(answer.rows.first()?).ok()?;
     let (role, rest) = row.split_once(' ')?;
     let (term, received) = rest.split_once(' ')?;
-    Some(Standing {
+    Some(Status {
         primary: role == "primary",
         term: term.parse().ok()?,
         received: received.parse().ok()?,
--- a/tests/adapter/wire.rs
+++ b/tests/adapter/wire.rs
@@ -343,7 +343,7 @@
             shape: "q2c".into(),
         },
         Order::Reset,
-        Order::Standing,
+        Order::Status,
         Order::StepDown(Term(4)),
     ];
     orders
@@ -385,7 +385,7 @@
 #[test]
 fn a_standing_is_read() {
     let standing = |row: &'static str| {
-        (WIRE.read_standing)(&Answer {
+        (WIRE.read_status)(&Answer {
             rows: vec![Bytes::from_static(row.as_bytes())],
             end: End::Done(None),
             state: State::Idle,
--- a/tests/direct_control.rs
+++ b/tests/direct_control.rs
@@ -12,7 +12,7 @@
 use lentilspoke::direct::control::store::Patience;
 use lentilspoke::direct::control::takeover::{Hearing, Watch};
 use lentilspoke::direct::lead::{Lead, Leases};
-use lentilspoke::direct::statement::Standing;
+use lentilspoke::direct::statement::Status;
 use lentilspoke::direct::table::{self, Era};
 use lentilspoke::direct::view::Report;
 use lentilspoke::types::{
@@ -198,7 +198,7 @@
 }
 
 fn stands(offset: u64, primary: bool) -> Word {
-    Word::Stands(Standing {
+    Word::Stands(Status {
         primary,
         term: Term(1),
         received: Position::new(Term(1), Offset(offset)),
--- a/tests/direct_standin.rs
+++ b/tests/direct_standin.rs
@@ -186,8 +186,8 @@
             code(&primary.ask("exec s1 i1").await),
             Some(Code::NoStatement)
         );
-        let answer = primary.order(Order::Standing).await;
-        let standing = (machine.adapter.wire.read_standing)(&answer).unwrap();
+        let answer = primary.order(Order::Status).await;
+        let standing = (machine.adapter.wire.read_status)(&answer).unwrap();
         assert!(standing.primary);
         assert_eq!(Some(standing.received), at(1, 1));
     })
@@ -300,7 +300,7 @@
                 failed += u32::from(code(&session.ask("read i1").await) == Some(Code::Failed));
             }
             assert_eq!(failed, 40);
-            let answer = session.order(Order::Standing).await;
+            let answer = session.order(Order::Status).await;
             assert_eq!(code(&answer), None, "it is well otherwise");
         },
     );
