--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -113,18 +113,18 @@
 pub async fn run(targets: &Targets, session: &Session, job: &Job<'_>, plan: &Plan) -> Attempt {
     let epoch = plan.lease.as_ref().map(|lease| lease.epoch);
     job.trace.tries(&plan.target.database.id, epoch);
-    let one = Run {
+    let run = Run {
         targets,
         session,
         job,
         plan,
     };
     if let Way::Through(owners) = &*targets.way(&plan.target.database, job.organisation)
-        && let Some(attempt) = one.run_through(owners).await
+        && let Some(attempt) = run.run_through(owners).await
     {
         return attempt;
     }
-    one.run_directly().await
+    run.run_directly().await
 }
 
 impl Run<'_> {
@@ -256,8 +256,8 @@
             limit = limit.min(SILENCE_TIMEOUT);
         }
         self.job.trace.through(line.owner());
-        let told = match self.targets.lines.ask(&mut line, &request, limit).await {
-            Ok(told) => told,
+        let response = match self.targets.lines.ask(&mut line, &request, limit).await {
+            Ok(response) => response,
             Err(loss) => {
                 self.job.trace.ended("owner");
                 let late = loss == Loss::Silent && self.targets.now() >= self.job.deadline();
@@ -266,8 +266,8 @@
             }
         };
         let pool = &self.plan.target.pool;
-        pool.owner_waits(self.targets.now() + told.wait);
-        self.handle_reply(line, work_guard, asked, told)
+        pool.owner_waits(self.targets.now() + response.wait);
+        self.handle_reply(line, work_guard, asked, response)
     }
 
     fn request(&self) -> Start {
@@ -288,11 +288,11 @@
         line: Line,
         work_guard: Option<WorkGuard>,
         asked: Time,
-        told: Told,
+        response: Told,
     ) -> Relayed {
         let (targets, target) = (self.targets, &self.plan.target);
         let lines = &targets.lines;
-        match told.reply {
+        match response.reply {
             Reply::Answered(answer) => {
                 let first = matches!(self.job.part, Part::First { .. });
                 let opened = first && answer.state == State::Open;
@@ -312,7 +312,7 @@
             Reply::NotRun(code) => {
                 lines.give_back(line);
                 exchange::note_refusal(targets, self.job.trace, target, code);
-                targets.refused(target, told.position, false);
+                targets.refused(target, response.position, false);
                 let attempt = Attempt::NotRun(code);
                 match code {
                     Code::Full | Code::OtherDatabase => Relayed::TryNext(attempt),
--- a/src/direct/front.rs
+++ b/src/direct/front.rs
@@ -89,9 +89,9 @@
 
 impl Front {
     /// Creates a front without sessions.
-    pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Location) -> Rc<Self> {
+    pub fn new(adapter: Adapter, shared: Rc<Shared>, location: Location) -> Rc<Self> {
         Rc::new(Self {
-            runner: Runner::new(adapter.clone(), shared.clone(), place),
+            runner: Runner::new(adapter.clone(), shared.clone(), location),
             adapter,
             shared,
             stopping: watch::Sender::new(Stopping::No),
--- a/src/direct/owner.rs
+++ b/src/direct/owner.rs
@@ -48,9 +48,9 @@
 /// Which VMs connect to a database.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Access {
-    /// All of them.
+    /// All VMs.
     All,
-    /// These.
+    /// Only these VMs.
     Owners(Vec<SocketAddr>),
 }
 
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -80,7 +80,7 @@
     pub lines: Rc<Lines>,
     /// The quotas of the organisations.
     pub quotas: Rc<Quotas>,
-    place: Location,
+    location: Location,
     pools: RefCell<BTreeMap<DatabaseId, Instance>>,
     routers: RefCell<BTreeMap<GroupId, Router>>,
     probed: RefCell<BTreeMap<DatabaseId, Time>>,
@@ -100,7 +100,7 @@
 #[derive(Debug, Clone)]
 struct CachedAccess {
     access: Rc<Access>,
-    /// The way for requests of no particular organisation.
+    /// How it is reached for no particular organisation.
     way: Rc<Way>,
     peers_digest: u64,
     connections: u32,
@@ -116,14 +116,14 @@
 
 impl Targets {
     /// Creates the set without open connections.
-    pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Location) -> Rc<Self> {
+    pub fn new(adapter: Adapter, shared: Rc<Shared>, location: Location) -> Rc<Self> {
         let lines = Lines::new(adapter.clone());
         Rc::new(Self {
-            quotas: Quotas::new(shared.clone(), lines.clone(), place.clone()),
+            quotas: Quotas::new(shared.clone(), lines.clone(), location.clone()),
             lines,
             adapter,
             shared,
-            place,
+            location,
             pools: RefCell::default(),
             routers: RefCell::default(),
             probed: RefCell::default(),
@@ -219,7 +219,7 @@
         let Some(organisation) = organisation else {
             return known.way;
         };
-        let relay = self.place.relay;
+        let relay = self.location.relay;
         Rc::new(known.access.way_for(relay, &database.id, organisation))
     }
 
@@ -241,10 +241,10 @@
             id: &database.id,
             connections,
         };
-        let is_near = |domain: &_| self.place.are_near(domain, &database.domain);
+        let is_near = |domain: &_| self.location.are_near(domain, &database.domain);
         let access = owner::access(list, destination, is_near);
         let known = CachedAccess {
-            way: Rc::new(access.way(self.place.relay, &database.id)),
+            way: Rc::new(access.way(self.location.relay, &database.id)),
             max_kept: access.max_kept(connections, list.len()),
             access: Rc::new(access),
             peers_digest,
@@ -335,7 +335,7 @@
     ) -> Vec<(DatabaseId, bool, f64)> {
         let view = self.shared.look();
         let lead = view.book.known(group).map(|(lead, _)| &lead.primary);
-        let is_near = |database: &Database| self.place.is_near(&database.domain);
+        let is_near = |database: &Database| self.location.is_near(&database.domain);
         let candidate = |database: &Rc<Database>| Candidate {
             database: database.id.clone(),
             // A near primary is treated like any other copy; a far one comes last.
@@ -358,8 +358,8 @@
         found.collect()
     }
 
-    /// Whether a database is failing and was probed within [`PROBE_INTERVAL`]. If it was not, this call counts
-    /// as the probe.
+    /// Whether a database is failing and was probed within [`PROBE_INTERVAL`]. If it is failing and was
+    /// not, this call counts as the probe.
     fn is_left_out(&self, database: &DatabaseId, now: Time) -> bool {
         let report = self.shared.look().reports.report(database, now);
         if report.failing.is_none() {
--- a/src/direct/trace.rs
+++ b/src/direct/trace.rs
@@ -3,8 +3,8 @@
 //! A VM serves hundreds of statements a second and fails only a few, unless it is overloaded or has
 //! lost a dependency. Lines for all served requests would cost processor time and hide the failures.
 //! So every request that was not served gets a line, and a served one gets a line when its operation
-//! exceeds its route's objective. Of the rest one in [`SAMPLE_INTERVAL`] gets a line for comparison: one every
-//! few seconds on a busy VM.
+//! exceeds its route's objective. Of the rest one in [`SAMPLE_INTERVAL`] gets a line for comparison:
+//! one every few seconds on a busy VM.
 
 use crate::clock::{Span, Time};
 use crate::direct::lead::Epoch;
--- a/src/direct/transaction.rs
+++ b/src/direct/transaction.rs
@@ -187,9 +187,9 @@
     let limit = job.deadline().since(asked);
     job.trace.through(line.owner());
     job.trace.ended("owner");
-    let told = targets.lines.ask(line, &request, limit).await;
-    let told = told.map_err(Failed::Lost)?;
-    match told.reply {
+    let response = targets.lines.ask(line, &request, limit).await;
+    let response = response.map_err(Failed::Lost)?;
+    match response.reply {
         Reply::Answered(answer) => Ok((answer, asked)),
         Reply::NotRun(Code::Busy) => {
             job.trace.ended("queue");
--- a/tests/direct_lines.rs
+++ b/tests/direct_lines.rs
@@ -233,8 +233,8 @@
     assert_eq!(ids, expected);
 }
 
-/// One in [`SAMPLE_INTERVAL`] requests served in time has a line. A late transaction has one at the statement with
-/// which it becomes late; the caller's pauses don't count.
+/// One in [`SAMPLE_INTERVAL`] requests served in time has a line. A late transaction has one at the
+/// statement with which it becomes late; the caller's pauses don't count.
 #[test]
 fn which_requests_have_a_line() {
     let sampler = Sampler::default();
