--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -287,7 +287,7 @@
         log::info!(
             request:% = self.operation.request, operation:% = self.operation.id,
             group:% = transaction.route().group, database:% = transaction.database(),
-            since_ms = self.front.now().since(self.operation.came).0 / 1_000;
+            since_ms = self.front.now().since(self.operation.arrived).0 / 1_000;
             "a transaction is rolled back: {reason}"
         );
         self.front.runner.roll_back(transaction);
@@ -321,7 +321,7 @@
         let completion = match (&answer.end, route) {
             (End::Done(_), Some(route)) => {
                 if steps.tries > 0 {
-                    meter.served(route.kind, now.since(self.operation.came));
+                    meter.served(route.kind, now.since(self.operation.arrived));
                 }
                 Completion::Served {
                     objective: route.objective,
@@ -403,7 +403,7 @@
         shape: Option<Rc<Shape>>,
         commit: bool,
     ) -> Answer {
-        let now = self.operation.came;
+        let now = self.operation.arrived;
         let known = self.known.as_ref();
         let organisation = known.and_then(|(_, identity)| identity.organisation().cloned());
         let open = self.transaction.take();
@@ -421,7 +421,7 @@
             commit,
             part,
             since,
-            came: now,
+            arrived: now,
             trace,
         };
         let runner = &self.front.runner;
--- a/src/direct/job.rs
+++ b/src/direct/job.rs
@@ -60,7 +60,7 @@
     /// When it, or the `BEGIN` of its transaction, arrived.
     pub since: Time,
     /// When it arrived.
-    pub came: Time,
+    pub arrived: Time,
     /// Records its steps for the log line.
     pub trace: &'a Trace,
 }
@@ -84,7 +84,7 @@
 
     /// When it times out.
     pub fn deadline(&self) -> Time {
-        self.came + self.route.timeout
+        self.arrived + self.route.timeout
     }
 
     /// Until when it may queue for a busy database.
@@ -93,12 +93,12 @@
             Part::Next => OPEN_QUEUE_PERCENT,
             Part::Single | Part::First { .. } => QUEUE_PERCENT,
         };
-        self.came + self.route.objective.percent(percent)
+        self.arrived + self.route.objective.percent(percent)
     }
 
     /// Until when it may wait for a primary.
     pub fn primary_wait_until(&self) -> Time {
-        self.came + self.route.timeout.percent(PRIMARY_WAIT_PERCENT)
+        self.arrived + self.route.timeout.percent(PRIMARY_WAIT_PERCENT)
     }
 
     /// Its position in the queue.
--- a/src/direct/line.rs
+++ b/src/direct/line.rs
@@ -109,7 +109,7 @@
         last:% = Shown(steps.ended),
         queue_ms = millis(steps.queued),
         no_primary_ms = millis(steps.without_primary),
-        took_ms = millis(front.now().since(operation.came)),
+        took_ms = millis(front.now().since(operation.arrived)),
         spent_ms = millis(operation.spent()),
         version:% = Shown(belief.version);
         "{message}"
@@ -152,7 +152,7 @@
         request:% = operation.request,
         operation:% = operation.id,
         route:% = clip(host),
-        since_ms = millis(front.now().since(operation.came));
+        since_ms = millis(front.now().since(operation.arrived));
         "{why}"
     );
 }
--- a/src/direct/trace.rs
+++ b/src/direct/trace.rs
@@ -118,7 +118,7 @@
     /// The id of its newest request.
     pub request: Box<str>,
     /// When that arrived.
-    pub came: Time,
+    pub arrived: Time,
     spent: Span,
     late: bool,
 }
@@ -126,7 +126,7 @@
 impl Operation {
     /// Starts a request that arrived at `now`; `first` is whether nothing of the operation ran before.
     pub fn begin(&mut self, request: &str, now: Time, first: bool) {
-        (self.request, self.came) = (clip(request).into(), now);
+        (self.request, self.arrived) = (clip(request).into(), now);
         if first {
             self.id = self.request.clone();
             (self.spent, self.late) = (Span::ZERO, false);
@@ -136,7 +136,7 @@
     /// Ends the request that was answered at `now`; returns the reason for a line if it gets one. The
     /// caller's pauses between the statements of a transaction don't count.
     pub fn end(&mut self, now: Time, completion: Completion, sampler: &Sampler) -> Option<Reason> {
-        self.spent = self.spent + now.since(self.came);
+        self.spent = self.spent + now.since(self.arrived);
         let Completion::Served { objective } = completion else {
             return Some(Reason::NotServed);
         };
