--- a/tests/direct_fresh.rs
+++ b/tests/direct_fresh.rs
@@ -84,7 +84,7 @@
 /// clock and was clamped to zero, so the position counted as new enough for a read of at most 1.5 s age,
 /// which missed a commit acknowledged two seconds before. (STALE on hunt-350e-11 of cctak-ledger.)
 #[test]
-fn what_was_known_before_a_process_began_keeps_its_age() {
+fn a_position_older_than_the_process_keeps_its_age() {
     let now = lentilspoke::net::system::clock()();
     let received = Progress {
         group: group(),
--- a/tests/direct_history.rs
+++ b/tests/direct_history.rs
@@ -67,7 +67,7 @@
 /// VMs join and leave in any order, and another VM asks for changes at some of these states. Whenever it
 /// has applied an update, both VMs have the same list.
 #[test]
-fn whoever_is_told_changes_knows_the_same_vms() {
+fn applied_changes_give_the_same_vms() {
     fn same(lists: Vec<(Vec<u8>, bool)>) -> bool {
         let (mut here, mut there) = (Fellows::default(), Fellows::default());
         for (list, asks) in lists {
--- a/tests/direct_serve.rs
+++ b/tests/direct_serve.rs
@@ -339,7 +339,7 @@
 /// A caller connects to a stopping VM just before idle sessions are closed, with its first statement in
 /// flight. It is answered, because a session is closed only after it has been idle for some time.
 #[test]
-fn a_stop_answers_whoever_has_just_connected() {
+fn a_stop_answers_a_caller_that_has_just_connected() {
     play(async {
         let world = World::new();
         let front = Rc::clone(&world.front);
@@ -356,7 +356,7 @@
 /// A caller connects to a VM that has no configuration yet. The answer is that nothing was run and when to
 /// retry, and not that the route does not exist, after which the caller would not retry.
 #[test]
-fn before_the_first_configuration_callers_may_come_back() {
+fn before_the_first_configuration_callers_may_retry() {
     play(async {
         let world = World::new();
         world.shared.change(|view| view.config = None);
