--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -1,12 +1,12 @@
-//! One try to run a statement on one database: on a connection of this VM, or through an owner.
+//! One attempt to run a statement on one database: on a connection of this VM, or through an owner.
 
 use crate::clock::{Span, Time};
-use crate::direct::exchange::{self, Ran, SILENT, Statement};
+use crate::direct::exchange::{self, Ran, SILENCE_TIMEOUT, Statement};
 use crate::direct::job::{Job, Part};
 use crate::direct::lead::{Epoch, Lease};
-use crate::direct::outcome::{self, Why};
+use crate::direct::outcome::{self, Loss};
 use crate::direct::owner::Way;
-use crate::direct::pool::Lent;
+use crate::direct::pool::Checkout;
 use crate::direct::relay::line::Line;
 use crate::direct::relay::{Ask, Opening, Reply, Request, Start, Told};
 use crate::direct::session::Session;
@@ -18,8 +18,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How much sooner than a statement is given up here its owner gives it up, so that what the owner
-/// knows of it still arrives: a round trip between regions and a little.
+/// How much earlier the owner's deadline for a statement is than ours, so that its report of a timeout
+/// still arrives: slightly more than a round trip between regions.
 const OWNER_MARGIN: Span = Span::from_millis(30);
 
 /// Where to send a statement, and with what.
@@ -27,57 +27,57 @@
 pub struct Plan {
     /// The database.
     pub target: Target,
-    /// The lease, if it is sent to the primary.
+    /// The lease, if it is sent to the group's primary.
     pub lease: Option<Lease>,
-    /// A position that the log must have.
+    /// A position that the database's log must have reached.
     pub after: Option<Position>,
 }
 
-/// How a try ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub enum Attempt {
-    /// The database answered, and the answer may be passed on.
+    /// The database answered, and the answer may be returned to the caller.
     Answered(Answer, Box<Held>),
-    /// It has not run.
+    /// The statement has not run.
     NotRun(Code),
-    /// It has not run: the database was not reached.
+    /// The statement has not run: the database was not reached.
     Unreached,
-    /// It may have run.
-    Lost(Why),
+    /// The statement may have run.
+    Lost(Loss),
 }
 
-/// Where a transaction goes on.
+/// Where the next statement of a transaction is sent.
 #[derive(Debug)]
-pub enum Seat {
+pub enum Channel {
     /// On a connection of this VM.
-    Own(Box<Lent>),
+    Own(Box<Checkout>),
     /// On a connection of an owner.
     Through(Line),
 }
 
-/// What a statement that was answered leaves behind.
+/// What remains in use after a statement was answered.
 #[derive(Debug)]
 pub struct Held {
-    /// Its connection.
-    pub seat: Seat,
+    /// Where its connection is.
+    pub channel: Channel,
     /// The database.
     pub target: Target,
-    /// The epoch, on a primary.
+    /// The epoch, if the database is a primary.
     pub epoch: Option<Epoch>,
-    under_way: Option<UnderWay>,
-    /// Whether a transaction may be open at the owner.
+    work_guard: Option<WorkGuard>,
+    /// Whether a transaction may be open on the owner's connection.
     pub open: bool,
 }
 
-/// Work on a primary, which a planned change waits for; over when dropped.
+/// Work in progress on a primary, which a planned change waits for; it ends when dropped.
 #[derive(Debug)]
-struct UnderWay {
+struct WorkGuard {
     shared: Rc<Shared>,
     group: GroupId,
     epoch: Epoch,
 }
 
-impl UnderWay {
+impl WorkGuard {
     fn start(shared: &Rc<Shared>, group: &GroupId, epoch: Epoch) -> Self {
         shared.quietly().work.start(group, epoch);
         Self {
@@ -88,7 +88,7 @@
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         let last = {
             let mut view = self.shared.quietly();
@@ -101,34 +101,34 @@
     }
 }
 
-/// One try: what it is about.
-struct Try<'a> {
+/// The parameters of one attempt.
+struct Run<'a> {
     targets: &'a Targets,
     session: &'a Session,
     job: &'a Job<'a>,
     plan: &'a Plan,
 }
 
-/// Tries to run a statement that stands alone or opens a transaction.
+/// Runs a single statement, or the first one of a transaction, through an owner or directly.
 pub async fn run(targets: &Targets, session: &Session, job: &Job<'_>, plan: &Plan) -> Attempt {
     let epoch = plan.lease.as_ref().map(|lease| lease.epoch);
     job.trace.tries(&plan.target.database.id, epoch);
-    let one = Try {
+    let run = Run {
         targets,
         session,
         job,
         plan,
     };
     if let Way::Through(owners) = &*targets.way(&plan.target.database, job.organisation)
-        && let Some(attempt) = one.through(owners).await
+        && let Some(attempt) = run.run_through(owners).await
     {
         return attempt;
     }
-    one.own().await
+    run.run_directly().await
 }
 
-impl Try<'_> {
-    /// The order that opens the transaction.
+impl Run<'_> {
+    /// The order that opens the transaction, if this is its first statement.
     fn begin(&self) -> Option<Order> {
         match self.job.part {
             Part::First { read } => Some(Order::Begin {
@@ -139,17 +139,18 @@
         }
     }
 
-    /// Begins work on a primary, if that may start; on a replica it always may.
-    fn start(&self) -> Option<Option<UnderWay>> {
+    /// Starts work under the plan's lease: none if the lease no longer allows it. Work on a replica needs
+    /// no lease and always starts.
+    fn start(&self) -> Option<Option<WorkGuard>> {
         let Some(lease) = &self.plan.lease else {
             return Some(None);
         };
         let group = &self.job.route.group;
         let may_start = self.targets.may_start(group, lease.epoch);
-        may_start.then(|| Some(UnderWay::start(&self.targets.shared, group, lease.epoch)))
+        may_start.then(|| Some(WorkGuard::start(&self.targets.shared, group, lease.epoch)))
     }
 
-    /// Whether the plan still holds: on a primary, its lease.
+    /// Whether the plan's lease is still valid; always true on a replica.
     fn holds(&self) -> bool {
         let Some(lease) = &self.plan.lease else {
             return true;
@@ -157,17 +158,17 @@
         self.targets.holds(&self.job.route.group, lease.epoch)
     }
 
-    fn held(&self, seat: Seat, under_way: Option<UnderWay>, open: bool) -> Held {
+    fn held(&self, channel: Channel, work_guard: Option<WorkGuard>, open: bool) -> Held {
         Held {
-            seat,
+            channel,
             target: self.plan.target.clone(),
             epoch: self.plan.lease.as_ref().map(|lease| lease.epoch),
-            under_way,
+            work_guard,
             open,
         }
     }
 
-    async fn own(&self) -> Attempt {
+    async fn run_directly(&self) -> Attempt {
         let begin = self.begin();
         let statement = Statement {
             begin: begin.as_ref(),
@@ -177,24 +178,24 @@
         let target = &self.plan.target;
         let (start, holds) = (|| self.start(), || self.holds());
         match exchange::start(self.targets, target, &statement, start, holds).await {
-            Ran::Answered(answer, lent, under_way, asked) => {
-                let held = self.held(Seat::Own(lent), under_way, false);
-                self.judge(held, asked, answer)
+            Ran::Answered(answer, checkout, work_guard, asked) => {
+                let held = self.held(Channel::Own(checkout), work_guard, false);
+                self.check(held, asked, answer)
             }
             Ran::NotRun(code) => Attempt::NotRun(code),
             Ran::Unreached => Attempt::Unreached,
-            Ran::Lost(why) => Attempt::Lost(why),
+            Ran::Lost(loss) => Attempt::Lost(loss),
         }
     }
 
-    /// Decides whether an answer may be passed on.
-    fn judge(&self, held: Held, asked: Time, answer: Answer) -> Attempt {
+    /// Decides whether an answer may be returned to the caller.
+    fn check(&self, held: Held, asked: Time, answer: Answer) -> Attempt {
         let (targets, target) = (self.targets, &self.plan.target);
-        if let Seat::Own(_) = held.seat {
-            targets.answers(&target.database);
+        if let Channel::Own(_) = held.channel {
+            targets.responded(&target.database);
         }
         if let End::Error { code, .. } = answer.end
-            && outcome::may_do_elsewhere(code)
+            && outcome::may_succeed_elsewhere(code)
         {
             exchange::note_refusal(targets, self.job.trace, target, code);
             targets.refused(target, answer.position, code == Code::Busy);
@@ -204,13 +205,13 @@
         targets.answered(target, asked, &answer, self.job.urgency());
         if !self.holds() {
             self.job.trace.ended("lease");
-            return Attempt::Lost(Why::Lapsed);
+            return Attempt::Lost(Loss::Lapsed);
         }
         if let (Some(epoch), Some(position)) = (held.epoch, answer.position)
             && targets.has_lost_log(target, epoch, asked, position)
         {
             self.job.trace.ended("log lost");
-            return Attempt::Lost(Why::Lapsed);
+            return Attempt::Lost(Loss::Lapsed);
         }
         self.job.trace.ended("answered");
         if let (Some(epoch), Some(position)) = (held.epoch, answer.position) {
@@ -219,18 +220,18 @@
         Attempt::Answered(answer, Box::new(held))
     }
 
-    /// Asks the owners in turn; none if none of them took the statement.
-    async fn through(&self, owners: &[SocketAddr]) -> Option<Attempt> {
+    /// Sends the statement through the first owner that takes it; none if no owner does.
+    async fn run_through(&self, owners: &[SocketAddr]) -> Option<Attempt> {
         let lines = &self.targets.lines;
         let mut last = None;
         for owner in owners.iter().filter(|owner| !lines.doubts(**owner)) {
             let Ok(line) = lines.take(*owner).await else {
                 continue;
             };
-            match self.by(line).await {
-                Passed::Attempt(attempt) => return Some(attempt),
-                Passed::Elsewhere(attempt) => last = Some(attempt),
-                Passed::Away => {}
+            match self.relay(line).await {
+                Relayed::Final(attempt) => return Some(attempt),
+                Relayed::TryNext(attempt) => last = Some(attempt),
+                Relayed::NotTaken => {}
             }
             if self.targets.now() >= self.job.queue_until() {
                 break;
@@ -239,34 +240,34 @@
         last
     }
 
-    async fn by(&self, mut line: Line) -> Passed {
-        let Some(under_way) = self.start() else {
+    async fn relay(&self, mut line: Line) -> Relayed {
+        let Some(work_guard) = self.start() else {
             self.job.trace.ended("lease");
             self.targets.lines.give_back(line);
-            return Passed::Attempt(Attempt::NotRun(Code::NotPrimary));
+            return Relayed::Final(Attempt::NotRun(Code::NotPrimary));
         };
         let request = Request::Start(self.request());
         let asked = self.targets.now();
         self.targets.sent(&self.plan.target.database);
         let mut limit = self.job.deadline().since(asked);
-        if self.job.is_kept_by_nobody() {
-            // A frozen owner, or one whose stream fell silent for good, is left as soon as a silent
-            // database is reported: a caller that is promised that nothing is kept can ask again.
-            limit = limit.min(SILENT);
+        if self.job.keeps_nothing() {
+            // A frozen owner or a dead stream is given up after the same time as a silent database:
+            // nothing of the statement is kept, so its caller can safely retry.
+            limit = limit.min(SILENCE_TIMEOUT);
         }
         self.job.trace.through(line.owner());
-        let told = match self.targets.lines.ask(&mut line, &request, limit).await {
-            Ok(told) => told,
-            Err(why) => {
+        let response = match self.targets.lines.ask(&mut line, &request, limit).await {
+            Ok(response) => response,
+            Err(loss) => {
                 self.job.trace.ended("owner");
-                let late = why == Why::Silent && self.targets.now() >= self.job.deadline();
-                let why = if late { Why::Silent } else { Why::Broken };
-                return Passed::Attempt(Attempt::Lost(why));
+                let late = loss == Loss::Silent && self.targets.now() >= self.job.deadline();
+                let loss = if late { Loss::Silent } else { Loss::Broken };
+                return Relayed::Final(Attempt::Lost(loss));
             }
         };
         let pool = &self.plan.target.pool;
-        pool.owner_waits(self.targets.now() + told.wait);
-        self.passed(line, under_way, asked, told)
+        pool.owner_waits(self.targets.now() + response.wait);
+        self.handle_reply(line, work_guard, asked, response)
     }
 
     fn request(&self) -> Start {
@@ -282,68 +283,74 @@
         }
     }
 
-    fn passed(&self, line: Line, under_way: Option<UnderWay>, asked: Time, told: Told) -> Passed {
+    fn handle_reply(
+        &self,
+        line: Line,
+        work_guard: Option<WorkGuard>,
+        asked: Time,
+        response: Told,
+    ) -> Relayed {
         let (targets, target) = (self.targets, &self.plan.target);
         let lines = &targets.lines;
-        match told.reply {
+        match response.reply {
             Reply::Answered(answer) => {
                 let first = matches!(self.job.part, Part::First { .. });
                 let opened = first && answer.state == State::Open;
-                let held = self.held(Seat::Through(line), under_way, opened);
-                Passed::Attempt(self.judge(held, asked, answer))
+                let held = self.held(Channel::Through(line), work_guard, opened);
+                Relayed::Final(self.check(held, asked, answer))
             }
             Reply::Away => {
                 lines.leave(line.owner());
-                Passed::Away
+                Relayed::NotTaken
             }
             Reply::Unknown => {
-                // It may have started a moment ago: that is no word of the database.
+                // The owner may have just started: this says nothing about the database.
                 self.job.trace.ended("unknown");
                 lines.give_back(line);
-                Passed::Away
+                Relayed::NotTaken
             }
             Reply::NotRun(code) => {
                 lines.give_back(line);
                 exchange::note_refusal(targets, self.job.trace, target, code);
-                targets.refused(target, told.position, false);
+                targets.refused(target, response.position, false);
                 let attempt = Attempt::NotRun(code);
                 match code {
-                    Code::Full | Code::OtherDatabase => Passed::Elsewhere(attempt),
-                    _ => Passed::Attempt(attempt),
+                    Code::Full | Code::OtherDatabase => Relayed::TryNext(attempt),
+                    _ => Relayed::Final(attempt),
                 }
             }
             Reply::Unreached => {
                 self.job.trace.ended("unreached");
                 lines.give_back(line);
-                targets.doubt(&target.database);
-                Passed::Elsewhere(Attempt::Unreached)
+                targets.suspect(&target.database);
+                Relayed::TryNext(Attempt::Unreached)
             }
             Reply::Granted(_) => {
-                // No reply to a statement: the stream is of no use any more.
+                // Not a valid reply to a statement: the stream is out of step and is closed.
                 self.job.trace.ended("owner");
-                Passed::Attempt(Attempt::Lost(Why::Broken))
+                Relayed::Final(Attempt::Lost(Loss::Broken))
             }
-            Reply::Lost(why) => {
+            Reply::Lost(loss) => {
                 self.job.trace.ended("lost");
                 lines.give_back(line);
-                targets.doubt(&target.database);
-                Passed::Attempt(Attempt::Lost(why))
+                targets.suspect(&target.database);
+                Relayed::Final(Attempt::Lost(loss))
             }
         }
     }
 }
 
-/// How a try through one owner ended.
-enum Passed {
-    /// As the try at the database did.
-    Attempt(Attempt),
-    /// The same, unless another owner can do better.
-    Elsewhere(Attempt),
-    /// The owner took nothing.
-    Away,
+/// The result of an attempt through one owner.
+enum Relayed {
+    /// The final result.
+    Final(Attempt),
+    /// The result, unless the next owner succeeds.
+    TryNext(Attempt),
+    /// The owner did not take the statement.
+    NotTaken,
 }
 
-/// A statement as an owner is asked for it.
+/// The request by which an owner is asked to run a statement.
 pub fn ask(targets: &Targets, session: &Session, job: &Job<'_>, now: Time) -> Ask {
     let mut query = BytesMut::new();
     (targets.adapter.wire.write_query)(&mut query, job.query, None, None);
@@ -360,24 +367,24 @@
 }
 
 impl Held {
-    /// Gives the connection back; an open transaction is rolled back first.
+    /// Returns the connection; an open transaction is rolled back first.
     pub fn release(self, targets: &Targets) {
-        match self.seat {
-            Seat::Own(lent) => exchange::give_back(targets, lent, self.under_way),
-            Seat::Through(line) if !self.open => targets.lines.give_back(line),
-            Seat::Through(line) => end(targets, line, self.under_way),
+        match self.channel {
+            Channel::Own(checkout) => exchange::give_back(targets, checkout, self.work_guard),
+            Channel::Through(line) if !self.open => targets.lines.give_back(line),
+            Channel::Through(line) => end_transaction(targets, line, self.work_guard),
         }
     }
 }
 
-/// Has an owner roll a transaction back.
-fn end(targets: &Targets, mut line: Line, under_way: Option<UnderWay>) {
+/// Asks an owner to roll a transaction back, in a task of its own.
+fn end_transaction(targets: &Targets, mut line: Line, work_guard: Option<WorkGuard>) {
     let lines = targets.lines.clone();
     actix_rt::spawn(async move {
         let ended = line.ask(&Request::End);
-        if let Ok(Ok(_)) = tokio::time::timeout(SILENT.into(), ended).await {
+        if let Ok(Ok(_)) = tokio::time::timeout(SILENCE_TIMEOUT.into(), ended).await {
             lines.give_back(line);
         }
-        drop(under_way);
+        drop(work_guard);
     });
 }
--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -1,5 +1,5 @@
-//! One caller's session: reads its messages, and answers each before the next. Whether it may begin, and go
-//! on, is in `admission`.
+//! One caller's session: reads its messages, and answers each before reading the next. `admission` decides
+//! whether it may begin and continue.
 
 mod admission;
 
@@ -12,7 +12,7 @@
 use crate::direct::line::{self, Ended};
 use crate::direct::session::{Begun, Phase, Session, Shape, Step, error};
 use crate::direct::statement::{Answer, Code, End, Message, Query};
-use crate::direct::trace::{Fate, Operation, Trace};
+use crate::direct::trace::{Completion, Operation, Trace};
 use crate::direct::transaction::Transaction;
 use bytes::BytesMut;
 use futures_util::FutureExt;
@@ -21,51 +21,50 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 
-/// Room made for each reading of a caller's input; most sessions are idle most of the time.
+/// Buffer space reserved for each read from a caller; small, because most sessions are mostly idle.
 const READ_SIZE: usize = 512;
 
-/// How long a new session may take to say what it wants.
-const GREETING: Span = Span::from_secs(5);
+/// Time limit for a new session's start message.
+const START_TIMEOUT: Span = Span::from_secs(5);
 
-/// How long the end of a session may take to be sent.
-const FAREWELL: Span = Span::from_millis(200);
+/// Time limit for closing a session's stream.
+const CLOSE_TIMEOUT: Span = Span::from_millis(200);
 
-/// How long a session has to have been quiet before a planned stop closes it.
+/// How long a session must have been idle before a planned stop closes it.
 ///
-/// **Failure answered.** A caller that has just opened its session, or prepared a statement, has
-/// its next message on the way when the session is closed.
-/// **Symptom without it.** The message gets no answer; a single write may then not be repeated.
-/// **Why it suffices.** Callers that go on do so within a round trip and the time they take.
-/// Whoever never rests is closed when transactions are rolled back.
-const QUIET: Span = Span::from_millis(150);
+/// A caller that has just opened its session or prepared a statement may have its next message in
+/// flight. If the session were closed, the message would get no answer, and a single write could not
+/// be repeated safely. Active callers send their next message within a round trip and their own
+/// processing time. Sessions that never pause are closed when transactions are rolled back.
+const MIN_IDLE_TIME: Span = Span::from_millis(150);
 
-/// How long an answer may take to be read by its caller before the session is given up.
-const SLOW_CALLER: Span = Span::from_secs(15);
+/// Time limit for a caller to read an answer, after which its session is closed.
+const WRITE_TIMEOUT: Span = Span::from_secs(15);
 
-/// An end that follows an answer this closely was sent before the answer could be read: a caller
-/// is further away than that, there and back.
-const UNREAD: Span = Span::from_millis(2);
+/// If a caller closes its session this soon after an answer, it did so before it could read the answer:
+/// the round trip to any caller takes longer.
+const UNREAD_WINDOW: Span = Span::from_millis(2);
 
 /// Why a session ends.
 #[derive(Debug)]
-enum Gone {
-    /// The caller left, or sent what is no message.
+enum Exit {
+    /// The caller disconnected, or sent something that is not a message.
     Left,
     /// The caller did not take an answer.
     Unread,
-    /// A planned stop closes it.
+    /// It was closed by a planned stop.
     Stopped,
-    /// Nobody holds its key any more.
-    Barred,
+    /// Its key is no longer in the configuration.
+    KeyRemoved,
 }
 
-impl From<std::io::Error> for Gone {
+impl From<std::io::Error> for Exit {
     fn from(_: std::io::Error) -> Self {
-        Gone::Left
+        Exit::Left
     }
 }
 
-/// One caller.
+/// A caller's session and its stream.
 pub struct Caller {
     front: Rc<Front>,
     stream: Box<dyn Stream>,
@@ -73,17 +72,17 @@
     session: Session,
     transaction: Option<Transaction>,
     database: Box<str>,
-    /// The key that it showed.
+    /// The key that it presented.
     key: Option<Key>,
-    /// The route of `database` in a configuration.
+    /// The route of `database`, and the configuration that it was looked up in.
     routed: Option<(Rc<Config>, Rc<Route>)>,
-    /// Whose it is, by a configuration.
+    /// The caller's identity, and the configuration that it was looked up in.
     known: Option<(Rc<Config>, Identity)>,
-    /// Changes with each configuration.
+    /// Notified of each new configuration.
     configs: watch::Receiver<()>,
     stopping: watch::Receiver<Stopping>,
-    /// When it was last sent anything.
-    told: Time,
+    /// When output was last sent to it.
+    last_sent: Time,
     operation: Operation,
 }
 
@@ -94,7 +93,7 @@
 }
 
 impl Caller {
-    /// A caller that has just connected.
+    /// Creates the session of a caller that has just connected.
     pub fn new(
         front: Rc<Front>,
         stream: Box<dyn Stream>,
@@ -113,43 +112,43 @@
             known: None,
             configs,
             stopping,
-            told: Time::default(),
+            last_sent: Time::default(),
             operation: Operation::default(),
         }
     }
 
     /// Serves the session to its end.
     pub async fn serve(mut self) {
-        let gone = self.talk().await;
-        self.tell_end(&gone);
+        let exit = self.serve_messages().await;
+        self.log_exit(&exit);
         self.roll_back();
-        if let Ok(()) | Err(Gone::Stopped | Gone::Barred) = gone {
-            let _ = tokio::time::timeout(FAREWELL.into(), self.stream.shutdown()).await;
+        if let Ok(()) | Err(Exit::Stopped | Exit::KeyRemoved) = exit {
+            let _ = tokio::time::timeout(CLOSE_TIMEOUT.into(), self.stream.shutdown()).await;
         }
     }
 
-    /// Writes a line if the session ends otherwise than its caller meant it to.
-    fn tell_end(&self, gone: &Result<(), Gone>) {
+    /// Logs the end of the session unless the caller ended it normally.
+    fn log_exit(&self, exit: &Result<(), Exit>) {
         let open = matches!(self.session.phase, Phase::Begun(_) | Phase::Open { .. });
-        let why = match gone {
-            Err(Gone::Unread) => "an answer was not taken by its caller",
-            Err(Gone::Stopped) => "a planned stop closes an idle session",
-            Err(Gone::Barred) => "nobody holds a session's key any more",
-            Ok(()) | Err(Gone::Left) if open => "a caller left in the middle of a transaction",
-            Ok(()) | Err(Gone::Left) => return,
+        let why = match exit {
+            Err(Exit::Unread) => "an answer was not taken by its caller",
+            Err(Exit::Stopped) => "a planned stop closes an idle session",
+            Err(Exit::KeyRemoved) => "nobody holds a session's key any more",
+            Ok(()) | Err(Exit::Left) if open => "a caller left in the middle of a transaction",
+            Ok(()) | Err(Exit::Left) => return,
         };
         line::session_ends(&self.front, why, &self.database, &self.operation);
     }
 
-    async fn talk(&mut self) -> Result<(), Gone> {
-        self.greet().await?;
+    async fn serve_messages(&mut self) -> Result<(), Exit> {
+        self.start().await?;
         loop {
             match self.next().await? {
                 Ok(Message::Query(query)) => {
                     let answer = self.answer(&query).await;
                     self.write(&answer).await?;
-                    if admission::is_barred(&answer) {
-                        return Err(Gone::Barred);
+                    if admission::ends_session(&answer) {
+                        return Err(Exit::KeyRemoved);
                     }
                 }
                 Ok(Message::Bye) => return Ok(()),
@@ -166,10 +165,10 @@
         }
     }
 
-    async fn greet(&mut self) -> Result<(), Gone> {
-        let first = tokio::time::timeout(GREETING.into(), self.next()).await;
-        let Ok(Ok(Message::Start { database, key })) = first.map_err(|_| Gone::Left)? else {
-            return Err(Gone::Left);
+    async fn start(&mut self) -> Result<(), Exit> {
+        let first = tokio::time::timeout(START_TIMEOUT.into(), self.next()).await;
+        let Ok(Ok(Message::Start { database, key })) = first.map_err(|_| Exit::Left)? else {
+            return Err(Exit::Left);
         };
         self.database = database;
         self.key = Some(key);
@@ -182,14 +181,14 @@
         match end {
             End::Done(_) => Ok(()),
             End::Error { code, .. } => {
-                self.tell_refusal(code);
-                Err(Gone::Left)
+                self.log_refusal(code);
+                Err(Exit::Left)
             }
         }
     }
 
     /// The caller's next message.
-    async fn next(&mut self) -> Result<Result<Message, Garbled>, Gone> {
+    async fn next(&mut self) -> Result<Result<Message, Garbled>, Exit> {
         loop {
             match (self.front.adapter.wire.read_message)(&mut self.input) {
                 Ok(Some(message)) => return Ok(Ok(message)),
@@ -201,79 +200,84 @@
         }
     }
 
-    /// Reads more input, or does what is due while none comes.
-    async fn receive(&mut self) -> Result<(), Gone> {
+    /// Reads more input, or handles what is due in the meantime: an idle timeout, a planned stop or a new
+    /// configuration.
+    async fn receive(&mut self) -> Result<(), Exit> {
         let stopping = *self.stopping.borrow_and_update();
-        let quiet = self.quiet_span(stopping);
-        if stopping != Stopping::No && quiet.is_none() && self.end_for(stopping).await? {
+        let idle_left = self.idle_time_left(stopping);
+        if stopping != Stopping::No && idle_left.is_none() && self.close_for_stop(stopping).await? {
             return Ok(());
         }
-        let idle = self.idle_span();
-        let limit = idle.or(quiet);
+        let idle = self.idle_timeout();
+        let limit = idle.or(idle_left);
         let rest = limit.unwrap_or(Span::from_secs(86_400));
         tokio::select! {
             biased;
             read = self.stream.read_buf(&mut self.input) => match read? {
-                0 if self.front.now() < self.told + UNREAD => Err(Gone::Unread),
-                0 => Err(Gone::Left),
+                0 if self.front.now() < self.last_sent + UNREAD_WINDOW => Err(Exit::Unread),
+                0 => Err(Exit::Left),
                 _ => Ok(()),
             },
             _ = self.stopping.changed() => Ok(()),
             _ = self.configs.changed() => {
-                // A close at rest costs its caller nothing; a transaction ends with its next statement.
-                match self.session.phase == Phase::Idle && self.is_unknown() {
-                    true => Err(Gone::Barred),
+                // Closing an idle session costs its caller nothing; a transaction is ended with its
+                // next statement.
+                match self.session.phase == Phase::Idle && self.is_key_unknown() {
+                    true => Err(Exit::KeyRemoved),
                     false => Ok(()),
                 }
             }
             () = tokio::time::sleep(rest.into()), if limit.is_some() => {
                 if idle.is_some() {
-                    self.break_off("the transaction was idle for too long");
+                    self.abort_transaction("the transaction was idle for too long");
                 }
                 Ok(())
             }
         }
     }
 
-    /// How long a session that a planned stop is about to close may still go on.
-    fn quiet_span(&self, stopping: Stopping) -> Option<Span> {
+    /// How much longer a session must stay idle before a planned stop closes it.
+    fn idle_time_left(&self, stopping: Stopping) -> Option<Span> {
         let now = self.front.now();
-        let quiet = self.told + QUIET;
-        let goes_on = stopping == Stopping::Idle && self.transaction.is_none() && now < quiet;
-        goes_on.then(|| quiet.since(now))
+        let closes_at = self.last_sent + MIN_IDLE_TIME;
+        let goes_on = stopping == Stopping::Idle && self.transaction.is_none() && now < closes_at;
+        goes_on.then(|| closes_at.since(now))
     }
 
-    /// How long the open transaction may stay idle.
-    fn idle_span(&self) -> Option<Span> {
+    /// How long an open transaction may stay idle.
+    fn idle_timeout(&self) -> Option<Span> {
         self.transaction.as_ref()?;
         let view = self.front.shared.look();
         Some(view.config.as_ref()?.idle)
     }
 
-    /// Ends what a planned stop ends, unless more input has come just now.
+    /// Ends the session or its transaction for a planned stop, unless more input has arrived; returns
+    /// whether it has.
     ///
-    /// A message that has come is answered: the caller sent it before it could see the end.
-    async fn end_for(&mut self, stopping: Stopping) -> Result<bool, Gone> {
+    /// A message that has arrived is answered: the caller sent it before it could notice the end.
+    async fn close_for_stop(&mut self, stopping: Stopping) -> Result<bool, Exit> {
         match self.stream.read_buf(&mut self.input).now_or_never() {
             Some(read) => {
                 return if read? == 0 {
-                    Err(Gone::Left)
+                    Err(Exit::Left)
                 } else {
                     Ok(true)
                 };
             }
-            None if stopping == Stopping::Transactions => self.break_off("this VM is stopping"),
+            None if stopping == Stopping::Transactions => {
+                self.abort_transaction("this VM is stopping")
+            }
             None => {}
         }
         let idle = matches!(self.session.phase, Phase::Idle) && self.input.is_empty();
         match idle {
-            true => Err(Gone::Stopped),
+            true => Err(Exit::Stopped),
             false => Ok(false),
         }
     }
 
-    /// Rolls the open transaction back; its caller learns so with its next statement.
-    fn break_off(&mut self, reason: &str) {
+    /// Rolls back the open transaction; the caller is informed by the answer to its next statement.
+    fn abort_transaction(&mut self, reason: &str) {
         if let Phase::Begun(_) = self.session.phase {
             self.session.phase = Phase::Broken;
         }
@@ -283,7 +287,7 @@
         log::info!(
             request:% = self.operation.request, operation:% = self.operation.id,
             group:% = transaction.route().group, database:% = transaction.database(),
-            since_ms = self.front.now().since(self.operation.came).0 / 1_000;
+            since_ms = self.front.now().since(self.operation.arrived).0 / 1_000;
             "a transaction is rolled back: {reason}"
         );
         self.front.runner.roll_back(transaction);
@@ -297,39 +301,39 @@
         let Some(route) = self.route() else {
             let end = error(Code::NoDatabase, "no route has that name any more");
             let answer = self.session.answer(end);
-            self.tell(None, Trace::default(), &answer);
+            self.log_request(None, Trace::default(), &answer);
             return answer;
         };
         let trace = Trace::default();
         let answer = match self.identity(&route) {
-            Identity::Unknown => self.bar(),
+            Identity::Unknown => self.reject(),
             Identity::Anyone | Identity::Of(_) => self.step(query, &route, now, &trace).await,
         };
-        self.tell(Some(&route), trace, &answer);
+        self.log_request(Some(&route), trace, &answer);
         answer
     }
 
-    /// Counts a request that was answered, and writes its line if it gets one.
-    fn tell(&mut self, route: Option<&Route>, trace: Trace, answer: &Answer) {
+    /// Counts an answered request in the metrics, and writes its log line if it gets one.
+    fn log_request(&mut self, route: Option<&Route>, trace: Trace, answer: &Answer) {
         let steps = trace.into_steps();
         let now = self.front.now();
         let meter = &self.front.shared.meter;
-        let fate = match (&answer.end, route) {
+        let completion = match (&answer.end, route) {
             (End::Done(_), Some(route)) => {
                 if steps.tries > 0 {
-                    meter.served(route.kind, now.since(self.operation.came));
+                    meter.served(route.kind, now.since(self.operation.arrived));
                 }
-                Fate::Served {
+                Completion::Served {
                     objective: route.objective,
                 }
             }
             (End::Error { code, .. }, Some(route)) => {
                 meter.refused(&route.group, *code);
-                Fate::NotServed
+                Completion::NotServed
             }
-            (_, None) => Fate::NotServed,
+            (_, None) => Completion::NotServed,
         };
-        if let Some(reason) = self.operation.end(now, fate, &meter.sampler) {
+        if let Some(reason) = self.operation.end(now, completion, &meter.sampler) {
             let ended = Ended {
                 host: &self.database,
                 route,
@@ -360,7 +364,7 @@
         }
     }
 
-    /// The route of the transaction, which it keeps, or else the one in force.
+    /// The route of the current transaction, or else the one in force.
     fn route(&mut self) -> Option<Rc<Route>> {
         if let Some(open) = &self.transaction {
             return Some(open.route().clone());
@@ -399,7 +403,7 @@
         shape: Option<Rc<Shape>>,
         commit: bool,
     ) -> Answer {
-        let now = self.operation.came;
+        let now = self.operation.arrived;
         let known = self.known.as_ref();
         let organisation = known.and_then(|(_, identity)| identity.organisation().cloned());
         let open = self.transaction.take();
@@ -417,7 +421,7 @@
             commit,
             part,
             since,
-            came: now,
+            arrived: now,
             trace,
         };
         let runner = &self.front.runner;
@@ -429,22 +433,22 @@
         answer
     }
 
-    async fn write(&mut self, answer: &Answer) -> Result<(), Gone> {
+    async fn write(&mut self, answer: &Answer) -> Result<(), Exit> {
         let mut output = BytesMut::new();
         (self.front.adapter.wire.write_answer)(&mut output, answer, true);
         self.send(&output).await
     }
 
-    async fn send(&mut self, output: &[u8]) -> Result<(), Gone> {
+    async fn send(&mut self, output: &[u8]) -> Result<(), Exit> {
         let written = async {
             self.stream.write_all(output).await?;
             self.stream.flush().await
         };
-        let written = tokio::time::timeout(SLOW_CALLER.into(), written).await;
-        self.told = self.front.now();
+        let written = tokio::time::timeout(WRITE_TIMEOUT.into(), written).await;
+        self.last_sent = self.front.now();
         match written {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(Gone::Unread),
+            Ok(Err(_)) | Err(_) => Err(Exit::Unread),
         }
     }
 }
--- a/src/direct/control/extension.rs
+++ b/src/direct/control/extension.rs
@@ -56,7 +56,7 @@
     /// When the first reading becomes old among those of groups whose leases may be extended.
     fn next_round_at(&self) -> Option<Time> {
         let view = self.setup.shared.look();
-        let open = view.book.vouches(self.now());
+        let open = view.book.extendable(self.now());
         let asked =
             |(group, _): &(GroupId, Epoch)| Some(view.book.known(group)?.1 + MIN_READING_AGE);
         open.iter().filter_map(asked).min()
@@ -66,7 +66,7 @@
     /// status after the previous round.
     async fn run_round(&self, last: &mut BTreeMap<GroupId, (Epoch, Status)>) -> Span {
         let asked = self.now();
-        let wanted = self.setup.shared.look().book.vouches(asked);
+        let wanted = self.setup.shared.look().book.extendable(asked);
         let confirmed = self.ask_confirmations().await;
         let mut all = !wanted.is_empty();
         for (group, epoch) in &wanted {
@@ -79,7 +79,7 @@
             if enough {
                 let shared = &self.setup.shared;
                 let lapsed = shared.look().book.until(group) <= Some(self.now());
-                shared.quietly().book.vouch(group, *epoch, asked);
+                shared.quietly().book.extend(group, *epoch, asked);
                 if lapsed {
                     // Wakes what waits for a lease.
                     shared.change(|_| ());
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -179,7 +179,7 @@
     fn progress_update(&self, now: Time) -> Vec<Progress> {
         let view = self.setup.shared.look();
         let max = MAX_PROGRESS / view.fellows.list().len().max(1);
-        let mut recent = view.fresh.told(now);
+        let mut recent = view.fresh.progress(now);
         recent.retain(|progress| progress.age < MAX_PROGRESS_AGE);
         if recent.len() > max {
             // Starts at a random group, so that VMs receive different groups.
@@ -288,7 +288,7 @@
         for progress in &news.fresh {
             let now = self.now();
             let mut view = self.setup.shared.quietly();
-            view.fresh.hear(progress, asked);
+            view.fresh.receive(progress, asked);
             view.reached
                 .note(&progress.group, progress.epoch, progress.position, now);
         }
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -1,12 +1,12 @@
-//! One statement on this VM's own connection to a database, whoever asks for it: one of its callers,
-//! or another VM that reaches the database through this one.
+//! Runs one statement on this VM's own connection to a database, for one of its callers or for another
+//! VM that reaches the database through this one.
 
 use crate::clock::{Span, Time};
 use crate::direct::connection::{Closed, Connection, Lost};
 use crate::direct::gate::Urgency;
 use crate::direct::meter::code_name;
-use crate::direct::outcome::Why;
-use crate::direct::pool::{Lent, Wanted};
+use crate::direct::outcome::Loss;
+use crate::direct::pool::{Checkout, Wanted};
 use crate::direct::session::{Shape, Values};
 use crate::direct::statement::{Answer, Code, End, Order, Query, State};
 use crate::direct::targets::{Target, Targets};
@@ -15,43 +15,43 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// A database that has not answered for this long is reported, although its answer may still
-/// come: slow databases answer sooner, and a replacement should not wait for a route's timeout.
-pub const SILENT: Span = Span::from_millis(400);
+/// A database that has not answered within this time is reported as failing, although its answer may
+/// still come: slow databases answer sooner, and a replacement should not wait for a route's timeout.
+pub const SILENCE_TIMEOUT: Span = Span::from_millis(400);
 
 /// How long a rollback may take before its connection is closed instead.
-const ROLLBACK: Span = Span::from_millis(1_000);
+const ROLLBACK_TIMEOUT: Span = Span::from_millis(1_000);
 
-/// Between two tries at a busy database: about a short statement's time.
-const BUSY_PAUSE: Span = Span::from_millis(15);
+/// The delay before a busy database is tried again: about the time of a short statement.
+const BUSY_RETRY_DELAY: Span = Span::from_millis(15);
 
-/// A statement, what has to be true before it, and the moments that bound it.
+/// A statement, its preconditions and its deadlines.
 #[derive(Debug, Clone, Copy)]
 pub struct Statement<'a> {
     /// The statement.
     pub query: &'a Query,
     /// The prepared statement that it runs.
     pub shape: Option<&'a Rc<Shape>>,
-    /// The session's values.
+    /// The session's values, which must be set on the connection.
     pub values: &'a Values,
-    /// On whose behalf it is asked.
+    /// The organisation on whose behalf it runs.
     pub organisation: Option<&'a OrganisationId>,
-    /// The transaction that it opens.
+    /// The order that opens its transaction, if it is the first one.
     pub begin: Option<&'a Order>,
-    /// A position that the log must have.
+    /// A position that the database's log must have reached.
     pub after: Option<Position>,
-    /// Its place among others that wait.
+    /// Its position in the queue.
     pub urgency: Urgency,
-    /// Until when it may wait for a busy database.
+    /// Until when it may queue for a busy database.
     pub queue_until: Time,
-    /// When it is given up.
+    /// When it times out.
     pub deadline: Time,
-    /// What it meets on its way.
+    /// Records its steps for the log line.
     pub trace: &'a Trace,
 }
 
 impl<'a> Statement<'a> {
-    /// What its connection should be like.
+    /// What it requires of its connection.
     fn wanted(&self) -> Wanted<'a> {
         Wanted {
             organisation: self.organisation,
@@ -60,22 +60,22 @@
     }
 }
 
-/// How a first statement ended.
+/// The result of a single or first statement.
 #[derive(Debug)]
 pub enum Ran<G> {
-    /// The database answered one that was sent at the moment given.
-    Answered(Answer, Box<Lent>, G, Time),
-    /// It has not run.
+    /// The database answered; the time is when the statement was sent.
+    Answered(Answer, Box<Checkout>, G, Time),
+    /// The statement has not run.
     NotRun(Code),
-    /// It has not run: the database was not reached.
+    /// The statement has not run: the database was not reached.
     Unreached,
-    /// It may have run.
-    Lost(Why),
+    /// The statement may have run.
+    Lost(Loss),
 }
 
-/// Runs a statement that stands alone or opens a transaction. It has to be allowed by `begin` once a
-/// connection is there, and by `holds` once all is prepared; nothing is sent if either says no. What
-/// `begin` returns is dropped once the connection is given back.
+/// Runs a single statement, or the first one of a transaction. `begin` is called once a connection is
+/// available, and `holds` once everything is prepared; the statement is sent only if both allow it. The
+/// value from `begin` is dropped when the connection is returned.
 pub async fn start<G: 'static>(
     targets: &Targets,
     target: &Target,
@@ -84,14 +84,14 @@
     holds: impl Fn() -> bool,
 ) -> Ran<G> {
     let pool = &target.pool;
-    let came = targets.now();
-    // What hangs at a database that is silent frees no slot: nobody queues behind it.
-    let patience = match targets.is_failing(&target.database) {
+    let queued_at = targets.now();
+    // Statements that hang at a silent database free no slot, so nothing queues behind them.
+    let max_wait = match targets.is_failing(&target.database) {
         true => Span::ZERO,
-        false => statement.queue_until.since(came),
+        false => statement.queue_until.since(queued_at),
     };
-    let entered = pool.gate.enter(statement.urgency, patience).await;
-    statement.trace.queued(targets.now().since(came));
+    let entered = pool.gate.enter(statement.urgency, max_wait).await;
+    statement.trace.queued(targets.now().since(queued_at));
     let Ok(permit) = entered else {
         if targets.is_failing(&target.database) {
             statement.trace.ended("silent");
@@ -100,30 +100,33 @@
         statement.trace.ended("queue");
         return Ran::NotRun(Code::Busy);
     };
-    targets.shared.meter.queue_wait(targets.now().since(came));
+    targets
+        .shared
+        .meter
+        .queue_wait(targets.now().since(queued_at));
     let taken = pool.take(&targets.adapter, &target.database, statement.wanted());
-    let mut lent = match taken.await {
-        Ok(lent) => lent,
+    let mut checkout = match taken.await {
+        Ok(checkout) => checkout,
         Err(closed) => return not_opened(targets, statement.trace, target, &closed),
     };
-    if lent.is_new() {
+    if checkout.is_new() {
         targets.shared.meter.connection_opened(&target.database.id);
     }
     let Some(guard) = begin() else {
         statement.trace.ended("lease");
-        lent.give_back(&targets.adapter);
+        checkout.give_back(&targets.adapter);
         return Ran::NotRun(Code::NotPrimary);
     };
     let left = statement.deadline.since(targets.now());
-    let connection = lent.connection();
+    let connection = checkout.connection();
     let prepared = connection.prepare(statement.values, statement.begin);
     match tokio::time::timeout(left.into(), prepared).await {
         Ok(Ok(None)) => {}
         Ok(Ok(Some(code))) => {
             note_refusal(targets, statement.trace, target, code);
-            targets.answers(&target.database);
+            targets.responded(&target.database);
             targets.refused(target, None, code == Code::Busy);
-            give_back(targets, Box::new(lent), guard);
+            give_back(targets, Box::new(checkout), guard);
             return Ran::NotRun(code);
         }
         Ok(Err(_)) | Err(_) => {
@@ -134,20 +137,21 @@
     }
     if !holds() {
         statement.trace.ended("lease");
-        give_back(targets, Box::new(lent), guard);
+        give_back(targets, Box::new(checkout), guard);
         return Ran::NotRun(Code::NotPrimary);
     }
     let asked = targets.now();
-    let sent = send(targets, target, statement, lent.connection()).await;
+    let sent = send(targets, target, statement, checkout.connection()).await;
     drop(permit);
     match sent {
-        Ok(answer) => Ran::Answered(answer, Box::new(lent), guard, asked),
-        Err(lost) => Ran::Lost(why(targets, statement, target, asked, &lost)),
+        Ok(answer) => Ran::Answered(answer, Box::new(checkout), guard, asked),
+        Err(lost) => Ran::Lost(loss(targets, statement, target, asked, &lost)),
     }
 }
 
-/// Runs the next statement of an open transaction: again while the database is too busy for it, as
-/// long as it may wait. `holds` is asked before each sending. The moment is when it was sent.
+/// Runs the next statement of an open transaction, and repeats it while the database is busy until
+/// `queue_until`. `holds` is checked each time before sending. Returns the answer and when the statement
+/// was sent.
 pub async fn next(
     targets: &Targets,
     target: &Target,
@@ -157,10 +161,10 @@
 ) -> Result<(Answer, Time), Failed> {
     let gate = &target.pool.gate;
     loop {
-        let came = targets.now();
-        let patience = statement.queue_until.since(came);
-        let entered = gate.enter(statement.urgency, patience).await;
-        statement.trace.queued(targets.now().since(came));
+        let queued_at = targets.now();
+        let max_wait = statement.queue_until.since(queued_at);
+        let entered = gate.enter(statement.urgency, max_wait).await;
+        statement.trace.queued(targets.now().since(queued_at));
         let Ok(permit) = entered else {
             statement.trace.ended("queue");
             return Err(Failed::Busy);
@@ -173,33 +177,33 @@
         let asked = targets.now();
         let answer = match send(targets, target, statement, connection).await {
             Ok(answer) => answer,
-            Err(lost) => return Err(Failed::Lost(why(targets, statement, target, asked, &lost))),
+            Err(lost) => return Err(Failed::Lost(loss(targets, statement, target, asked, &lost))),
         };
         let busy = matches!(answer.end, End::Error { code, .. } if code == Code::Busy);
-        let again = targets.now() + BUSY_PAUSE < statement.queue_until;
+        let again = targets.now() + BUSY_RETRY_DELAY < statement.queue_until;
         if !busy || answer.state != State::Open || !again {
             return Ok((answer, asked));
         }
         gate.refused(targets.now());
         drop(permit);
-        tokio::time::sleep(BUSY_PAUSE.into()).await;
+        tokio::time::sleep(BUSY_RETRY_DELAY.into()).await;
     }
 }
 
-/// Why a transaction's next statement has no answer.
+/// Why the next statement of a transaction has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failed {
     /// It has not run: the database is too busy.
     Busy,
-    /// It has not run: the transaction may not go on.
+    /// It has not run: the transaction's lease no longer holds.
     Ended,
     /// It has not run: the connection broke before it was sent.
     Broken,
     /// It may have run.
-    Lost(Why),
+    Lost(Loss),
 }
 
-/// Makes session values true that were set since the transaction began.
+/// Sets session values on the connection that changed since the transaction began.
 async fn prepare(
     targets: &Targets,
     target: &Target,
@@ -212,11 +216,12 @@
     let Err(lost) = result.unwrap_or(Err(Lost::Silent)) else {
         return Ok(());
     };
-    why(targets, statement, target, targets.now(), &lost);
+    loss(targets, statement, target, targets.now(), &lost);
     Err(Failed::Broken)
 }
 
-/// Sends a statement and reads its answer, until the statement's deadline.
+/// Sends a statement and reads its answer until its deadline. Reports the database as failing after
+/// [`SILENCE_TIMEOUT`].
 async fn send(
     targets: &Targets,
     target: &Target,
@@ -227,14 +232,14 @@
     let after = statement.after.filter(|_| statement.begin.is_none());
     let mut run = pin!(connection.run(statement.query, statement.shape, after));
     let left = statement.deadline.since(targets.now());
-    if let Ok(result) = tokio::time::timeout(left.min(SILENT).into(), &mut run).await {
+    if let Ok(result) = tokio::time::timeout(left.min(SILENCE_TIMEOUT).into(), &mut run).await {
         return result;
     }
     targets.failed(&target.database);
     let database = &target.database;
     log::info!(
         request:% = statement.query.id, group:% = database.group, database:% = database.id,
-        epoch:% = Shown(statement.trace.epoch()), took_ms = SILENT.0 / 1_000;
+        epoch:% = Shown(statement.trace.epoch()), took_ms = SILENCE_TIMEOUT.0 / 1_000;
         "no answer yet"
     );
     let left = statement.deadline.since(targets.now());
@@ -242,14 +247,14 @@
     result.unwrap_or(Err(Lost::Silent))
 }
 
-/// Learns from a statement's lost answer, and tells why it was lost.
-fn why(
+/// Records that a statement's answer was lost, and returns the reason.
+fn loss(
     targets: &Targets,
     statement: &Statement<'_>,
     target: &Target,
     asked: Time,
     lost: &Lost,
-) -> Why {
+) -> Loss {
     let database = &target.database;
     targets.failed(database);
     statement.trace.ended("lost");
@@ -260,14 +265,14 @@
     );
     match lost {
         Lost::Silent => {
-            target.pool.distrust(asked);
-            Why::Silent
+            target.pool.close_idle_before(asked);
+            Loss::Silent
         }
-        Lost::Broken(_) | Lost::Garbled(_) => Why::Broken,
+        Lost::Broken(_) | Lost::Garbled(_) => Loss::Broken,
     }
 }
 
-/// Notes that a database refused to run a statement, for its line and for the scraper.
+/// Records in the trace and the metrics that a database refused to run a statement.
 pub fn note_refusal(targets: &Targets, trace: &Trace, target: &Target, code: Code) {
     trace.ended(code_name(code));
     let meter = &targets.shared.meter;
@@ -282,7 +287,7 @@
         _ => log::info!(group:% = database.group, database:% = database.id; "not opened: {closed}"),
     }
     match closed {
-        // Another database is at its address: it is gone.
+        // Another database listens at its address: this one is gone.
         Closed::Refused(code @ Code::OtherDatabase) => {
             note_refusal(targets, trace, target, *code);
             targets.failed(database);
@@ -290,9 +295,9 @@
         }
         Closed::Refused(code) => {
             note_refusal(targets, trace, target, *code);
-            // That it is full may have been heard before: the pool asks seldom then.
+            // `Full` may be a refusal remembered by the pool, and no new response.
             if *code != Code::Full {
-                targets.answers(database);
+                targets.responded(database);
             }
             targets.refused(target, None, false);
             Ran::NotRun(*code)
@@ -305,21 +310,21 @@
     }
 }
 
-/// Returns a connection, rolled back first if it stands in a transaction; `kept` is dropped once
-/// that is over.
-pub fn give_back<G: 'static>(targets: &Targets, mut lent: Box<Lent>, kept: G) {
-    if lent.connection().is_clean() {
-        lent.give_back(&targets.adapter);
+/// Returns a connection to the pool, after rolling back its transaction if one is open. `guard` is
+/// dropped after that.
+pub fn give_back<G: 'static>(targets: &Targets, mut checkout: Box<Checkout>, guard: G) {
+    if checkout.connection().is_clean() {
+        checkout.give_back(&targets.adapter);
         return;
     }
-    if !lent.connection().is_settled() {
+    if !checkout.connection().is_settled() {
         return;
     }
     let adapter = targets.adapter.clone();
     actix_rt::spawn(async move {
-        let rolled = lent.connection().order(&Order::Rollback);
-        let _ = tokio::time::timeout(ROLLBACK.into(), rolled).await;
-        lent.give_back(&adapter);
-        drop(kept);
+        let rolled = checkout.connection().order(&Order::Rollback);
+        let _ = tokio::time::timeout(ROLLBACK_TIMEOUT.into(), rolled).await;
+        checkout.give_back(&adapter);
+        drop(guard);
     });
 }
--- a/src/direct/gate.rs
+++ b/src/direct/gate.rs
@@ -1,14 +1,13 @@
-//! How many statements this VM has in flight at one database, and which waits for how long.
+//! Limits the statements that this VM has in flight at one database, and queues the others by urgency.
 //!
-//! **Pattern answered.** A database runs few statements at once, and every VM sends it some: bursts
-//! of one VM's callers, saturation, and urgent statements among others.
-//! **Without it** all of a burst is sent at once, waits inside the database, where neither
-//! priorities nor latency objectives are known, and late answers are earned by nobody.
+//! A database runs few statements at once and serves all VMs. Without a limit, a burst would queue
+//! inside the database, which knows neither priorities nor latency objectives, and late answers are
+//! worth nothing.
 //!
-//! The statements in flight are bounded by the database's slots. A refusal for being busy
-//! means that other VMs have the slots: the bound halves, and grows by one for each full round of
-//! answers, as congestion control does. Work that would wait longer than its bound, by the time that
-//! statements take of late, is refused at once with when to come back.
+//! The limit is at most the database's slots. A refusal because the database is busy means that other
+//! VMs use the slots: the limit halves, and grows by one per full round of answers, as in congestion
+//! control. Work whose estimated wait, from the recent statement time, exceeds its own bound is refused
+//! at once with a time to retry.
 
 use crate::clock::{Span, Time};
 use std::cell::RefCell;
@@ -16,43 +15,44 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A statement's time before the first answer: what the sites' short statements take.
-const UNKNOWN: Span = Span::from_millis(15);
+/// The assumed time of a statement before the first answer: that of a usual short statement.
+const INITIAL_TIME: Span = Span::from_millis(15);
 
-/// Weight of a new sample in the typical time: a database that turned slow is known after ten.
-const WEIGHT: u64 = 8;
+/// A new sample has the weight `1 / AVERAGE_WEIGHT` in the average time: a database that became slow is
+/// detected after about ten answers.
+const AVERAGE_WEIGHT: u64 = 8;
 
-/// What remains of the bound after a refusal.
-const CUT: f64 = 0.5;
+/// The factor by which a refusal lowers the limit.
+const DECREASE_FACTOR: f64 = 0.5;
 
-/// Refusals closer together than this tell of the same crowd, and cut the bound once.
-const SAME_CROWD: Span = Span::from_millis(50);
+/// Refusals closer together than this have the same cause and lower the limit only once.
+const MIN_DECREASE_INTERVAL: Span = Span::from_millis(50);
 
-/// The least time to tell a caller to stay away: less than a statement's time gains nothing.
-const LEAST_RETRY: Span = Span::from_millis(20);
+/// The shortest retry time given to a caller: retrying within about a statement's time is useless.
+const MIN_RETRY_DELAY: Span = Span::from_millis(20);
 
-/// Before which others work goes; less is sooner.
+/// The position of work in the queue: lower values go first.
 pub type Urgency = u8;
 
-/// The urgency of the statements of an open transaction: it holds a connection all along.
-pub const OPEN: Urgency = 0;
+/// The urgency of statements of an open transaction, which holds a connection while it waits.
+pub const OPEN_TRANSACTION: Urgency = 0;
 
 #[derive(Debug)]
 struct Inner {
     slots: u32,
-    allowed: f64,
+    limit: f64,
     running: u32,
-    turn: u64,
+    sequence: u64,
     waiting: BTreeMap<(Urgency, u64), oneshot::Sender<Permit>>,
     typical: Span,
-    cut_at: Time,
+    decreased_at: Time,
 }
 
-/// The bound of one database.
+/// The limiter of one database.
 #[derive(Debug, Clone)]
 pub struct Gate(Rc<RefCell<Inner>>);
 
-/// Leave to have one statement in flight; given back when dropped.
+/// Permission to have one statement in flight; returned when dropped.
 #[derive(Debug)]
 pub struct Permit(Option<Gate>);
 
@@ -65,29 +65,29 @@
 }
 
 impl Gate {
-    /// A gate to a database that runs `slots` statements at once.
+    /// Creates the gate of a database that runs `slots` statements at once.
     pub fn new(slots: u32) -> Self {
         Self(Rc::new(RefCell::new(Inner {
             slots: slots.max(1),
-            allowed: f64::from(slots.max(1)),
+            limit: f64::from(slots.max(1)),
             running: 0,
-            turn: 0,
+            sequence: 0,
             waiting: BTreeMap::new(),
-            typical: UNKNOWN,
-            cut_at: Time::default(),
+            typical: INITIAL_TIME,
+            decreased_at: Time::default(),
         })))
     }
 
-    /// The register tells another number of slots.
+    /// Sets the number of slots that the register states.
     pub fn resize(&self, slots: u32) {
         let mut inner = self.0.borrow_mut();
         if inner.slots != slots.max(1) {
             inner.slots = slots.max(1);
-            inner.allowed = f64::from(inner.slots);
+            inner.limit = f64::from(inner.slots);
         }
     }
 
-    /// Leave at once, if there is room and nothing waits.
+    /// A permit, if one is free and nothing waits.
     pub fn try_enter(&self) -> Option<Permit> {
         let mut inner = self.0.borrow_mut();
         let free = inner.waiting.is_empty() && inner.has_room();
@@ -97,17 +97,17 @@
         })
     }
 
-    /// Leave within `patience`, or when to come back.
-    pub async fn enter(&self, urgency: Urgency, patience: Span) -> Result<Permit, Span> {
+    /// A permit within `max_wait`, or the time after which to retry.
+    pub async fn enter(&self, urgency: Urgency, max_wait: Span) -> Result<Permit, Span> {
         if let Some(permit) = self.try_enter() {
             return Ok(permit);
         }
         let wait = self.wait(urgency);
-        if wait > patience {
+        if wait > max_wait {
             return Err(self.retry());
         }
-        let (key, turn) = self.queue(urgency);
-        match tokio::time::timeout(patience.into(), turn).await {
+        let (key, permit) = self.queue(urgency);
+        match tokio::time::timeout(max_wait.into(), permit).await {
             Ok(Ok(permit)) => Ok(permit),
             _ => {
                 self.0.borrow_mut().waiting.remove(&key);
@@ -118,50 +118,50 @@
 
     fn queue(&self, urgency: Urgency) -> ((Urgency, u64), oneshot::Receiver<Permit>) {
         let mut inner = self.0.borrow_mut();
-        inner.turn += 1;
-        let key = (urgency, inner.turn);
+        inner.sequence += 1;
+        let key = (urgency, inner.sequence);
         let (sender, receiver) = oneshot::channel();
         inner.waiting.insert(key, sender);
         (key, receiver)
     }
 
-    /// How long new work of this urgency would wait.
+    /// The estimated wait of new work of this urgency.
     pub fn wait(&self, urgency: Urgency) -> Span {
         let inner = self.0.borrow();
         if inner.waiting.is_empty() && inner.has_room() {
             return Span::ZERO;
         }
         let before = inner.waiting.range(..=(urgency, u64::MAX)).count() as f64 + 1.0;
-        Span((inner.typical.0 as f64 * before / inner.allowed.max(1.0)) as u64)
+        Span((inner.typical.0 as f64 * before / inner.limit.max(1.0)) as u64)
     }
 
-    /// What a statement takes of late.
+    /// The moving average of recent statement times.
     pub fn typical(&self) -> Span {
         self.0.borrow().typical
     }
 
-    /// When work that is refused now should come back.
+    /// After what time work that is refused now should be retried.
     pub fn retry(&self) -> Span {
-        self.wait(Urgency::MAX).max(LEAST_RETRY)
+        self.wait(Urgency::MAX).max(MIN_RETRY_DELAY)
     }
 
-    /// A statement was answered after `took`.
+    /// Records that a statement was answered after `took`.
     pub fn answered(&self, took: Span) {
         let mut inner = self.0.borrow_mut();
-        let typical = (inner.typical.0 * (WEIGHT - 1) + took.0) / WEIGHT;
+        let typical = (inner.typical.0 * (AVERAGE_WEIGHT - 1) + took.0) / AVERAGE_WEIGHT;
         inner.typical = Span(typical);
-        let raised = inner.allowed + 1.0 / inner.allowed.max(1.0);
-        inner.allowed = raised.min(f64::from(inner.slots));
+        let raised = inner.limit + 1.0 / inner.limit.max(1.0);
+        inner.limit = raised.min(f64::from(inner.slots));
     }
 
-    /// The database refused a statement for being busy.
+    /// Records that the database refused a statement because it is busy.
     pub fn refused(&self, now: Time) {
         let mut inner = self.0.borrow_mut();
-        if now.since(inner.cut_at) < SAME_CROWD {
+        if now.since(inner.decreased_at) < MIN_DECREASE_INTERVAL {
             return;
         }
-        inner.cut_at = now;
-        inner.allowed = (inner.allowed * CUT).max(1.0);
+        inner.decreased_at = now;
+        inner.limit = (inner.limit * DECREASE_FACTOR).max(1.0);
     }
 
     fn leave(&self) {
@@ -187,6 +187,6 @@
 
 impl Inner {
     fn has_room(&self) -> bool {
-        f64::from(self.running) + 1.0 <= self.allowed.max(1.0).round()
+        f64::from(self.running) + 1.0 <= self.limit.max(1.0).round()
     }
 }
--- a/src/direct/pool.rs
+++ b/src/direct/pool.rs
@@ -1,12 +1,11 @@
-//! The connections of this VM to one database.
+//! The pool of connections from this VM to one database.
 //!
-//! **Pattern answered.** Few connections a database for all VMs together, transactions that hold
-//! them over their callers' pauses, bursts after quiet.
-//! **Without it** every statement waits for a new connection, and one VM's idle connections keep
-//! another VM's transactions out.
+//! All VMs share a database's few connections, transactions hold them while their callers pause, and
+//! load comes in bursts. Without reuse every statement would wait for a new connection; if idle ones
+//! were kept forever, one VM's idle connections would keep out another VM's transactions.
 //!
-//! Connections are opened on demand and used again most recent first, so that those too many are
-//! seen to be idle, and are closed.
+//! Connections are opened on demand and the most recently used is reused first, so that surplus
+//! ones become idle and are closed.
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::Adapter;
@@ -20,40 +19,41 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// How long opening a connection may take: a round trip between regions and a busy database's
-/// slot, several times over.
-const OPENING: Span = Span::from_millis(600);
+/// Time limit for opening a connection: several times a round trip between regions plus the wait for
+/// a slot of a busy database.
+const OPEN_TIMEOUT: Span = Span::from_millis(600);
 
-/// How long a connection stays idle before it is closed. Opening one costs a slot for 12 ms; one
-/// that is kept takes a place that other VMs lack. When all VMs lose power, a database counts their
-/// connections for 3 s more, and the VMs that start again find only the places that were left.
-const IDLE: Span = Span::from_millis(400);
+/// How long a connection stays idle before it is closed. Opening one occupies a slot for 12 ms, but
+/// an idle one is not available to other VMs. When all VMs lose power, a database counts their
+/// connections for another 3 s, so restarting VMs can use only those that were free before.
+const IDLE_TIMEOUT: Span = Span::from_millis(400);
 
-/// After a first refusal for want of room no connection is tried for this long: a transaction's
-/// statement or two.
-const FULL_PAUSE: Span = Span::from_millis(40);
+/// How long no connection is opened after a first refusal because the database is full: the time of
+/// one or two statements of a transaction.
+const MIN_FULL_DELAY: Span = Span::from_millis(40);
 
-/// How long after a refusal for want of room connections are not kept idle.
-const SCARCE: Span = Span::from_secs(1);
+/// How long no connections are kept idle after a refusal because the database is full.
+const SCARCITY_PERIOD: Span = Span::from_secs(1);
 
-/// How long a position is taken for the present one: an owner hears of it with each answer, some
-/// hundred a second, and a replica that is behind gets further in jumps.
-const POSITION_LIFE: Span = Span::from_millis(40);
+/// How long a reported log position counts as current. An owner gets one with each answer, some
+/// hundred per second, and a lagging replica advances in jumps.
+const MAX_POSITION_AGE: Span = Span::from_millis(40);
 
-/// The longest such pause: a database drops connections of a VM that is gone after some seconds.
-const LONGEST_FULL_PAUSE: Span = Span::from_millis(320);
+/// The longest delay after repeated refusals: a database drops the connections of a lost VM after
+/// some seconds.
+const MAX_FULL_DELAY: Span = Span::from_millis(320);
 
-/// How long an organisation's connection stays idle while there are places for it: the next statement
-/// of a small organisation is seconds away.
-const KEPT: Span = Span::from_secs(10);
+/// How long an organisation's connection stays idle while the pool is within its limit: a small
+/// organisation sends a statement every few seconds.
+const ORGANISATION_IDLE_TIMEOUT: Span = Span::from_secs(10);
 
-/// The least pause between two looks for connections to close.
-const LEAST_REST: Span = Span::from_millis(50);
+/// The shortest interval between two checks for idle connections to close.
+const MIN_SWEEP_INTERVAL: Span = Span::from_millis(50);
 
-/// What a connection should be like.
+/// What a statement requires of its connection.
 #[derive(Debug, Clone, Copy)]
 pub struct Wanted<'a> {
-    /// On whose behalf it is used.
+    /// The organisation on whose behalf it is used.
     pub organisation: Option<&'a OrganisationId>,
     /// The session's values.
     pub values: &'a Values,
@@ -62,64 +62,64 @@
 /// The connections to one database.
 #[derive(Debug)]
 pub struct Pool {
-    /// Statements in flight.
+    /// Limits the statements in flight.
     pub gate: Gate,
     idle: RefCell<Vec<Connection>>,
-    /// Connections that are in use.
-    lent: Cell<u32>,
-    /// How many connections are kept, those in use among them.
-    places: Cell<u32>,
+    /// The number of connections in use.
+    in_use: Cell<u32>,
+    /// The most connections that are kept open, including those in use.
+    max_kept: Cell<u32>,
     full_until: Cell<Time>,
-    full_pause: Cell<Span>,
+    full_delay: Cell<Span>,
     returned: Notify,
     waiting: Cell<u32>,
-    /// Until when a statement would wait at the owner that was asked last.
+    /// Until when a statement would have to wait at the owner that was asked last.
     owner_waits: Cell<Time>,
-    /// How far the log was when the database last said so, and when that was.
+    /// The log position that the database last reported, and when it did.
     position: Cell<Option<(Position, Time)>>,
     sweeping: Cell<bool>,
 }
 
-/// A connection in use; it is closed when dropped and not given back.
+/// A connection in use; it is closed when dropped without being given back.
 #[derive(Debug)]
-pub struct Lent {
+pub struct Checkout {
     connection: Connection,
-    seat: Seat,
+    usage: Usage,
     opened: bool,
 }
 
-/// Counts a connection in use, and tells those that wait for one when it is free.
+/// Counts a connection as in use, and notifies a waiting task when it is free again.
 #[derive(Debug)]
-struct Seat {
+struct Usage {
     pool: Rc<Pool>,
-    /// Whether it has a connection: one that was not opened leaves nothing to those that wait.
-    taken: bool,
+    /// Whether it has a connection: if opening failed, no waiting task is notified.
+    connected: bool,
 }
 
-impl Seat {
+impl Usage {
     fn new(pool: &Rc<Pool>) -> Self {
-        pool.lent.set(pool.lent.get() + 1);
+        pool.in_use.set(pool.in_use.get() + 1);
         Self {
             pool: pool.clone(),
-            taken: true,
+            connected: true,
         }
     }
 }
 
-impl Drop for Seat {
+impl Drop for Usage {
     fn drop(&mut self) {
-        self.pool.lent.set(self.pool.lent.get() - 1);
-        if self.taken {
+        self.pool.in_use.set(self.pool.in_use.get() - 1);
+        if self.connected {
             self.pool.returned.notify_one();
         }
     }
 }
 
-impl Lent {
-    fn new(connection: Connection, seat: Seat, opened: bool) -> Self {
+impl Checkout {
+    fn new(connection: Connection, usage: Usage, opened: bool) -> Self {
         Self {
             connection,
-            seat,
+            usage,
             opened,
         }
     }
@@ -129,21 +129,21 @@
         &mut self.connection
     }
 
-    /// Whether it was opened just now.
+    /// Whether it was newly opened rather than reused.
     pub fn is_new(&self) -> bool {
         self.opened
     }
 
-    /// Gives the connection back for others to use, unless something on it is unaccounted for.
+    /// Returns the connection to the pool, or closes it if it is not clean or connections are scarce.
     pub fn give_back(self, adapter: &Adapter) {
         let Self {
             mut connection,
-            seat,
+            usage,
             opened: _,
         } = self;
         let now = (adapter.clock)();
-        let pool = seat.pool.clone();
-        if !connection.is_clean() || pool.leaves_to_others(now) {
+        let pool = usage.pool.clone();
+        if !connection.is_clean() || pool.is_scarce(now) {
             return;
         }
         connection.used = now;
@@ -153,15 +153,15 @@
 }
 
 impl Pool {
-    /// No connection yet to a database that runs `slots` statements at once.
+    /// Creates an empty pool for a database that runs `slots` statements at once.
     pub fn new(slots: u32) -> Rc<Self> {
         Rc::new(Self {
             gate: Gate::new(slots),
             idle: RefCell::default(),
-            lent: Cell::new(0),
-            places: Cell::new(0),
+            in_use: Cell::new(0),
+            max_kept: Cell::new(0),
             full_until: Cell::default(),
-            full_pause: Cell::new(FULL_PAUSE),
+            full_delay: Cell::new(MIN_FULL_DELAY),
             returned: Notify::new(),
             waiting: Cell::new(0),
             owner_waits: Cell::default(),
@@ -176,42 +176,42 @@
         adapter: &Adapter,
         database: &Database,
         wanted: Wanted<'_>,
-    ) -> Result<Lent, Closed> {
+    ) -> Result<Checkout, Closed> {
         if let Some(connection) = self.reuse(wanted) {
-            return Ok(Lent::new(connection, Seat::new(self), false));
+            return Ok(Checkout::new(connection, Usage::new(self), false));
         }
         if (adapter.clock)() < self.full_until.get() {
             return Err(Closed::Refused(Code::Full));
         }
-        let mut seat = Seat::new(self);
+        let mut usage = Usage::new(self);
         if wanted.organisation.is_some() {
             self.make_room();
         }
-        match Connection::open(adapter, database, wanted.organisation, OPENING).await {
+        match Connection::open(adapter, database, wanted.organisation, OPEN_TIMEOUT).await {
             Ok(connection) => {
-                self.full_pause.set(FULL_PAUSE);
-                Ok(Lent::new(connection, seat, true))
+                self.full_delay.set(MIN_FULL_DELAY);
+                Ok(Checkout::new(connection, usage, true))
             }
             Err(closed) => {
-                seat.taken = false;
+                usage.connected = false;
                 if let Closed::Refused(Code::Full) = closed {
-                    self.pause((adapter.clock)());
+                    self.back_off((adapter.clock)());
                 }
                 Err(closed)
             }
         }
     }
 
-    /// How many connections may be kept.
-    pub fn resize(&self, places: u32) {
-        self.places.set(places);
+    /// Sets the most connections that are kept open.
+    pub fn resize(&self, max_kept: u32) {
+        self.max_kept.set(max_kept);
     }
 
-    /// Closes the connection that was idle longest, if as many are kept as may be.
+    /// Closes the connection that was idle longest, if the limit of open connections is exceeded.
     fn make_room(&self) {
         let mut idle = self.idle.borrow_mut();
-        let held = idle.len() + self.lent.get() as usize;
-        if held <= self.places.get() as usize {
+        let open = idle.len() + self.in_use.get() as usize;
+        if open <= self.max_kept.get() as usize {
             return;
         }
         let oldest = idle.iter().enumerate().min_by_key(|(_, one)| one.used);
@@ -221,76 +221,76 @@
     }
 
     /// How long a connection stays idle before it is closed.
-    fn keeps(&self, connection: &Connection) -> Span {
-        let held = self.idle.borrow().len() + self.lent.get() as usize;
+    fn idle_timeout(&self, connection: &Connection) -> Span {
+        let open = self.idle.borrow().len() + self.in_use.get() as usize;
         match connection.organisation() {
-            Some(_) if held <= self.places.get() as usize => KEPT,
-            _ => IDLE,
+            Some(_) if open <= self.max_kept.get() as usize => ORGANISATION_IDLE_TIMEOUT,
+            _ => IDLE_TIMEOUT,
         }
     }
 
-    /// Opens no connection for a while, longer with each refusal in a row.
-    fn pause(&self, now: Time) {
-        let pause = self.full_pause.get();
-        self.full_until.set(now + pause);
-        let longer = pause.percent(200).min(LONGEST_FULL_PAUSE);
-        self.full_pause.set(longer);
+    /// Opens no connection for a while; the delay doubles with each consecutive refusal.
+    fn back_off(&self, now: Time) {
+        let delay = self.full_delay.get();
+        self.full_until.set(now + delay);
+        let longer = delay.percent(200).min(MAX_FULL_DELAY);
+        self.full_delay.set(longer);
     }
 
-    /// When whoever found no connection should come back: while refusals go on in a row,
-    /// not before the next connections are tried.
+    /// After what time a caller that got no connection should retry: during consecutive refusals,
+    /// not before this pool opens connections again.
     pub fn retry(&self, now: Time) -> Span {
         let own = self.full_until.get().since(now).max(self.gate.retry());
         own.max(self.owner_waits.get().since(now))
     }
 
-    /// The database said how far its log is.
-    pub fn has(&self, position: Position, now: Time) {
+    /// Records the log position that the database reported.
+    pub fn note_position(&self, position: Position, now: Time) {
         self.position.set(Some((position, now)));
     }
 
-    /// How far the log was, if that was said so shortly ago that it can't be much further now.
+    /// The last reported log position, if it is recent enough to count as current.
     pub fn position(&self, now: Time) -> Option<Position> {
         let (position, at) = self.position.get()?;
-        (now < at + POSITION_LIFE).then_some(position)
+        (now < at + MAX_POSITION_AGE).then_some(position)
     }
 
-    /// An owner says until when a statement would wait there.
+    /// Records until when a statement would have to wait at an owner.
     pub fn owner_waits(&self, until: Time) {
         self.owner_waits.set(until);
     }
 
-    /// How long new work of this urgency would wait, here or at the owner.
+    /// How long new work of this urgency would have to wait, here or at the owner.
     pub fn wait_at(&self, now: Time, urgency: Urgency) -> Span {
         self.gate
             .wait(urgency)
             .max(self.owner_waits.get().since(now))
     }
 
-    /// Waits until a connection may be had, where none was.
+    /// Waits until a connection is returned, or a retry is due.
     pub async fn wait(&self) {
         self.waiting.set(self.waiting.get() + 1);
-        let _ = tokio::time::timeout(FULL_PAUSE.into(), self.returned.notified()).await;
+        let _ = tokio::time::timeout(MIN_FULL_DELAY.into(), self.returned.notified()).await;
         self.waiting.set(self.waiting.get() - 1);
     }
 
-    /// Whether a connection that is given back is closed, for another VM to have its place.
+    /// Whether returned connections are closed so that another VM can open one.
     ///
-    /// Where a database has been full of late, some VMs hold all its connections, and keep them by
-    /// using them now and then, while others have none and can't so much as learn how far the log is.
-    fn leaves_to_others(&self, now: Time) -> bool {
+    /// While a database is full, some VMs could hold all its connections by using them occasionally;
+    /// others would have none and could not even read its log position.
+    fn is_scarce(&self, now: Time) -> bool {
         let was_full = self.full_until.get() > Time::default();
-        was_full && self.waiting.get() == 0 && now < self.full_until.get() + SCARCE
+        was_full && self.waiting.get() == 0 && now < self.full_until.get() + SCARCITY_PERIOD
     }
 
-    /// Closes idle connections that were last used before `since`: whatever lost track of one
-    /// connection has often lost track of those beside it.
-    pub fn distrust(&self, since: Time) {
-        let trusted = |connection: &Connection| connection.used >= since;
-        self.idle.borrow_mut().retain(trusted);
+    /// Closes idle connections last used before `since`: when one connection stops responding, others
+    /// opened before then have often stopped too.
+    pub fn close_idle_before(&self, since: Time) {
+        let used_since = |connection: &Connection| connection.used >= since;
+        self.idle.borrow_mut().retain(used_since);
     }
 
-    /// The idle connection whose values fit a session best, most recent first.
+    /// Takes the idle connection that fits a session's values best; of equal ones the most recent.
     fn reuse(&self, wanted: Wanted<'_>) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         loop {
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Closes connections that stay idle, from a task that lives while there are any.
+    /// Closes connections that stay idle, in a task that runs while there are any.
     fn sweep(self: &Rc<Self>, adapter: &Adapter) {
         if self.sweeping.replace(true) {
             return;
@@ -311,7 +311,7 @@
         let clock = adapter.clock.clone();
         actix_rt::spawn(async move {
             while let Some(due) = pool.due() {
-                let rest = due.since(clock()).max(LEAST_REST);
+                let rest = due.since(clock()).max(MIN_SWEEP_INTERVAL);
                 tokio::time::sleep(rest.into()).await;
                 pool.close_unused(clock());
             }
@@ -319,15 +319,19 @@
         });
     }
 
-    /// When the next idle connection is to be closed, as it looks now.
+    /// When the next idle connection is due to be closed.
     fn due(&self) -> Option<Time> {
         let idle = self.idle.borrow();
-        idle.iter().map(|one| one.used + self.keeps(one)).min()
+        idle.iter()
+            .map(|one| one.used + self.idle_timeout(one))
+            .min()
     }
 
     fn close_unused(&self, now: Time) {
         let idle = self.idle.borrow();
-        let kept = idle.iter().map(|one| now < one.used + self.keeps(one));
+        let kept = idle
+            .iter()
+            .map(|one| now < one.used + self.idle_timeout(one));
         let mut kept: Vec<bool> = kept.collect();
         drop(idle);
         let mut kept = kept.drain(..);
@@ -337,8 +341,8 @@
     }
 }
 
-/// Which idle connection to use: values that differ cost a round trip, those that the session
-/// lacks cost all that was prepared.
+/// The index of the best idle connection. A differing value costs a round trip; a value that the
+/// session lacks requires a reset, which discards all prepared statements.
 fn best_fit(idle: &[Connection], wanted: Wanted<'_>) -> Option<usize> {
     let fits = idle.iter().enumerate();
     let own = fits.filter(|(_, connection)| connection.organisation() == wanted.organisation);
--- a/src/direct/run.rs
+++ b/src/direct/run.rs
@@ -14,11 +14,11 @@
 use crate::direct::adapter::Adapter;
 use crate::direct::attempt::{self, Attempt, Held, Plan};
 use crate::direct::config::Kind;
-use crate::direct::front::Place;
+use crate::direct::front::Location;
 use crate::direct::identity::Allowance;
 use crate::direct::job::{Job, Part};
 use crate::direct::meter::Meter;
-use crate::direct::outcome::{self, Why};
+use crate::direct::outcome::{self, Loss};
 use crate::direct::quota::Refusal;
 use crate::direct::session::{Phase, Session, error};
 use crate::direct::statement::{Answer, Code, End, State};
@@ -64,7 +64,7 @@
     NotRun,
     /// It may have run. The first statement of a transaction is not run again then: it would be
     /// on another connection than before.
-    Lost(Why),
+    Lost(Loss),
 }
 
 /// What to do after a try at the primary.
@@ -75,7 +75,7 @@
 
 impl Runner {
     /// A runner without connections.
-    pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Place) -> Self {
+    pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Location) -> Self {
         Self {
             targets: Targets::new(adapter, shared, place),
             budget: RefCell::default(),
@@ -251,14 +251,14 @@
                 return Then::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
             }
             let came = self.targets.now();
-            let left = job.news_until().since(came);
+            let left = job.primary_wait_until().since(came);
             let news = self
                 .targets
-                .wait_for_news(group, None, left.min(LOOK_AGAIN));
+                .wait_for_primary_change(group, None, left.min(LOOK_AGAIN));
             let came_news = news.await;
             let now = self.targets.now();
             job.trace.without_primary(now.since(came));
-            if came_news || now < job.news_until() {
+            if came_news || now < job.primary_wait_until() {
                 return Then::Again;
             }
             return Then::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
@@ -299,23 +299,25 @@
                 plan.target.pool.wait().await;
                 Then::Again
             }
-            Attempt::NotRun(code) if !outcome::may_do_elsewhere(code) => {
+            Attempt::NotRun(code) if !outcome::may_succeed_elsewhere(code) => {
                 Then::Answer(self.fail(session, job, code, "refused by the database"))
             }
             Attempt::NotRun(_) | Attempt::Unreached => {
-                if now + ASK_AGAIN >= job.news_until() {
+                if now + ASK_AGAIN >= job.primary_wait_until() {
                     let text = "the primary does not serve";
                     return Then::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
                 }
                 let group = &job.route.group;
                 let epoch = plan.lease.as_ref().map(|lease| lease.epoch);
-                self.targets.wait_for_news(group, epoch, ASK_AGAIN).await;
+                self.targets
+                    .wait_for_primary_change(group, epoch, ASK_AGAIN)
+                    .await;
                 job.trace.without_primary(self.targets.now().since(now));
                 Then::Again
             }
             Attempt::Lost(why) => {
-                let repeats = why != Why::Silent && job.is_repeatable() && self.may_repeat();
-                if repeats && now < job.news_until() {
+                let repeats = why != Loss::Silent && job.is_repeatable() && self.may_repeat();
+                if repeats && now < job.primary_wait_until() {
                     return Then::Again;
                 }
                 let (code, text) = outcome::lost(job, false, why);
@@ -383,5 +385,5 @@
 
 /// Whether an answer says that no database has run anything.
 fn never_ran(answer: &Answer) -> bool {
-    matches!(answer.end, End::Error { code, .. } if outcome::may_do_elsewhere(code))
+    matches!(answer.end, End::Error { code, .. } if outcome::may_succeed_elsewhere(code))
 }
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -1,15 +1,15 @@
-//! What this VM has open to each database, and what it has learned of it.
+//! This VM's connections to each database, and what it has learned about each from answers.
 
 use crate::clock::{Span, Time};
 use crate::core::message::Hint;
 use crate::core::route::{Candidate, Need, Router};
 use crate::direct::adapter::Adapter;
 use crate::direct::config::Database;
-use crate::direct::front::Place;
+use crate::direct::front::Location;
 use crate::direct::gate::Urgency;
 use crate::direct::lead::{Epoch, Lease};
 use crate::direct::outcome;
-use crate::direct::owner::{self, Access, Goal, Way};
+use crate::direct::owner::{self, Access, Destination, Way};
 use crate::direct::pool::Pool;
 use crate::direct::quota::Quotas;
 use crate::direct::relay::line::Lines;
@@ -21,41 +21,40 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// A database that failed and has answered nothing since is left out by all but one read in this
-/// time, which finds out whether it is back.
-const PROBE: Span = Span::from_millis(500);
+/// While a database is failing, one read per this interval is sent to it, to detect its recovery;
+/// all others avoid it.
+const PROBE_INTERVAL: Span = Span::from_millis(500);
 
-/// How long a primary that is about to end still takes new work: it serves for at least 7 s after it
-/// said so, and the register is up to 2 s behind.
-const LEAVING: Span = Span::from_millis(4_500);
+/// How long a primary that is about to stop is still sent new work. It serves for at least 7 s after
+/// it announced that, and the register is up to 2 s behind.
+const LEAVING_GRACE: Span = Span::from_millis(4_500);
 
-/// What decides which copy serves a read.
+/// The criteria by which copies are ordered for a read.
 ///
-/// **Pattern answered.** Copies in other regions beside one near by, which is as good unless it is
-/// slow or full.
-/// **Without it** two reads of three cross regions, which takes a round trip more and is paid by
-/// the byte; with distance alone a slow copy keeps the reads of its whole region.
+/// Without regard to distance, two of three reads would cross regions, which costs an extra round
+/// trip and is billed per byte. By distance alone, a slow copy would keep all reads of its region.
 ///
-/// The router's share falls with the time that a copy takes against the fastest. A near copy goes
-/// first unless it takes over twice as long, or this VM has as much under way there as it may.
+/// The router's share of a copy falls with its latency relative to the fastest copy. A copy in this
+/// region is preferred unless it takes over twice as long, or this VM's limit of statements in
+/// flight there is reached.
 #[derive(Debug, Clone, Copy)]
-pub struct Standing {
-    /// Whether it failed, and was tried lately.
+pub struct Preference {
+    /// Whether it is failing and was probed within [`PROBE_INTERVAL`].
     pub left_out: bool,
-    /// Whether a statement would wait here for others to end.
+    /// Whether a statement would have to queue.
     pub waits: bool,
     /// Whether it is in this VM's region.
     pub near: bool,
-    /// Its share of a fair load, by the router.
+    /// Its relative share of the load according to the router.
     pub share: f64,
 }
 
-/// A near copy below this share is a copy like others: a round trip between regions alone takes
-/// a far one to a half.
+/// Below this share a near copy is not preferred. The round trip between regions alone lowers the
+/// share of a far copy to one half.
 const NEAR_SHARE: f64 = 0.45;
 
-impl Standing {
-    /// What to sort copies by, which the router has put in order.
+impl Preference {
+    /// The sort key; copies with equal keys keep the router's order.
     pub fn rank(&self) -> (bool, bool, bool) {
         let preferred = self.near && self.share >= NEAR_SHARE;
         (self.left_out, self.waits, !preferred)
@@ -65,48 +64,48 @@
 /// A database, and this VM's connections to it.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// What the register says of it.
+    /// Its entry in the register.
     pub database: Rc<Database>,
-    /// The connections.
+    /// The connections to it.
     pub pool: Rc<Pool>,
 }
 
-/// All databases.
+/// All databases, and this VM's connections to them.
 pub struct Targets {
     /// The platform.
     pub adapter: Adapter,
-    /// What this VM knows.
+    /// The state shared by all tasks of this VM.
     pub shared: Rc<Shared>,
-    /// Streams to owners of databases.
+    /// Streams to the VMs that own connections.
     pub lines: Rc<Lines>,
-    /// What organisations may ask for.
+    /// The quotas of the organisations.
     pub quotas: Rc<Quotas>,
-    place: Place,
-    pools: RefCell<BTreeMap<DatabaseId, Opened>>,
+    location: Location,
+    pools: RefCell<BTreeMap<DatabaseId, Instance>>,
     routers: RefCell<BTreeMap<GroupId, Router>>,
     probed: RefCell<BTreeMap<DatabaseId, Time>>,
-    /// Since when primaries are known to be about to end.
+    /// Since when each leaving primary is known to be about to stop.
     leaving: RefCell<BTreeMap<DatabaseId, Time>>,
-    ways: RefCell<BTreeMap<DatabaseId, Known>>,
+    access_cache: RefCell<BTreeMap<DatabaseId, CachedAccess>>,
 }
 
-/// Connections to one life of a database.
+/// The connections to one incarnation (life) of a database.
 #[derive(Debug)]
-struct Opened {
+struct Instance {
     born: Option<Birth>,
     pool: Rc<Pool>,
 }
 
-/// How a database is reached, and what that was found from.
+/// How a database is reached, and the inputs that this was computed from.
 #[derive(Debug, Clone)]
-struct Known {
+struct CachedAccess {
     access: Rc<Access>,
-    /// For whoever asks on nobody's behalf.
+    /// How it is reached for no particular organisation.
     way: Rc<Way>,
-    fellows: u64,
+    peers_digest: u64,
     connections: u32,
-    /// Connections that this VM may keep open there.
-    places: u32,
+    /// The number of connections that this VM may keep open to it.
+    max_kept: u32,
 }
 
 impl fmt::Debug for Targets {
@@ -116,20 +115,20 @@
 }
 
 impl Targets {
-    /// Nothing is open.
-    pub fn new(adapter: Adapter, shared: Rc<Shared>, place: Place) -> Rc<Self> {
+    /// Creates the set without open connections.
+    pub fn new(adapter: Adapter, shared: Rc<Shared>, location: Location) -> Rc<Self> {
         let lines = Lines::new(adapter.clone());
         Rc::new(Self {
-            quotas: Quotas::new(shared.clone(), lines.clone(), place.clone()),
+            quotas: Quotas::new(shared.clone(), lines.clone(), location.clone()),
             lines,
             adapter,
             shared,
-            place,
+            location,
             pools: RefCell::default(),
             routers: RefCell::default(),
             probed: RefCell::default(),
             leaving: RefCell::default(),
-            ways: RefCell::default(),
+            access_cache: RefCell::default(),
         })
     }
 
@@ -138,10 +137,10 @@
         (self.adapter.clock)()
     }
 
-    /// Whether new work may go to a primary that may be about to end.
+    /// Whether new work may be sent to a primary, which may be about to stop.
     ///
-    /// It goes on to serve until it is replaced, which takes milliseconds as a rule. Where that is held
-    /// up, it may end at any moment, and what it was sent last would be lost with it.
+    /// It serves until it is replaced, which usually takes milliseconds. If the replacement is delayed,
+    /// it may stop at any moment and lose the work that it was sent last.
     fn takes_new_work(&self, database: &Database) -> bool {
         let now = self.now();
         let mut leaving = self.leaving.borrow_mut();
@@ -150,16 +149,16 @@
             return true;
         }
         let since = leaving.entry(database.id.clone()).or_insert(now);
-        now < *since + LEAVING
+        now < *since + LEAVING_GRACE
     }
 
-    /// Whether something new may start on a group's primary of `epoch`.
+    /// Whether new work may start on a group's primary of `epoch`.
     pub fn may_start(&self, group: &GroupId, epoch: Epoch) -> bool {
         let lease = self.shared.look().book.lease(group, self.now());
         lease.is_some_and(|lease| lease.epoch == epoch)
     }
 
-    /// Whether what started on a group's primary of `epoch` may go on, or be passed on.
+    /// Whether work on a group's primary of `epoch` may continue, and its answers be passed on.
     pub fn holds(&self, group: &GroupId, epoch: Epoch) -> bool {
         self.shared.look().book.holds(group, epoch, self.now())
     }
@@ -177,13 +176,18 @@
         Some((lease, self.target(database)))
     }
 
-    /// Waits until the primary that may be used is not that of `epoch` any more (none, if there
-    /// was none); tells whether that came within `span`.
+    /// Waits until the epoch of the usable primary differs from `epoch` (none means that there was no
+    /// usable primary). Returns whether that happened within `span`.
     ///
-    /// A lease on a database that is not registered, or is about to end, is no use: taken for
-    /// news, it would let whoever waits ask again at once and for ever.
-    pub async fn wait_for_news(&self, group: &GroupId, epoch: Option<Epoch>, span: Span) -> bool {
-        let news = async {
+    /// A lease on a database that is not registered or is about to stop does not count as a change:
+    /// the waiting caller would retry at once, in an endless loop.
+    pub async fn wait_for_primary_change(
+        &self,
+        group: &GroupId,
+        epoch: Option<Epoch>,
+        span: Span,
+    ) -> bool {
+        let primary_changed = async {
             loop {
                 let changed = self.shared.changed();
                 if self.usable_epoch(group) != epoch {
@@ -192,64 +196,66 @@
                 changed.await;
             }
         };
-        tokio::time::timeout(span.into(), news).await.is_ok()
+        tokio::time::timeout(span.into(), primary_changed)
+            .await
+            .is_ok()
     }
 
-    /// The epoch of the primary that may be used now.
+    /// The epoch of the primary that is usable now.
     fn usable_epoch(&self, group: &GroupId) -> Option<Epoch> {
         let (lease, _) = self.primary(group)?;
         Some(lease.epoch)
     }
 
-    /// A database that is registered.
+    /// Looks up a registered database.
     pub fn find(&self, id: &DatabaseId) -> Option<Target> {
         let database = self.shared.look().databases.get(id).cloned()?;
         Some(self.target(Rc::new(database)))
     }
 
-    /// How a database is reached on behalf of an organisation, or of nobody in particular.
+    /// How a database is reached on behalf of an organisation, or of no particular one.
     pub fn way(&self, database: &Database, organisation: Option<&OrganisationId>) -> Rc<Way> {
         let known = self.access(database);
         let Some(organisation) = organisation else {
             return known.way;
         };
-        let relay = self.place.relay;
+        let relay = self.location.relay;
         Rc::new(known.access.way_for(relay, &database.id, organisation))
     }
 
-    /// Who connects to a database: found anew when the VMs or its connections have changed.
-    fn access(&self, database: &Database) -> Known {
+    /// Which VMs connect to a database; recomputed when the VMs or its connections have changed.
+    fn access(&self, database: &Database) -> CachedAccess {
         let view = self.shared.look();
         let config = view.config.as_ref();
         let group = config.and_then(|config| config.groups.get(&database.group));
         let connections = group.map_or(u32::MAX, |group| group.connections);
-        let fellows = view.fellows.digest();
-        let mut ways = self.ways.borrow_mut();
-        if let Some(known) = ways.get(&database.id)
-            && (known.fellows, known.connections) == (fellows, connections)
+        let peers_digest = view.fellows.digest();
+        let mut access_cache = self.access_cache.borrow_mut();
+        if let Some(known) = access_cache.get(&database.id)
+            && (known.peers_digest, known.connections) == (peers_digest, connections)
         {
             return known.clone();
         }
         let list = view.fellows.list();
-        let goal = Goal {
+        let destination = Destination {
             id: &database.id,
             connections,
         };
-        let is_near = |domain: &_| self.place.are_near(domain, &database.domain);
-        let access = owner::access(list, goal, is_near);
-        let known = Known {
-            way: Rc::new(access.way(self.place.relay, &database.id)),
-            places: access.places(connections, list.len()),
+        let is_near = |domain: &_| self.location.are_near(domain, &database.domain);
+        let access = owner::access(list, destination, is_near);
+        let known = CachedAccess {
+            way: Rc::new(access.way(self.location.relay, &database.id)),
+            max_kept: access.max_kept(connections, list.len()),
             access: Rc::new(access),
-            fellows,
+            peers_digest,
             connections,
         };
-        ways.retain(|id, _| view.databases.contains_key(id));
-        ways.insert(database.id.clone(), known.clone());
+        access_cache.retain(|id, _| view.databases.contains_key(id));
+        access_cache.insert(database.id.clone(), known.clone());
         known
     }
 
-    /// The least position that holds all commits acknowledged before `since`.
+    /// The lowest position that includes all commits acknowledged before `since`.
     pub fn position_at(&self, group: &GroupId, since: Time) -> Option<Position> {
         let mut view = self.shared.quietly();
         let epoch = view.book.known(group)?.0.epoch;
@@ -257,8 +263,8 @@
         view.fresh.oldest_allowed(group, since)
     }
 
-    /// The primary of `epoch`, asked at `asked`, has come to `position`; the lease held after it
-    /// had answered.
+    /// Records that the primary of `epoch`, asked at `asked`, had reached `position`. The lease must
+    /// still have been valid after the answer was read.
     pub fn learn(&self, group: &GroupId, epoch: Epoch, asked: Time, position: Position) {
         let now = self.now();
         let mut view = self.shared.quietly();
@@ -266,8 +272,8 @@
         view.reached.note(group, epoch, position, now);
     }
 
-    /// Whether an answer of the primary of `epoch` to a statement sent at `asked` shows that it has
-    /// lost its log; such a primary counts as failing.
+    /// Whether the answer of the primary of `epoch` to a statement sent at `asked` shows that it has
+    /// lost its log. Such a primary is marked as failing.
     pub fn has_lost_log(
         &self,
         target: &Target,
@@ -291,11 +297,10 @@
         lost
     }
 
-    /// The copies to try for a read that needs `after`, best first, as far as they come before
-    /// the primary.
+    /// The copies to try before the primary for a read that needs position `after`, best first.
     pub fn copies(&self, group: &GroupId, after: Position, urgency: Urgency) -> Vec<Target> {
         let now = self.now();
-        let mut copies: Vec<(Standing, Target)> = Vec::new();
+        let mut copies: Vec<(Preference, Target)> = Vec::new();
         let members = self.members(group);
         let order = self.order(group, after, &members);
         for (id, near, share) in order {
@@ -303,15 +308,15 @@
                 continue;
             };
             let target = self.target(database.clone());
-            let standing = Standing {
+            let preference = Preference {
                 left_out: self.is_left_out(&id, now),
                 waits: target.pool.wait_at(now, urgency) > Span::ZERO,
                 near,
                 share,
             };
-            copies.push((standing, target));
+            copies.push((preference, target));
         }
-        copies.sort_by_key(|(standing, _)| standing.rank());
+        copies.sort_by_key(|(preference, _)| preference.rank());
         copies.into_iter().map(|(_, target)| target).collect()
     }
 
@@ -321,7 +326,7 @@
         members.cloned().map(Rc::new).collect()
     }
 
-    /// The copies in the router's order, with what decides about distance.
+    /// The copies before the primary in the router's order, each with whether it is near and its share.
     fn order(
         &self,
         group: &GroupId,
@@ -330,10 +335,10 @@
     ) -> Vec<(DatabaseId, bool, f64)> {
         let view = self.shared.look();
         let lead = view.book.known(group).map(|(lead, _)| &lead.primary);
-        let is_near = |database: &Database| self.place.is_near(&database.domain);
+        let is_near = |database: &Database| self.location.is_near(&database.domain);
         let candidate = |database: &Rc<Database>| Candidate {
             database: database.id.clone(),
-            // The primary near by is a copy like others; a far one comes last.
+            // A near primary is treated like any other copy; a far one comes last.
             primary: Some(&database.id) == lead && !is_near(database),
             near: is_near(database),
         };
@@ -353,7 +358,8 @@
         found.collect()
     }
 
-    /// Whether a database failed, has not answered since, and was tried lately.
+    /// Whether a database is failing and was probed within [`PROBE_INTERVAL`]. If it is failing and was
+    /// not, this call counts as the probe.
     fn is_left_out(&self, database: &DatabaseId, now: Time) -> bool {
         let report = self.shared.look().reports.report(database, now);
         if report.failing.is_none() {
@@ -361,7 +367,7 @@
         }
         let mut probed = self.probed.borrow_mut();
         match probed.get(database) {
-            Some(last) if now.since(*last) < PROBE => true,
+            Some(last) if now.since(*last) < PROBE_INTERVAL => true,
             _ => {
                 probed.insert(database.clone(), now);
                 false
@@ -369,42 +375,47 @@
         }
     }
 
-    /// A statement is sent to a database.
+    /// Records that a statement is being sent to a database.
     pub fn sent(&self, database: &Database) {
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.sent(self.now(), &database.id);
         }
     }
 
-    /// A database said something to this VM itself, which is its word on whether it answers.
+    /// Records that a database responded to this VM directly.
     ///
-    /// **Failure answered.** A primary goes dark whose statements most VMs send by way of a few others.
-    /// **Symptom without it.** What those others say of their queues, and answers from a second before,
-    /// count as the word of 67 VMs for the primary, and one group is refused for 9 s. **Why it
-    /// suffices.** Only those that talk to the database have an opinion of it.
-    pub fn answers(&self, database: &Database) {
+    /// Only direct responses count as evidence that a database is alive. When relayed answers and
+    /// owners' queue reports counted too, 67 VMs reported an unresponsive primary as alive, and one
+    /// group was refused for 9 s.
+    pub fn responded(&self, database: &Database) {
         let now = self.now();
         self.shared.quietly().reports.answered(&database.id, now);
     }
 
-    /// Whether a database has failed and answered nothing to this VM since.
+    /// Whether a database has failed and has not responded to this VM since.
     pub fn is_failing(&self, database: &Database) -> bool {
         let report = self.shared.look().reports.report(&database.id, self.now());
         report.failing.is_some()
     }
 
-    /// A database answered a statement of another VM that was sent at `asked`.
-    pub fn heard(&self, target: &Target, asked: Time, answer: &Answer, urgency: Urgency) {
-        self.answers(&target.database);
+    /// Records a database's answer to another VM's statement, which was sent at `asked`.
+    pub fn answered_for_peer(
+        &self,
+        target: &Target,
+        asked: Time,
+        answer: &Answer,
+        urgency: Urgency,
+    ) {
+        self.responded(&target.database);
         match answer.end {
-            End::Error { code, .. } if outcome::may_do_elsewhere(code) => {
+            End::Error { code, .. } if outcome::may_succeed_elsewhere(code) => {
                 self.refused(target, answer.position, code == Code::Busy);
             }
             _ => self.answered(target, asked, answer, urgency),
         }
     }
 
-    /// A database ran a statement that was sent at `asked`.
+    /// Records that a database ran a statement, which was sent at `asked`.
     pub fn answered(&self, target: &Target, asked: Time, answer: &Answer, urgency: Urgency) {
         let now = self.now();
         let database = &target.database;
@@ -414,14 +425,14 @@
         let Some(position) = answer.position else {
             return;
         };
-        target.pool.has(position, now);
+        target.pool.note_position(position, now);
         let hint = hint(&target.pool, now, position, urgency);
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.answered(now, &database.id, took, &hint);
         }
     }
 
-    /// A database answered that it did not run a statement.
+    /// Records that a database answered that it did not run a statement.
     pub fn refused(&self, target: &Target, position: Option<Position>, busy: bool) {
         let now = self.now();
         let database = &target.database;
@@ -431,29 +442,29 @@
         let Some(position) = position else {
             return;
         };
-        target.pool.has(position, now);
+        target.pool.note_position(position, now);
         let hint = hint(&target.pool, now, position, Urgency::MAX);
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.refused(now, &database.id, &hint);
         }
     }
 
-    /// A database ran a read of this VM's caller and failed.
+    /// Records that a database ran a read for a caller of this VM and failed.
     pub fn erred(&self, database: &Database) {
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.returned_error(self.now(), &database.id);
         }
     }
 
-    /// A database could not be reached, broke off or stays silent.
+    /// Records that a database could not be reached, broke the connection or does not answer.
     pub fn failed(&self, database: &Database) {
         let now = self.now();
         self.shared.quietly().reports.failed(&database.id, now);
-        self.doubt(database);
+        self.suspect(database);
     }
 
-    /// Another VM could not reach a database, or had no answer of it.
-    pub fn doubt(&self, database: &Database) {
+    /// Records that another VM could not reach a database, or got no answer from it.
+    pub fn suspect(&self, database: &Database) {
         let now = self.now();
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.failed(now, &database.id);
@@ -462,27 +473,28 @@
 
     fn target(&self, database: Rc<Database>) -> Target {
         let pool = self.pool(&database);
-        pool.resize(self.access(&database).places);
+        pool.resize(self.access(&database).max_kept);
         Target { database, pool }
     }
 
     fn pool(&self, database: &Database) -> Rc<Pool> {
         let mut pools = self.pools.borrow_mut();
-        if let Some(opened) = pools.get(&database.id)
-            && opened.born == database.born
+        if let Some(instance) = pools.get(&database.id)
+            && instance.born == database.born
         {
-            opened.pool.gate.resize(database.slots);
-            return opened.pool.clone();
+            instance.pool.gate.resize(database.slots);
+            return instance.pool.clone();
         }
-        // Also for one that started again: its connections, queue and position are of its life before.
+        // A database that restarted gets a new pool: connections, queue and position belong to its
+        // previous life.
         let view = self.shared.look();
         pools.retain(|id, _| view.databases.contains_key(id));
         let pool = Pool::new(database.slots);
-        let opened = Opened {
+        let instance = Instance {
             born: database.born,
             pool: pool.clone(),
         };
-        pools.insert(database.id.clone(), opened);
+        pools.insert(database.id.clone(), instance);
         if let Some(router) = self.routers.borrow_mut().get_mut(&database.group) {
             router.forget(&database.id);
         }
--- a/src/direct/transaction.rs
+++ b/src/direct/transaction.rs
@@ -1,11 +1,11 @@
-//! A transaction that is open on a connection.
+//! A transaction that is open on a database connection.
 
 use crate::clock::Time;
-use crate::direct::attempt::{self, Held, Seat};
+use crate::direct::attempt::{self, Channel, Held};
 use crate::direct::config::Route;
 use crate::direct::exchange::{self, Failed};
 use crate::direct::job::Job;
-use crate::direct::outcome::{self, Why};
+use crate::direct::outcome::{self, Loss};
 use crate::direct::relay::line::Line;
 use crate::direct::relay::{Reply, Request};
 use crate::direct::session::Session;
@@ -14,7 +14,7 @@
 use crate::types::DatabaseId;
 use std::rc::Rc;
 
-/// A transaction that is open.
+/// An open transaction.
 #[derive(Debug)]
 pub struct Transaction {
     held: Box<Held>,
@@ -22,17 +22,17 @@
     wrote: bool,
 }
 
-/// How a statement of a transaction ended.
+/// The result of a statement of a transaction.
 #[derive(Debug)]
 pub enum Next {
-    /// The answer; the transaction is gone unless it is returned too.
+    /// The answer; the transaction has ended unless it is returned too.
     Answered(Answer, Option<Transaction>),
-    /// What to tell; the transaction is gone.
+    /// The error for the caller; the transaction has ended.
     Failed(Code, &'static str),
 }
 
 impl Transaction {
-    /// A transaction whose first statement was answered.
+    /// Creates it after its first statement was answered.
     pub fn new(held: Box<Held>, route: Rc<Route>, wrote: bool) -> Self {
         Self { held, route, wrote }
     }
@@ -66,8 +66,8 @@
             Err((code, text)) => return self.fail(targets, code, text),
         };
         job.trace.ended("answered");
-        if let Seat::Own(_) = self.held.seat {
-            targets.answers(&self.held.target.database);
+        if let Channel::Own(_) = self.held.channel {
+            targets.responded(&self.held.target.database);
         }
         let code = match &answer.end {
             End::Done(_) => None,
@@ -83,7 +83,7 @@
         targets.answered(&self.held.target, asked, &answer, job.urgency());
         if !self.holds(targets) {
             job.trace.ended("lease");
-            let (code, text) = outcome::lost(job, self.wrote, Why::Lapsed);
+            let (code, text) = outcome::lost(job, self.wrote, Loss::Lapsed);
             return self.fail(targets, code, text);
         }
         self.learn(targets, session, job, asked, &answer);
@@ -100,7 +100,8 @@
         Next::Failed(code, text)
     }
 
-    /// A promise ends the transaction, whatever state the database left it in.
+    /// Ends the transaction after a statement was reported as not run, whatever state the database
+    /// reports.
     fn refused(self, targets: &Targets, job: &Job<'_>, mut answer: Answer) -> Next {
         self.roll_back(targets);
         answer.state = match job.commit {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Sends the statement where the transaction is open.
+    /// Sends the statement on the connection or to the owner where the transaction is open.
     async fn exchange(
         &mut self,
         targets: &Targets,
@@ -144,16 +145,16 @@
                 .is_none_or(|e| targets.holds(&self.route.group, e))
         };
         let target = &self.held.target;
-        let ran = match &mut self.held.seat {
-            Seat::Own(lent) => {
+        let ran = match &mut self.held.channel {
+            Channel::Own(checkout) => {
                 let statement = job.statement(&session.values);
-                exchange::next(targets, target, lent.connection(), &statement, holds).await
+                exchange::next(targets, target, checkout.connection(), &statement, holds).await
             }
-            Seat::Through(_) if !holds() => {
+            Channel::Through(_) if !holds() => {
                 job.trace.ended("lease");
                 Err(Failed::Ended)
             }
-            Seat::Through(line) => through(targets, session, job, line).await,
+            Channel::Through(line) => through(targets, session, job, line).await,
         };
         if let Ok((answer, _)) = &ran {
             self.held.open &= answer.state == State::Open;
@@ -169,12 +170,12 @@
                 let text = "the connection to the database broke";
                 (Code::RolledBack, text)
             }
-            Failed::Lost(why) => outcome::lost(job, self.wrote, why),
+            Failed::Lost(loss) => outcome::lost(job, self.wrote, loss),
         }
     }
 }
 
-/// Sends the next statement to the owner that has the transaction open.
+/// Sends the next statement to the owner on which the transaction is open.
 async fn through(
     targets: &Targets,
     session: &Session,
@@ -186,19 +187,19 @@
     let limit = job.deadline().since(asked);
     job.trace.through(line.owner());
     job.trace.ended("owner");
-    let told = targets.lines.ask(line, &request, limit).await;
-    let told = told.map_err(Failed::Lost)?;
-    match told.reply {
+    let response = targets.lines.ask(line, &request, limit).await;
+    let response = response.map_err(Failed::Lost)?;
+    match response.reply {
         Reply::Answered(answer) => Ok((answer, asked)),
         Reply::NotRun(Code::Busy) => {
             job.trace.ended("queue");
             Err(Failed::Busy)
         }
         Reply::NotRun(_) | Reply::Unreached | Reply::Unknown | Reply::Away => Err(Failed::Broken),
-        Reply::Granted(_) => Err(Failed::Lost(Why::Broken)),
-        Reply::Lost(why) => {
+        Reply::Granted(_) => Err(Failed::Lost(Loss::Broken)),
+        Reply::Lost(loss) => {
             job.trace.ended("lost");
-            Err(Failed::Lost(why))
+            Err(Failed::Lost(loss))
         }
     }
 }
--- a/src/model/vouch/belief.rs
+++ b/src/model/vouch/belief.rs
@@ -3,7 +3,7 @@
 use super::vm::{Age, Call, LeadRow, Notes, Round, Vm};
 use super::{NOW, OLD, Safeguard, Spec, State, TERM, TICK, VMS, with};
 use crate::clock::{Span, Time};
-use crate::direct::lead::{self, Book, Lead, QUORUM};
+use crate::direct::lead::{self, Lead, Leases, QUORUM};
 
 /// The epoch that each VM vouches for.
 pub(super) type Words = [Option<u8>; VMS];
@@ -25,8 +25,8 @@
     }
 
     /// What the VM's real book would hold.
-    fn book(&self, vm: &Vm) -> Book {
-        let mut book = Book::default();
+    fn book(&self, vm: &Vm) -> Leases {
+        let mut book = Leases::default();
         if let Some(notes) = vm.notes {
             let open = LeadRow {
                 changing: false,
@@ -38,7 +38,7 @@
             };
             book.learn(&self.group, self.lead(open), ago(age));
             if let Some(vouched) = notes.vouched {
-                book.vouch(&self.group, open.epoch.into(), ago(vouched));
+                book.extend(&self.group, open.epoch.into(), ago(vouched));
             }
             book.learn(&self.group, self.lead(notes.lead), ago(OLD));
         }
@@ -186,7 +186,7 @@
             false => 0,
         };
         let mut book = self.book(vm);
-        let longer = book.vouch(&self.group, round.epoch.into(), ago(age));
+        let longer = book.extend(&self.group, round.epoch.into(), ago(age));
         if let Some(notes) = &mut vm.notes {
             let newer = notes.vouched.is_none_or(|known| age < known);
             // Nor is it lost where the long lease ends first: a newer reading makes that one longer.
@@ -209,7 +209,7 @@
             vm.dropped = 0;
         }
         let word = (self.group.clone(), epoch.into());
-        let vouched = self.book(&vm).vouches(NOW);
+        let vouched = self.book(&vm).extendable(NOW);
         vouched.contains(&word).then_some(epoch)
     }
 }
--- a/tests/direct_control.rs
+++ b/tests/direct_control.rs
@@ -11,8 +11,8 @@
 use lentilspoke::direct::control::steward::{Action, Cause, Snapshot, Status, plan};
 use lentilspoke::direct::control::store::WriteTimeout;
 use lentilspoke::direct::control::takeover::{Contact, Watch};
-use lentilspoke::direct::lead::{Book, Lead};
-use lentilspoke::direct::statement::Standing;
+use lentilspoke::direct::lead::{Lead, Leases};
+use lentilspoke::direct::statement;
 use lentilspoke::direct::table::{self, Era};
 use lentilspoke::direct::view::Report;
 use lentilspoke::types::{
@@ -200,7 +200,7 @@
 }
 
 fn state(offset: u64, primary: bool) -> Reply {
-    Reply::Stands(Standing {
+    Reply::Stands(statement::Status {
         primary,
         term: Term(1),
         received: Position::new(Term(1), Offset(offset)),
@@ -305,7 +305,7 @@
 #[test]
 fn epoch_released_before_it_was_known_stays_released() {
     let group: GroupId = "g".parse().unwrap();
-    let mut book = Book::default();
+    let mut book = Leases::default();
     book.drop_epoch(&group, 3);
     book.learn(&group, lead(3, false), at(0));
     assert_eq!(book.lease(&group, at(1)), None);
@@ -319,12 +319,12 @@
 #[test]
 fn work_under_way_ends_during_a_planned_change() {
     let group: GroupId = "g".parse().unwrap();
-    let mut book = Book::default();
+    let mut book = Leases::default();
     book.learn(&group, lead(3, false), at(0));
     assert!(book.holds(&group, 3, at(2_499)) && !book.holds(&group, 3, at(2_500)));
-    book.vouch(&group, 3, at(4_900));
+    book.extend(&group, 3, at(4_900));
     book.learn(&group, lead(3, true), at(5_000));
-    book.vouch(&group, 3, at(5_001));
+    book.extend(&group, 3, at(5_001));
     assert!(book.holds(&group, 3, at(7_399)) && !book.holds(&group, 3, at(7_400)));
     assert_eq!(book.lease(&group, at(5_001)), None);
     assert!(book.holds(&group, 3, at(5_001)) && !book.holds(&group, 3, at(8_000)));
--- a/tests/direct_lease.rs
+++ b/tests/direct_lease.rs
@@ -3,7 +3,7 @@
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::direct::control::promotion::Revocation;
 use lentilspoke::direct::control::rows::MemberId;
-use lentilspoke::direct::lead::{Book, Lead, QUORUM, TERM, UNHEARD};
+use lentilspoke::direct::lead::{Lead, Leases, MAX_SILENT, QUORUM, TERM};
 use lentilspoke::types::GroupId;
 
 const INTENT: u64 = 20_000;
@@ -32,14 +32,14 @@
 }
 
 /// The leases of a VM whose reading of epoch 1 was requested at `asked`.
-fn book(asked: u64) -> Book {
-    let mut book = Book::default();
+fn book(asked: u64) -> Leases {
+    let mut book = Leases::default();
     book.learn(&group(), lead(1, false), at(asked));
     book
 }
 
 /// Until when a VM holds epoch 1, to 1 ms.
-fn held(book: &Book) -> u64 {
+fn held(book: &Leases) -> u64 {
     let held = |ms: &u64| book.holds(&group(), 1, at(*ms));
     (0..40_000).filter(held).max().map_or(0, |last| last + 1)
 }
@@ -50,14 +50,14 @@
 fn confirmations_extend_a_lease() {
     let mut lease = book(1_000);
     assert_eq!(held(&lease), 3_500);
-    assert!(lease.vouch(&group(), 1, at(2_700)));
+    assert!(lease.extend(&group(), 1, at(2_700)));
     assert_eq!(held(&lease), 5_200);
-    assert!(!lease.vouch(&group(), 2, at(4_000)));
-    assert!(lease.vouch(&group(), 1, at(8_000)));
+    assert!(!lease.extend(&group(), 2, at(4_000)));
+    assert!(lease.extend(&group(), 1, at(8_000)));
     assert_eq!(held(&lease), 9_000);
     let mut changing = lease.clone();
     changing.learn(&group(), lead(1, true), at(8_100));
-    assert!(!changing.vouch(&group(), 1, at(8_200)));
+    assert!(!changing.extend(&group(), 1, at(8_200)));
     lease.learn(&group(), lead(2, false), at(3_000));
     assert_eq!(lease.until(&group()), Some(at(5_500)));
     lease.drop_epoch(&group(), 2);
@@ -69,18 +69,18 @@
 #[test]
 fn when_a_lease_is_confirmed() {
     let mut open = book(1_000);
-    open.vouch(&group(), 1, at(3_000));
-    assert_eq!(open.vouches(at(8_999)), [(group(), 1)]);
-    assert_eq!(open.vouches(at(9_000)), []);
+    open.extend(&group(), 1, at(3_000));
+    assert_eq!(open.extendable(at(8_999)), [(group(), 1)]);
+    assert_eq!(open.extendable(at(9_000)), []);
     for change in [
-        (|book: &mut Book| book.drop_epoch(&group(), 1)) as fn(&mut Book),
+        (|book: &mut Leases| book.drop_epoch(&group(), 1)) as fn(&mut Leases),
         |book| book.close_epoch(&group(), 1),
         |book| book.learn(&group(), lead(1, true), at(1_100)),
-        Book::drop_all,
+        Leases::drop_all,
     ] {
         let mut ended = open.clone();
         change(&mut ended);
-        assert_eq!(ended.vouches(at(1_200)), []);
+        assert_eq!(ended.extendable(at(1_200)), []);
     }
 }
 
@@ -170,10 +170,10 @@
         };
         let confirmations = asked
             .iter()
-            .filter(|book| !book.vouches(at(now)).is_empty());
+            .filter(|book| !book.extendable(at(now)).is_empty());
         if confirmations.count() >= enough {
             for book in &mut books {
-                book.vouch(&group(), 1, at(now + late));
+                book.extend(&group(), 1, at(now + late));
             }
         }
         for (number, (_, behaviour)) in vms.iter().enumerate() {
@@ -188,7 +188,7 @@
         }
         let ordered = now >= INTENT + READ && revocation.end().is_none_or(|end| end <= at(now));
         if ordered {
-            let holds = |book: &Book| book.holds(&group(), 1, at(now));
+            let holds = |book: &Leases| book.holds(&group(), 1, at(now));
             return books.iter().position(holds).map(|vm| (vm, now - INTENT));
         }
     }
@@ -240,6 +240,6 @@
 /// primary.
 #[test]
 fn size_of_a_quorum() {
-    assert_eq!((UNHEARD, QUORUM), (2, 3));
+    assert_eq!((MAX_SILENT, QUORUM), (2, 3));
     assert_eq!(TERM, Span::from_millis(2_500));
 }
