--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -223,7 +223,7 @@
     async fn through(&self, owners: &[SocketAddr]) -> Option<Attempt> {
         let lines = &self.targets.lines;
         let mut last = None;
-        for owner in owners.iter().filter(|owner| !lines.doubts(**owner)) {
+        for owner in owners.iter().filter(|owner| !lines.avoids(**owner)) {
             let Ok(line) = lines.take(*owner).await else {
                 continue;
             };
@@ -293,7 +293,7 @@
                 Passed::Attempt(self.judge(held, asked, answer))
             }
             Reply::Away => {
-                lines.leave(line.owner());
+                lines.avoid_stopping(line.owner());
                 Passed::Away
             }
             Reply::Unknown => {
--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -8,7 +8,7 @@
 use crate::direct::control::{Control, errands, reader, resume};
 use crate::direct::mesh::{Answer, Question};
 use crate::direct::table::{Change, Era, Fault, Row, RowId, Version};
-use crate::direct::tenure::HEARD;
+use crate::direct::tenure::HEARTBEAT_AGE;
 use crate::types::Cores;
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
@@ -378,7 +378,7 @@
                     .heard
                     .get(*id)
                     .filter(|heard| heard.life == member.life);
-                !member.evicted && heard.is_some_and(|heard| now < heard.at + HEARD)
+                !member.evicted && heard.is_some_and(|heard| now < heard.at + HEARTBEAT_AGE)
             });
             let strong = heard.filter(|(_, (member, _))| member.cores >= STRONG);
             let strongest = strong.max_by_key(|(_, (member, _))| member.cores);
--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -98,7 +98,7 @@
             self.wake.notify_one();
             let now = self.now();
             if self.hears_most(now) {
-                self.setup.shared.quietly().tenure.heard(now);
+                self.setup.shared.quietly().tenure.confirm(now);
             }
             return Ok(EVERY);
         }
--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -210,7 +210,7 @@
 
     /// The VMs, or what changed of them, unless whoever asks knows them.
     fn fellows_news(&self, known: u64) -> Option<FellowNews> {
-        self.setup.shared.look().fellows.news_for(known)
+        self.setup.shared.look().fellows.update_for(known)
     }
 
     fn register_news(&self, known: u64, whole: bool, now: Time) -> Option<RegisterNews> {
@@ -225,7 +225,7 @@
         })
     }
 
-    /// Whether more than half of the registered VMs have sent this one a heartbeat within [`HEARD`].
+    /// Whether more than half of the registered VMs have sent this one a heartbeat within [`HEARTBEAT_AGE`].
     pub(super) fn hears_most(&self, now: Time) -> bool {
         let mut state = self.state.borrow_mut();
         let (at, hears) = state.hears_most;
@@ -290,10 +290,10 @@
         }
         if let Some(fellows) = news.fellows {
             let now = self.now();
-            self.setup.shared.quietly().fellows.hear(fellows, now);
+            self.setup.shared.quietly().fellows.apply(fellows, now);
         }
         if news.hears_most {
-            self.setup.shared.quietly().tenure.heard(asked);
+            self.setup.shared.quietly().tenure.confirm(asked);
         }
         if let Some(leads) = news.leads {
             let read = asked - leads.age;
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -40,7 +40,7 @@
     /// Learns which VMs there are.
     pub(super) fn learn_fellows(&self, fellows: Vec<Fellow>) {
         let now = self.now();
-        self.setup.shared.quietly().fellows.learn(fellows, now);
+        self.setup.shared.quietly().fellows.replace(fellows, now);
     }
 
     /// Learns who holds the duty: it may have gone to another VM, or come to this one by a write
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -11,7 +11,7 @@
 use crate::direct::lead::{self, Lead};
 use crate::direct::parts::{Changes, Gathering};
 use crate::direct::table::{RowId, Version};
-use crate::direct::tenure::HEARD;
+use crate::direct::tenure::HEARTBEAT_AGE;
 use crate::direct::view::Report;
 use crate::types::{DatabaseId, GroupId, Life, Version as ConfigVersion};
 use std::collections::{BTreeMap, BTreeSet};
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Whether this VM and those that have sent it a heartbeat within [`HEARD`] of `until` are more than half of
+    /// Whether this VM and those that have sent it a heartbeat within [`HEARTBEAT_AGE`] of `until` are more than half of
     /// those that are registered.
     pub fn count_heard(&self, own: &MemberId, until: Time) -> bool {
         let Some(reading) = &self.reading else {
@@ -206,7 +206,7 @@
         };
         let beaten = |id: &MemberId| {
             let beaten = self.heard.get(id);
-            beaten.is_some_and(|beaten| until < beaten.at + HEARD)
+            beaten.is_some_and(|beaten| until < beaten.at + HEARTBEAT_AGE)
         };
         let members = reading.members.keys();
         let heard = members.filter(|id| *id == own || beaten(id)).count();
--- a/src/direct/quota/bucket.rs
+++ b/src/direct/quota/bucket.rs
@@ -1,35 +1,35 @@
-//! What one keeper of an organisation's allowance may still hand out.
+//! The token bucket of one allocator of an organisation's allowance.
 //!
-//! **Failure answered.** Tokens that were handed out are used later, all at once; the VM that kept the
-//! bucket is killed and starts again; a configuration lowers the limit.
-//! **Symptom without it.** More is run within a few seconds than the allowance says, over all VMs.
-//! **Why it suffices.** What is needed now is spent at once. What is handed out for later ends [`TERM`]
-//! after it was asked for, and counts against the burst until then: whatever is spent in any span was out
-//! at its start, lay in the bucket then, or came in by the rate. A new bucket is empty, so that the former
-//! life's burst and this one's never add up.
+//! All VMs together must not run more than the allowance within a few seconds, even if granted tokens are
+//! spent late and all at once, an allocator is killed and restarted, or a configuration lowers the limit.
+//! Tokens that are needed now are spent at once. Prefetched tokens expire [`TOKEN_VALIDITY`] after they were
+//! requested and count against the burst until then, so that every token spent within a span was outstanding
+//! at its start, was in the bucket then, or accrued by the rate. A new bucket is empty, so that the bursts of
+//! the previous life and of this one never add up.
 
 use crate::clock::{Span, Time};
 use crate::direct::identity::{Allowance, Rate};
-use crate::direct::tenure::Part;
+use crate::direct::tenure::Fraction;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// How long tokens may be spent after they were asked for. An organisation's callers at one VM have an
-/// operation a second or two: with less, nearly each asks for its own.
-pub const TERM: Span = Span::from_secs(2);
+/// How long after their request tokens may be spent. An organisation's callers at one VM send an operation
+/// every second or two: with a shorter time, nearly every operation needs a request of its own.
+pub const TOKEN_VALIDITY: Span = Span::from_secs(2);
 
-/// Billionths of an operation: thousandths of an operation a second, times microseconds.
-const WHOLE: u64 = 1_000_000_000;
+/// Units in one token, each a billionth of an operation: the product of a rate in thousandths of an operation
+/// a second and a time in microseconds.
+const UNITS_PER_TOKEN: u64 = 1_000_000_000;
 
-/// Of what is left beyond the need, one part in this many is handed out for what may come next, and
-/// nothing while the bucket is less than half full: what is out is missing for callers of other VMs.
-const SPARE_PART: u64 = 4;
+/// One token in this many of those left beyond the need is granted in advance, and none while the bucket is
+/// less than half full: outstanding tokens are not available to callers of other VMs.
+const PREFETCH_DIVISOR: u64 = 4;
 
-/// When to come back at the least and at the most.
-const SOONEST: Span = Span::from_millis(10);
-const LATEST: Span = Span::from_secs(1);
+/// Bounds of the time after which a VM that received no token asks again.
+const MIN_RETRY: Span = Span::from_millis(10);
+const MAX_RETRY: Span = Span::from_secs(1);
 
-/// One keeper's part of an allowance.
+/// One allocator's part of an allowance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Share {
     rate: Rate,
@@ -38,45 +38,45 @@
 }
 
 impl Share {
-    /// The part of one of `keepers` VMs.
-    pub fn of(allowance: Allowance, keepers: usize) -> Self {
-        let keepers = keepers.max(1) as u64;
+    /// An equal part of an allowance that is split between this many allocators.
+    pub fn of(allowance: Allowance, allocators: usize) -> Self {
+        let allocators = allocators.max(1) as u64;
         Self {
-            rate: Rate(allowance.rate.0 / keepers),
-            burst: u64::from(allowance.burst) * WHOLE / keepers,
+            rate: Rate(allowance.rate.0 / allocators),
+            burst: u64::from(allowance.burst) * UNITS_PER_TOKEN / allocators,
         }
     }
 
-    /// So much of it.
-    pub fn part(self, part: Part) -> Self {
-        match part {
-            Part::Whole => self,
-            Part::Half => Self {
+    /// This fraction of the share.
+    pub fn scaled(self, fraction: Fraction) -> Self {
+        match fraction {
+            Fraction::Whole => self,
+            Fraction::Half => Self {
                 rate: Rate(self.rate.0 / 2),
                 burst: self.burst / 2,
             },
         }
     }
 
-    /// What comes in within a span.
-    fn income(&self, span: Span) -> u64 {
+    /// The units that accrue within a span.
+    fn accrued(&self, span: Span) -> u64 {
         self.rate.0.saturating_mul(span.0)
     }
 }
 
-/// Tokens that were handed out.
+/// An allocator's answer to a request for tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// How many operations may be run.
     pub count: u32,
-    /// Within which time, from when they were asked for.
+    /// How long after the request the tokens may be spent.
     pub within: Span,
-    /// When to come back, if there were none.
+    /// When to ask again if no token was granted.
     pub retry: Span,
 }
 
 impl Grant {
-    /// Nothing, for now.
+    /// No token for now.
     pub fn nothing(retry: Span) -> Self {
         Self {
             count: 0,
@@ -86,23 +86,23 @@
     }
 }
 
-/// Tokens that are out, and when they end.
+/// Prefetched tokens that may still be spent, and when they expire.
 #[derive(Debug, Clone, Copy)]
-struct Lot {
+struct Outstanding {
     until: Time,
     /// Billionths of an operation.
     amount: u64,
 }
 
-/// What is left of one keeper's share.
+/// The tokens that are left of one allocator's share.
 #[derive(Debug, Clone)]
 pub struct Bucket {
     share: Share,
     /// Billionths of an operation.
     level: u64,
-    /// As of when.
-    at: Time,
-    out: VecDeque<Lot>,
+    /// When `level` was last updated.
+    updated: Time,
+    outstanding: VecDeque<Outstanding>,
 }
 
 impl Bucket {
@@ -111,84 +111,86 @@
         Self {
             share,
             level: 0,
-            at: now,
-            out: VecDeque::new(),
+            updated: now,
+            outstanding: VecDeque::new(),
         }
     }
 
-    /// The share may have changed: what is out already counts against the new one.
+    /// Applies a changed share; tokens that are outstanding already count against the new one.
     pub fn resize(&mut self, share: Share, now: Time) {
         if share == self.share {
             return;
         }
         self.refill(now);
         self.share = share;
-        self.level = self.level.min(self.room());
+        self.level = self.level.min(self.capacity());
     }
 
-    /// Hands out what is needed as far as it is there, and a part of what is left for what may come
-    /// next.
-    pub fn grant(&mut self, need: u32, spare: u32, now: Time) -> Grant {
+    /// Grants as many of the needed tokens as the bucket has, and up to `prefetch` of the rest in advance.
+    pub fn grant(&mut self, need: u32, prefetch: u32, now: Time) -> Grant {
         self.refill(now);
-        let whole = self.level / WHOLE;
+        let whole = self.level / UNITS_PER_TOKEN;
         let needed = whole.min(need.into());
         if needed == 0 {
             return Grant::nothing(self.retry());
         }
-        let more = match self.level >= self.share.burst / 2 {
-            true => ((whole - needed) / SPARE_PART).min(spare.into()),
+        let extra = match self.level >= self.share.burst / 2 {
+            true => ((whole - needed) / PREFETCH_DIVISOR).min(prefetch.into()),
             false => 0,
         };
-        let count = needed + more;
-        self.level -= count * WHOLE;
-        if more > 0 {
-            self.out.push_back(Lot {
-                until: now + TERM,
-                amount: more * WHOLE,
+        let count = needed + extra;
+        self.level -= count * UNITS_PER_TOKEN;
+        if extra > 0 {
+            self.outstanding.push_back(Outstanding {
+                until: now + TOKEN_VALIDITY,
+                amount: extra * UNITS_PER_TOKEN,
             });
         }
         Grant {
             count: u32::try_from(count).unwrap_or(u32::MAX),
-            within: TERM,
+            within: TOKEN_VALIDITY,
             retry: Span::ZERO,
         }
     }
 
-    /// How much the bucket may hold beside what is out.
-    fn room(&self) -> u64 {
-        let out = self.out.iter().map(|lot| lot.amount).sum();
-        self.share.burst.saturating_sub(out)
+    /// How many units the bucket may hold: the burst less the outstanding tokens.
+    fn capacity(&self) -> u64 {
+        let outstanding = self.outstanding.iter().map(|tokens| tokens.amount).sum();
+        self.share.burst.saturating_sub(outstanding)
     }
 
-    /// Takes in what has come since, step by step as tokens that were out end: the room that they
-    /// leave fills by the rate and not at once.
+    /// Adds what has accrued since the last update, step by step as outstanding tokens expire: the capacity
+    /// that they free fills by the rate and not at once.
     fn refill(&mut self, now: Time) {
-        while let Some(lot) = self.out.front().copied()
-            && lot.until <= now
+        while let Some(tokens) = self.outstanding.front().copied()
+            && tokens.until <= now
         {
-            self.take_in(lot.until);
-            self.out.pop_front();
+            self.accrue(tokens.until);
+            self.outstanding.pop_front();
         }
-        self.take_in(now);
+        self.accrue(now);
     }
 
-    fn take_in(&mut self, until: Time) {
-        let income = self.share.income(until.since(self.at));
-        let room = self.room();
-        self.level = self.level.saturating_add(income).min(room);
-        self.at = self.at.max(until);
+    fn accrue(&mut self, until: Time) {
+        let accrued = self.share.accrued(until.since(self.updated));
+        let capacity = self.capacity();
+        self.level = self.level.saturating_add(accrued).min(capacity);
+        self.updated = self.updated.max(until);
     }
 
-    /// When the next token may be there.
+    /// How long until the next token may be available.
     fn retry(&self) -> Span {
-        let missing = WHOLE.saturating_sub(self.level);
-        let income = missing.checked_div(self.share.rate.0);
-        let by_rate = income.map_or(LATEST, Span);
-        let ends = self.out.front().map(|lot| lot.until.since(self.at));
-        let by_room = match self.room() < WHOLE {
-            true => ends.unwrap_or(LATEST),
+        let missing = UNITS_PER_TOKEN.saturating_sub(self.level);
+        let accrues = missing.checked_div(self.share.rate.0);
+        let by_rate = accrues.map_or(MAX_RETRY, Span);
+        let expires = self
+            .outstanding
+            .front()
+            .map(|tokens| tokens.until.since(self.updated));
+        let by_capacity = match self.capacity() < UNITS_PER_TOKEN {
+            true => expires.unwrap_or(MAX_RETRY),
             false => Span::ZERO,
         };
-        by_rate.max(by_room).clamp(SOONEST, LATEST)
+        by_rate.max(by_capacity).clamp(MIN_RETRY, MAX_RETRY)
     }
 }
--- a/src/direct/quota/mod.rs
+++ b/src/direct/quota/mod.rs
@@ -1,18 +1,18 @@
-//! Allowances: what an organisation may ask for over all VMs, counted by a few of them.
+//! Distributed rate limits: enforces each organisation's allowance over all VMs together.
 //!
-//! **Pattern answered.** A few organisations send many times what they may, by way of VMs that their
-//! callers are dealt to unevenly, while VMs start, stop and are cut off.
-//! **Without it** they take the databases' slots from all others; with equal shares for each VM, an
-//! organisation whose callers come by two VMs of eighty is refused nearly all that it may ask for.
+//! Without a limit, a few organisations that send many times their allowance take the databases' slots
+//! from all others. Equal shares for each VM don't work, since callers are spread unevenly: an organisation
+//! whose callers connect to two VMs of eighty would be refused nearly all of its allowance.
 //!
-//! An allowance is shared out to at most [`keeper::KEEPERS`] VMs, one in each region, that each keep a
-//! [`bucket::Bucket`]. Whoever has an operation to run takes a token out of its [`purse::Purse`], and asks
-//! the keeper near by for more where there is none. Nothing is kept beyond a VM's life: a bucket starts
-//! empty, so that its life before and this one together stay within the allowance.
+//! An allowance is split between at most [`allocator::MAX_ALLOCATORS`] VMs, its allocators, spread over the
+//! regions. Each has a token bucket ([`bucket::Bucket`]). A VM that runs an operation takes a token from its
+//! [`cache::Cache`], and requests more from the nearest allocator when the cache is empty. Nothing is stored
+//! beyond a VM's life: a bucket starts empty, so that the previous life and this one together stay within
+//! the allowance.
 
+pub mod allocator;
 pub mod bucket;
-pub mod keeper;
-pub mod purse;
+pub mod cache;
 mod spend;
 
 pub use spend::{Quotas, Refusal};
--- a/src/direct/quota/spend.rs
+++ b/src/direct/quota/spend.rs
@@ -1,11 +1,11 @@
-//! Spends and keeps allowances: asks keepers on behalf of this VM's callers, and answers other VMs.
+//! Spends tokens for this VM's callers, and grants tokens to other VMs where this one is an allocator.
 
 use crate::clock::{Span, Time};
 use crate::direct::front::Place;
 use crate::direct::identity::Allowance;
+use crate::direct::quota::allocator::{self, MAX_ALLOCATORS};
 use crate::direct::quota::bucket::{Bucket, Grant, Share};
-use crate::direct::quota::keeper::{self, KEEPERS};
-use crate::direct::quota::purse::{Purse, Token};
+use crate::direct::quota::cache::{Cache, Token};
 use crate::direct::relay::line::Lines;
 use crate::direct::relay::{Reply, Request, Spend};
 use crate::direct::tenure::Entry;
@@ -17,58 +17,58 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How long a keeper's answer is waited for: a round trip between regions and a slow VM's turn.
-const PATIENCE: Span = Span::from_millis(150);
+/// How long to wait for an allocator's answer: a round trip between regions and a slow VM's processing.
+const ANSWER_TIMEOUT: Span = Span::from_millis(150);
 
-/// How long a keeper is passed over that does not answer.
-const UNREACHED: Span = Span::from_millis(500);
+/// How long an allocator that does not answer is skipped.
+const UNREACHABLE_RETRY: Span = Span::from_millis(500);
 
-/// How long a VM is passed over that does not keep the allowance, or may not at the moment: its list of
-/// VMs and that of whoever asked differ for about so long.
-const NOT_HERE: Span = Span::from_millis(100);
+/// How long a VM is skipped that is not an allocator of the organisation, or may not grant at the moment:
+/// its list of VMs and that of the asking VM differ for about this long.
+const NOT_ALLOCATOR_RETRY: Span = Span::from_millis(100);
 
 /// Why an operation is not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// The organisation has used what it may.
+    /// The organisation has used up its allowance.
     Spent {
-        /// What it may use.
+        /// The allowance.
         allowance: Allowance,
-        /// When to come back.
+        /// How long to wait before the next try.
         retry: Span,
     },
-    /// No VM that keeps the allowance answers.
+    /// No allocator of the organisation answers.
     Unkept {
-        /// When to come back.
+        /// How long to wait before the next try.
         retry: Span,
     },
 }
 
-/// Purses and buckets of this VM.
+/// The token caches of this VM, and the buckets of organisations whose allocator it is.
 pub struct Quotas {
     shared: Rc<Shared>,
     lines: Rc<Lines>,
     place: Place,
-    purses: RefCell<BTreeMap<OrganisationId, Purse>>,
-    buckets: RefCell<BTreeMap<OrganisationId, Kept>>,
-    keepers: RefCell<Known>,
-    /// The list of VMs by which places were last looked at.
+    caches: RefCell<BTreeMap<OrganisationId, Cache>>,
+    buckets: RefCell<BTreeMap<OrganisationId, Allocation>>,
+    allocators: RefCell<Allocators>,
+    /// The digest of the list of VMs for which buckets were last checked.
     checked: Cell<u64>,
 }
 
-/// A bucket, and the beginning of the tenure in which it was made.
+/// A bucket, and the start of the tenure in which it was created.
 #[derive(Debug)]
-struct Kept {
+struct Allocation {
     since: Time,
     entry: Entry,
     bucket: Bucket,
 }
 
-/// The keepers of organisations, as found from one list of VMs.
+/// The allocators of organisations, computed from the list of VMs that has the digest `peers`.
 #[derive(Debug, Default)]
-struct Known {
-    fellows: u64,
-    of: BTreeMap<(OrganisationId, usize), Rc<[SocketAddr]>>,
+struct Allocators {
+    peers: u64,
+    by_organisation: BTreeMap<(OrganisationId, usize), Rc<[SocketAddr]>>,
 }
 
 impl fmt::Debug for Quotas {
@@ -78,20 +78,20 @@
 }
 
 impl Quotas {
-    /// Nothing at hand.
+    /// No tokens and no buckets yet.
     pub fn new(shared: Rc<Shared>, lines: Rc<Lines>, place: Place) -> Rc<Self> {
         Rc::new(Self {
             shared,
             lines,
             place,
-            purses: RefCell::default(),
+            caches: RefCell::default(),
             buckets: RefCell::default(),
-            keepers: RefCell::default(),
+            allocators: RefCell::default(),
             checked: Cell::default(),
         })
     }
 
-    /// Leave to run one operation of an organisation; none is needed where nothing is limited.
+    /// Obtains a token for one operation of an organisation; `None` if it has no limit.
     pub async fn spend(&self, organisation: &OrganisationId) -> Result<Option<Token>, Refusal> {
         let Some(allowance) = allowance(&self.shared.look(), organisation) else {
             return Ok(None);
@@ -99,36 +99,36 @@
         if let Some(token) = self.take(organisation) {
             return Ok(Some(token));
         }
-        let keepers = self.keepers(organisation, allowance);
+        let allocators = self.allocators(organisation, allowance);
         let mut answered = false;
-        for keeper in self.near_first(&keepers) {
+        for allocator in self.near_first(&allocators) {
             let now = self.lines.now();
-            if self.purse(organisation, |purse| purse.passes_over(keeper, now)) {
+            if self.cache(organisation, |cache| cache.is_skipped(allocator, now)) {
                 answered = true;
                 continue;
             }
-            let spare = self.purse(organisation, |purse| purse.spare());
+            let prefetch = self.cache(organisation, |cache| cache.prefetch());
             let ask = Spend {
                 organisation: organisation.clone(),
                 need: 1,
-                spare,
+                prefetch,
             };
-            let told = self.ask(keeper, ask).await;
+            let grant = self.ask(allocator, ask).await;
             let after = self.lines.now();
-            answered |= told.is_some();
+            answered |= grant.is_some();
             self.shared.meter.allowance_asked();
-            self.purse(organisation, |purse| match told {
-                Some(grant) if grant.count > 0 => purse.put(grant, now),
-                Some(grant) => purse.pass_over(keeper, after + grant.retry),
-                None => purse.pass_over(keeper, after + UNREACHED),
+            self.cache(organisation, |cache| match grant {
+                Some(grant) if grant.count > 0 => cache.add(grant, now),
+                Some(grant) => cache.skip(allocator, after + grant.retry),
+                None => cache.skip(allocator, after + UNREACHABLE_RETRY),
             });
             if let Some(token) = self.take(organisation) {
                 return Ok(Some(token));
             }
         }
         let now = self.lines.now();
-        let retry = self.purse(organisation, |purse| purse.retry(&keepers, now));
-        let retry = retry.unwrap_or(UNREACHED);
+        let retry = self.cache(organisation, |cache| cache.retry(&allocators, now));
+        let retry = retry.unwrap_or(UNREACHABLE_RETRY);
         self.shared.meter.allowance_refused();
         Err(match answered {
             true => Refusal::Spent { allowance, retry },
@@ -136,14 +136,15 @@
         })
     }
 
-    /// Puts a token back whose operation has not run.
+    /// Returns a token whose operation has not run.
     pub fn put_back(&self, organisation: &OrganisationId, token: Token) {
-        self.purse(organisation, |purse| purse.put_back(token));
+        self.cache(organisation, |cache| cache.put_back(token));
     }
 
-    /// Grants what another VM asks for, if this one keeps the allowance and may.
+    /// Grants tokens to another VM, if this one is an allocator of the organisation and may grant now.
     ///
-    /// A bucket that is older than this VM's tenure is another keeper's by now, and starts empty again.
+    /// A bucket that is older than this VM's tenure is replaced by an empty one, since another VM was the
+    /// allocator meanwhile.
     pub fn grant(&self, spend: &Spend) -> Grant {
         let now = self.lines.now();
         let organisation = &spend.organisation;
@@ -152,157 +153,158 @@
             (view.tenure, allowance(&view, organisation))
         };
         let (Some(since), Some(allowance)) = (tenure.since(now), allowance) else {
-            return Grant::nothing(NOT_HERE);
+            return Grant::nothing(NOT_ALLOCATOR_RETRY);
         };
-        let keepers = self.keepers(organisation, allowance);
-        self.leave_lost_places();
-        if !self.is_among(&keepers) {
-            return Grant::nothing(NOT_HERE);
+        let allocators = self.allocators(organisation, allowance);
+        self.drop_reassigned();
+        if !self.is_among(&allocators) {
+            return Grant::nothing(NOT_ALLOCATOR_RETRY);
         }
-        let share = Share::of(allowance, keepers.len());
+        let share = Share::of(allowance, allocators.len());
         let mut buckets = self.buckets.borrow_mut();
         if buckets
             .get(organisation)
-            .is_some_and(|kept| kept.since < since)
+            .is_some_and(|allocation| allocation.since < since)
         {
             buckets.remove(organisation);
         }
-        let kept = buckets.entry(organisation.clone()).or_insert_with(|| {
+        let allocation = buckets.entry(organisation.clone()).or_insert_with(|| {
             let entry = self.entry(organisation, allowance);
             let bucket = Bucket::new(share, entry.begins.max(since));
-            Kept {
+            Allocation {
                 since,
                 entry,
                 bucket,
             }
         });
-        let Some(part) = kept.entry.part(&tenure, now) else {
-            return Grant::nothing(NOT_HERE);
+        let Some(fraction) = allocation.entry.fraction(&tenure, now) else {
+            return Grant::nothing(NOT_ALLOCATOR_RETRY);
         };
-        kept.bucket.resize(share.part(part), now);
-        kept.bucket.grant(spend.need, spend.spare, now)
+        allocation.bucket.resize(share.scaled(fraction), now);
+        allocation.bucket.grant(spend.need, spend.prefetch, now)
     }
 
-    /// Forgets the buckets of organisations that others keep by now, with each list of VMs: one that is kept
-    /// again later begins empty.
-    fn leave_lost_places(&self) {
-        let fellows = self.shared.look().fellows.digest();
-        if self.checked.replace(fellows) == fellows {
+    /// Drops the buckets of organisations that have other allocators in a new list of VMs. If this VM becomes
+    /// their allocator again, it starts with an empty bucket.
+    fn drop_reassigned(&self) {
+        let peers = self.shared.look().fellows.digest();
+        if self.checked.replace(peers) == peers {
             return;
         }
-        let kept: Vec<OrganisationId> = self.buckets.borrow().keys().cloned().collect();
-        for organisation in kept {
+        let organisations: Vec<OrganisationId> = self.buckets.borrow().keys().cloned().collect();
+        for organisation in organisations {
             let allowance = allowance(&self.shared.look(), &organisation);
             let stays = allowance
-                .is_some_and(|allowance| self.is_among(&self.keepers(&organisation, allowance)));
+                .is_some_and(|allowance| self.is_among(&self.allocators(&organisation, allowance)));
             if !stays {
                 self.buckets.borrow_mut().remove(&organisation);
             }
         }
     }
 
-    /// When this VM, which finds itself a keeper, may hand out: it is one by itself, or in place of a VM that
-    /// is evicted.
+    /// When this VM, a new allocator, may start to grant: it is either an allocator in its own right, or the
+    /// successor of an evicted VM.
     fn entry(&self, organisation: &OrganisationId, allowance: Allowance) -> Entry {
         let view = self.shared.look();
-        let (fellows, since) = (view.fellows.list(), view.fellows.since());
-        let region = |fellow| self.region(fellow);
-        let keepers = keeper::keepers(fellows.iter(), organisation, most(allowance), region);
-        if self.is_among(&keepers) {
-            return Entry::of_first(since);
+        let (peers, since) = (view.fellows.list(), view.fellows.since());
+        let region = |peer| self.region(peer);
+        let allocators =
+            allocator::allocators(peers.iter(), organisation, limit(allowance), region);
+        if self.is_among(&allocators) {
+            return Entry::first(since);
         }
-        let evicted = fellows.iter().filter(|fellow| fellow.evicted).count();
-        Entry::of_successor(since, evicted, fellows.len())
+        let evicted = peers.iter().filter(|peer| peer.evicted).count();
+        Entry::successor(since, evicted, peers.len())
     }
 
-    fn is_among(&self, keepers: &[SocketAddr]) -> bool {
+    fn is_among(&self, allocators: &[SocketAddr]) -> bool {
         let own = self.place.relay;
-        keepers.iter().any(|keeper| Some(*keeper) == own)
+        allocators.iter().any(|allocator| Some(*allocator) == own)
     }
 
-    fn purse<T>(&self, organisation: &OrganisationId, with: impl FnOnce(&mut Purse) -> T) -> T {
-        let mut purses = self.purses.borrow_mut();
-        if !purses.contains_key(organisation) {
-            purses.insert(organisation.clone(), Purse::default());
+    fn cache<T>(&self, organisation: &OrganisationId, with: impl FnOnce(&mut Cache) -> T) -> T {
+        let mut caches = self.caches.borrow_mut();
+        if !caches.contains_key(organisation) {
+            caches.insert(organisation.clone(), Cache::default());
         }
-        let purse = purses.entry(organisation.clone()).or_default();
-        with(purse)
+        let cache = caches.entry(organisation.clone()).or_default();
+        with(cache)
     }
 
     fn take(&self, organisation: &OrganisationId) -> Option<Token> {
         let now = self.lines.now();
-        self.purse(organisation, |purse| purse.take(now))
+        self.cache(organisation, |cache| cache.take(now))
     }
 
-    /// Asks a keeper; none if it does not answer.
-    async fn ask(&self, keeper: SocketAddr, spend: Spend) -> Option<Grant> {
-        if Some(keeper) == self.place.relay {
+    /// Requests tokens from an allocator; `None` if it does not answer.
+    async fn ask(&self, allocator: SocketAddr, spend: Spend) -> Option<Grant> {
+        if Some(allocator) == self.place.relay {
             return Some(self.grant(&spend));
         }
-        if self.lines.doubts(keeper) {
+        if self.lines.avoids(allocator) {
             return None;
         }
-        let mut line = self.lines.take(keeper).await.ok()?;
+        let mut line = self.lines.take(allocator).await.ok()?;
         let request = Request::Spend(spend);
-        let told = tokio::time::timeout(PATIENCE.into(), line.ask(&request)).await;
-        let Ok(Ok(told)) = told else {
+        let answer = tokio::time::timeout(ANSWER_TIMEOUT.into(), line.ask(&request)).await;
+        let Ok(Ok(answer)) = answer else {
             return None;
         };
-        match told.reply {
+        match answer.reply {
             Reply::Granted(grant) => {
                 self.lines.give_back(line);
                 Some(grant)
             }
             Reply::Away => {
-                self.lines.leave(keeper);
+                self.lines.avoid_stopping(allocator);
                 None
             }
             _ => None,
         }
     }
 
-    /// The keepers, those near by first.
-    fn near_first(&self, keepers: &[SocketAddr]) -> Vec<SocketAddr> {
+    /// The allocators, those near this VM first.
+    fn near_first(&self, allocators: &[SocketAddr]) -> Vec<SocketAddr> {
         let view = self.shared.look();
         let list = view.fellows.list();
-        let is_near = |keeper: &SocketAddr| {
-            let mut fellows = list.iter();
-            let fellow = fellows.find(|fellow| fellow.relay == Some(*keeper));
-            fellow.is_some_and(|fellow| self.place.is_near(&fellow.domain))
+        let is_near = |allocator: &SocketAddr| {
+            let mut peers = list.iter();
+            let peer = peers.find(|peer| peer.relay == Some(*allocator));
+            peer.is_some_and(|peer| self.place.is_near(&peer.domain))
         };
-        let mut keepers = keepers.to_vec();
-        keepers.sort_by_cached_key(|keeper| !is_near(keeper));
-        keepers
+        let mut allocators = allocators.to_vec();
+        allocators.sort_by_cached_key(|allocator| !is_near(allocator));
+        allocators
     }
 
-    fn keepers(&self, organisation: &OrganisationId, allowance: Allowance) -> Rc<[SocketAddr]> {
-        let most = most(allowance);
+    fn allocators(&self, organisation: &OrganisationId, allowance: Allowance) -> Rc<[SocketAddr]> {
+        let limit = limit(allowance);
         let view = self.shared.look();
-        let mut known = self.keepers.borrow_mut();
-        let fellows = view.fellows.digest();
-        if known.fellows != fellows {
-            known.fellows = fellows;
-            known.of.clear();
+        let mut known = self.allocators.borrow_mut();
+        let peers = view.fellows.digest();
+        if known.peers != peers {
+            known.peers = peers;
+            known.by_organisation.clear();
         }
-        let key = (organisation.clone(), most);
-        let found = known.of.entry(key).or_insert_with(|| {
-            let region = |fellow| self.region(fellow);
-            let fellows = view.fellows.list().iter().filter(|one| !one.evicted);
-            keeper::keepers(fellows, organisation, most, region).into()
+        let key = (organisation.clone(), limit);
+        let found = known.by_organisation.entry(key).or_insert_with(|| {
+            let region = |peer| self.region(peer);
+            let peers = view.fellows.list().iter().filter(|peer| !peer.evicted);
+            allocator::allocators(peers, organisation, limit, region).into()
         });
         found.clone()
     }
 
-    fn region<'a>(&'a self, fellow: &'a Fellow) -> &'a str {
-        let region = self.place.regions.get(&fellow.domain);
-        region.map_or(fellow.domain.as_str(), |region| &**region)
+    fn region<'a>(&'a self, peer: &'a Fellow) -> &'a str {
+        let region = self.place.regions.get(&peer.domain);
+        region.map_or(peer.domain.as_str(), |region| &**region)
     }
 }
 
-/// How many VMs keep an allowance at most.
-fn most(allowance: Allowance) -> usize {
-    let most = usize::try_from(allowance.burst).unwrap_or(KEEPERS);
-    most.clamp(1, KEEPERS)
+/// The most allocators that this allowance may have.
+fn limit(allowance: Allowance) -> usize {
+    let limit = usize::try_from(allowance.burst).unwrap_or(MAX_ALLOCATORS);
+    limit.clamp(1, MAX_ALLOCATORS)
 }
 
 fn allowance(view: &View, organisation: &OrganisationId) -> Option<Allowance> {
--- a/src/direct/relay/line.rs
+++ b/src/direct/relay/line.rs
@@ -1,4 +1,4 @@
-//! Streams of this VM to owners of databases.
+//! Lines: this VM's streams to owners of databases.
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::Adapter;
@@ -13,26 +13,26 @@
 use std::rc::Rc;
 use tokio::io::AsyncReadExt;
 
-/// How long opening a stream may take: two round trips between regions and a slow VM's turn. The
-/// next owner is asked after that.
-const OPENING: Span = Span::from_millis(150);
+/// How long opening a stream may take before the next owner is asked: two round trips between regions and a
+/// slow VM's processing.
+const OPEN_TIMEOUT: Span = Span::from_millis(150);
 
-/// How long a stream stays idle before it is closed. It takes a descriptor at both ends and nothing
-/// of the database.
-const IDLE: Span = Span::from_secs(10);
+/// How long a stream stays idle before it is closed. It costs a file descriptor at both ends, but nothing at
+/// the database.
+const IDLE_TIMEOUT: Span = Span::from_secs(10);
 
-/// How long an owner is passed over that was not reached, or did not reply: most troubles of a VM
-/// take seconds, and each try at it costs a statement [`OPENING`] or more.
-const DOUBT: Span = Span::from_secs(1);
+/// How long an owner is avoided that was not reached or did not reply: most faults of a VM last for seconds,
+/// and each try costs a statement [`OPEN_TIMEOUT`] or more.
+const FAILURE_AVOIDANCE: Span = Span::from_secs(1);
 
-/// The same for one that says that it stops.
-const AWAY: Span = Span::from_secs(5);
+/// How long an owner is avoided that is stopping.
+const STOP_AVOIDANCE: Span = Span::from_secs(5);
 
 /// A stream to an owner, for one statement or transaction at a time.
 pub struct Line {
     owner: SocketAddr,
     channel: Channel,
-    /// Whether no reply is owed.
+    /// Whether no reply is outstanding.
     settled: bool,
     used: Time,
 }
@@ -52,19 +52,18 @@
         self.owner
     }
 
-    /// Sends a request and reads the reply. A stream whose reply was not read to its end is of no
-    /// use any more.
+    /// Sends a request and reads the reply. If the reply is not read completely, the stream can't be reused.
     pub async fn ask(&mut self, request: &Request) -> io::Result<Told> {
         self.settled = false;
         self.channel.send(request).await?;
-        let Some(told) = self.channel.receive().await? else {
+        let Some(response) = self.channel.receive().await? else {
             return Err(io::ErrorKind::UnexpectedEof.into());
         };
         self.settled = true;
-        Ok(told)
+        Ok(response)
     }
 
-    /// Whether an idle stream is still open and silent, as far as is known here.
+    /// Whether an idle stream is still open and has received nothing, as far as is known here.
     fn is_alive(&mut self) -> bool {
         let Channel { stream, input, .. } = &mut self.channel;
         input.reserve(1);
@@ -72,23 +71,24 @@
         read.is_none() && self.is_clean()
     }
 
-    /// Whether every reply was read, and nothing else has come.
+    /// Whether every reply was read and nothing else has arrived.
     fn is_clean(&self) -> bool {
         self.settled && self.channel.input.is_empty()
     }
 }
 
+/// The idle streams to one owner.
 #[derive(Debug, Default)]
-struct Peer {
+struct Endpoint {
     idle: Vec<Line>,
-    /// Until when it is passed over.
-    doubted: Time,
+    /// Until when the owner is avoided.
+    avoided_until: Time,
 }
 
-/// All streams to owners that are not in use, and which owners are passed over.
+/// A pool of idle streams to owners, which also records the owners to avoid.
 pub struct Lines {
     adapter: Adapter,
-    peers: RefCell<BTreeMap<SocketAddr, Peer>>,
+    endpoints: RefCell<BTreeMap<SocketAddr, Endpoint>>,
     sweeping: Cell<bool>,
 }
 
@@ -99,35 +99,35 @@
 }
 
 impl Lines {
-    /// No stream yet.
+    /// A pool without streams.
     pub fn new(adapter: Adapter) -> Rc<Self> {
         Rc::new(Self {
             adapter,
-            peers: RefCell::default(),
+            endpoints: RefCell::default(),
             sweeping: Cell::default(),
         })
     }
 
-    /// The time.
+    /// The current time.
     pub fn now(&self) -> Time {
         (self.adapter.clock)()
     }
 
-    /// Whether an owner is passed over now.
-    pub fn doubts(&self, owner: SocketAddr) -> bool {
-        let peers = self.peers.borrow();
-        let doubted = peers.get(&owner).map(|peer| peer.doubted);
-        doubted.is_some_and(|until| self.now() < until)
+    /// Whether an owner is to be avoided now.
+    pub fn avoids(&self, owner: SocketAddr) -> bool {
+        let endpoints = self.endpoints.borrow();
+        let until = endpoints.get(&owner).map(|endpoint| endpoint.avoided_until);
+        until.is_some_and(|until| self.now() < until)
     }
 
-    /// Takes an idle stream to an owner, or opens one; an owner that is not reached is doubted.
+    /// Takes an idle stream to an owner, or opens one; an owner that is not reached is avoided for a while.
     pub async fn take(&self, owner: SocketAddr) -> io::Result<Line> {
         while let Some(mut line) = self.idle(owner) {
             if line.is_alive() {
                 return Ok(line);
             }
         }
-        match (self.adapter.connect)(owner, OPENING).await {
+        match (self.adapter.connect)(owner, OPEN_TIMEOUT).await {
             Ok(stream) => Ok(Line {
                 owner,
                 channel: Channel::new(stream),
@@ -135,64 +135,65 @@
                 used: self.now(),
             }),
             Err(error) => {
-                self.doubt(owner, &error);
+                self.avoid_failed(owner, &error);
                 Err(error)
             }
         }
     }
 
     fn idle(&self, owner: SocketAddr) -> Option<Line> {
-        self.peers.borrow_mut().get_mut(&owner)?.idle.pop()
+        self.endpoints.borrow_mut().get_mut(&owner)?.idle.pop()
     }
 
-    /// Keeps a stream for the next statement.
+    /// Returns a stream to the pool, unless its replies were not read completely.
     pub fn give_back(self: &Rc<Self>, mut line: Line) {
         if !line.is_clean() {
             return;
         }
         line.used = self.now();
-        let mut peers = self.peers.borrow_mut();
-        peers.entry(line.owner).or_default().idle.push(line);
-        drop(peers);
+        let mut endpoints = self.endpoints.borrow_mut();
+        endpoints.entry(line.owner).or_default().idle.push(line);
+        drop(endpoints);
         self.sweep();
     }
 
-    /// Asks an owner over one of its streams, and passes it over if no reply comes `within` that time.
+    /// Sends a request to an owner, and avoids the owner for a while if the reply fails or takes longer than
+    /// `within`.
     pub async fn ask(&self, line: &mut Line, request: &Request, within: Span) -> Result<Told, Why> {
         match tokio::time::timeout(within.into(), line.ask(request)).await {
-            Ok(Ok(told)) => Ok(told),
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => {
-                self.doubt(line.owner, &error);
+                self.avoid_failed(line.owner, &error);
                 Err(Why::Broken)
             }
             Err(_) => {
-                self.doubt(line.owner, &"no reply in time");
+                self.avoid_failed(line.owner, &"no reply in time");
                 Err(Why::Silent)
             }
         }
     }
 
-    /// Passes an owner over for a while that failed, and closes its idle streams: whatever lost
-    /// track of one has often lost track of those beside it.
-    fn doubt(&self, owner: SocketAddr, reason: &dyn fmt::Display) {
+    /// Avoids an owner for a while after a failure, and closes its idle streams: what broke one of them has
+    /// often broken the others too.
+    fn avoid_failed(&self, owner: SocketAddr, reason: &dyn fmt::Display) {
         log::info!(owner:%, reason:%; "an owner is passed over for a while");
-        self.pass_over(owner, DOUBT);
+        self.avoid(owner, FAILURE_AVOIDANCE);
     }
 
-    /// Passes an owner over that is about to stop.
-    pub fn leave(&self, owner: SocketAddr) {
-        self.pass_over(owner, AWAY);
+    /// Avoids an owner that is stopping.
+    pub fn avoid_stopping(&self, owner: SocketAddr) {
+        self.avoid(owner, STOP_AVOIDANCE);
     }
 
-    fn pass_over(&self, owner: SocketAddr, span: Span) {
+    fn avoid(&self, owner: SocketAddr, span: Span) {
         let until = self.now() + span;
-        let mut peers = self.peers.borrow_mut();
-        let peer = peers.entry(owner).or_default();
-        peer.doubted = until;
-        peer.idle.clear();
+        let mut endpoints = self.endpoints.borrow_mut();
+        let endpoint = endpoints.entry(owner).or_default();
+        endpoint.avoided_until = until;
+        endpoint.idle.clear();
     }
 
-    /// Closes streams that stay idle, from a task that lives while there are any.
+    /// Starts a task, unless there is one, that closes streams that stay idle and ends when none are left.
     fn sweep(self: &Rc<Self>) {
         if self.sweeping.replace(true) {
             return;
@@ -200,25 +201,25 @@
         let lines = self.clone();
         actix_rt::spawn(async move {
             while let Some(oldest) = lines.oldest() {
-                let due = (oldest + IDLE).since(lines.now());
+                let due = (oldest + IDLE_TIMEOUT).since(lines.now());
                 tokio::time::sleep(due.into()).await;
-                lines.close_unused();
+                lines.close_idle();
             }
             lines.sweeping.set(false);
         });
     }
 
     fn oldest(&self) -> Option<Time> {
-        let peers = self.peers.borrow();
-        let idle = peers.values().flat_map(|peer| &peer.idle);
+        let endpoints = self.endpoints.borrow();
+        let idle = endpoints.values().flat_map(|endpoint| &endpoint.idle);
         idle.map(|line| line.used).min()
     }
 
-    fn close_unused(&self) {
+    fn close_idle(&self) {
         let now = self.now();
-        self.peers.borrow_mut().retain(|_, peer| {
-            peer.idle.retain(|line| now < line.used + IDLE);
-            !peer.idle.is_empty() || now < peer.doubted
+        self.endpoints.borrow_mut().retain(|_, endpoint| {
+            endpoint.idle.retain(|line| now < line.used + IDLE_TIMEOUT);
+            !endpoint.idle.is_empty() || now < endpoint.avoided_until
         });
     }
 }
--- a/src/direct/relay/mod.rs
+++ b/src/direct/relay/mod.rs
@@ -1,13 +1,12 @@
-//! Statements of one VM that another VM runs on its connections, as one of a database's owners.
+//! The relay: runs statements of one VM on the connections of another, which is one of the database's owners.
 //!
-//! A session between two VMs is a stream of requests and replies, one at a time ([`line`] asks,
-//! [`serve`] answers). Whoever asks keeps all that is decided: the lease, the position that a read
-//! needs, what its caller is told. The owner passes on, and knows no routes.
+//! A session between two VMs is a stream of requests and replies, one at a time: [`line`] sends requests,
+//! [`serve`] replies. The asking VM makes all decisions: the lease, the position that a read needs, the
+//! answer to its caller. The owner only forwards statements, and knows no routes.
 //!
-//! **Failure answered.** A stream breaks after a request was sent, and it is not known how far the
-//! statement came. **Symptom without it.** A write is sent again by way of another owner and takes
-//! effect twice. **Why it suffices.** A request is written once; what follows a broken stream is
-//! decided as for a broken connection to the database. The owner rolls back what is open.
+//! If a stream breaks after a request was sent, it is unknown whether the statement ran; repeating a write
+//! through another owner could apply it twice. So each request is sent once, and a broken stream is treated
+//! like a broken connection to the database. The owner rolls back the open transaction.
 
 pub mod line;
 pub mod serve;
@@ -27,44 +26,44 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// The longest request or reply: a database's longest answer and what stands around it.
-const LIMIT: usize = 16 << 20;
+/// The longest request or reply in bytes: a database's longest answer and its envelope.
+const MAX_MESSAGE_SIZE: usize = 16 << 20;
 
-/// Room made for each reading; a usual message fits.
+/// Bytes reserved for each read; a typical message fits.
 const READ_SIZE: usize = 1024;
 
-/// What one VM asks of another.
+/// A request of one VM to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// Run a statement that stands alone or opens a transaction.
+    /// Run a single statement, or one that opens a transaction.
     Start(Start),
-    /// Run the next statement of the transaction that is open.
+    /// Run the next statement of the open transaction.
     Next(Ask),
-    /// Roll back the transaction that is open.
+    /// Roll back the open transaction.
     End,
-    /// Grant a part of an organisation's allowance.
+    /// Grant tokens of an organisation's allowance.
     Spend(Spend),
 }
 
-/// What is asked of a keeper of allowances.
+/// A request for tokens, sent to an allocator of an organisation's allowance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spend {
-    /// Whose allowance.
+    /// The organisation.
     pub organisation: OrganisationId,
-    /// Operations that wait for it.
+    /// Operations that wait for tokens.
     pub need: u32,
-    /// Operations that are likely to come soon.
-    pub spare: u32,
+    /// Operations that are likely to follow soon.
+    pub prefetch: u32,
 }
 
-/// A first statement.
+/// The first statement of a transaction, or a single one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
     /// The database.
     pub database: DatabaseId,
     /// The transaction that it opens.
     pub begin: Option<Opening>,
-    /// A position that the log must have.
+    /// A position that the database's log must have reached.
     pub after: Option<Position>,
     /// The statement.
     pub ask: Ask,
@@ -77,18 +76,18 @@
     pub read: bool,
 }
 
-/// A statement. Its spans count from when it arrives: no clock of another VM is trusted.
+/// A statement. Its timeouts count from its arrival, so that clocks of other VMs don't matter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The caller's message, as it came.
+    /// The caller's message, unchanged.
     pub query: Bytes,
     /// The prepared statement that it runs.
     pub shape: Option<Shape>,
-    /// The session's values.
+    /// The session's settings.
     pub values: Values,
-    /// On whose behalf it is asked.
+    /// The organisation on whose behalf it runs.
     pub organisation: Option<OrganisationId>,
-    /// Its place among others that wait.
+    /// Its priority among waiting statements.
     pub urgency: Urgency,
     /// How long it may wait for a busy database.
     pub patience: Span,
@@ -96,20 +95,20 @@
     pub within: Span,
 }
 
-/// What became of a request.
+/// The owner's answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// How it ended.
+    /// The outcome.
     pub reply: Reply,
-    /// How long a next statement would wait for the database.
+    /// How long a further statement would wait for the database.
     pub wait: Span,
-    /// How far the database's log was, as the owner last heard.
+    /// The database's log position, as the owner last received it.
     pub position: Option<Position>,
 }
 
 impl Told {
-    /// A reply that tells nothing of a database.
-    fn only(reply: Reply) -> Self {
+    /// A reply without information on a database.
+    fn bare(reply: Reply) -> Self {
         Self {
             reply,
             wait: Span::ZERO,
@@ -118,26 +117,26 @@
     }
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// The database answered.
     Answered(Answer),
-    /// It has not run.
+    /// It did not run.
     NotRun(Code),
-    /// It has not run: the database was not reached.
+    /// It did not run: the database was not reached.
     Unreached,
-    /// It has not run: the owner knows of no such database.
+    /// It did not run: the owner does not know the database.
     Unknown,
-    /// It has not run: the owner is about to stop.
+    /// It did not run: the owner is stopping.
     Away,
     /// It may have run.
     Lost(Why),
-    /// To a request for a part of an allowance.
+    /// To a request for tokens.
     Granted(Grant),
 }
 
-/// One end of a stream of messages, each after its length.
+/// One end of a stream of length-prefixed messages.
 struct Channel {
     stream: Box<dyn Stream>,
     codec: LengthDelimitedCodec,
@@ -149,7 +148,7 @@
         let mut builder = LengthDelimitedCodec::builder();
         Self {
             stream,
-            codec: builder.max_frame_length(LIMIT).new_codec(),
+            codec: builder.max_frame_length(MAX_MESSAGE_SIZE).new_codec(),
             input: BytesMut::new(),
         }
     }
@@ -162,7 +161,7 @@
         self.stream.flush().await
     }
 
-    /// The next message; none at the end of the stream.
+    /// Reads the next message; `None` at the end of the stream.
     async fn receive<T: DeserializeOwned>(&mut self) -> io::Result<Option<T>> {
         loop {
             if let Some(frame) = self.codec.decode(&mut self.input)? {
--- a/src/direct/relay/serve.rs
+++ b/src/direct/relay/serve.rs
@@ -1,4 +1,4 @@
-//! Answers other VMs' requests, as one of the owners of a database.
+//! Serves other VMs' requests, as one of the owners of a database.
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::Stream;
@@ -20,23 +20,23 @@
 use tokio::io::AsyncReadExt;
 use tokio::sync::{Notify, watch};
 
-/// How long a stream without a request is kept: three times as long as the other end keeps it, so
-/// that only streams which nobody remembers end here.
-const UNUSED: Span = Span::from_secs(30);
+/// How long a stream without a request is kept: three times as long as at the other end, so that only
+/// abandoned streams time out here.
+const IDLE_TIMEOUT: Span = Span::from_secs(30);
 
-/// How much longer than callers may a transaction stays idle here: the VM of its caller ends it.
+/// How much longer a transaction may stay idle here than at the caller's VM, which normally ends it.
 const IDLE_MARGIN: Span = Span::from_secs(2);
 
-/// How long a reply may take to be taken off before the stream is given up.
-const SLOW_PEER: Span = Span::from_secs(5);
+/// How long sending a reply may take before the stream is closed.
+const SEND_TIMEOUT: Span = Span::from_secs(5);
 
-/// Relays statements of other VMs.
+/// Runs statements for other VMs.
 pub struct Relay {
     targets: Rc<Targets>,
-    /// Statements and transactions under way.
-    busy: Cell<u32>,
+    /// Statements and transactions in progress.
+    active: Cell<u32>,
     ended: Notify,
-    /// How far a planned stop has come.
+    /// The stage of a planned stop.
     stopping: watch::Sender<Stopping>,
 }
 
@@ -46,29 +46,29 @@
     }
 }
 
-/// Something under way, which a planned stop waits for; over when dropped.
+/// Counts a statement or transaction as in progress until dropped; a planned stop waits for it.
 #[derive(Debug)]
-struct Busy(Rc<Relay>);
+struct Active(Rc<Relay>);
 
-impl Drop for Busy {
+impl Drop for Active {
     fn drop(&mut self) {
-        let left = self.0.busy.get() - 1;
-        self.0.busy.set(left);
+        let left = self.0.active.get() - 1;
+        self.0.active.set(left);
         if left == 0 {
             self.0.ended.notify_one();
         }
     }
 }
 
-/// A transaction that is open.
+/// An open transaction, and its connection.
 #[derive(Debug)]
 struct Open {
     lent: Box<Lent>,
     target: Target,
-    busy: Busy,
+    active: Active,
 }
 
-/// One stream of another VM.
+/// One stream from another VM.
 struct Session {
     relay: Rc<Relay>,
     channel: Channel,
@@ -76,51 +76,52 @@
 }
 
 impl Relay {
-    /// Relays to these databases, by the connections that this VM's own callers use.
+    /// A relay to these databases, over the connections that this VM's own callers use.
     pub fn new(targets: Rc<Targets>) -> Rc<Self> {
         Rc::new(Self {
             targets,
-            busy: Cell::default(),
+            active: Cell::default(),
             ended: Notify::new(),
             stopping: watch::Sender::new(Stopping::No),
         })
     }
 
-    /// Serves one stream to its end.
+    /// Serves one stream until it ends.
     pub async fn serve_stream(self: Rc<Self>, stream: Box<dyn Stream>) {
         let mut session = Session {
             relay: self,
             channel: Channel::new(stream),
             open: None,
         };
-        let _ = session.talk().await;
+        let _ = session.run().await;
         session.roll_back();
     }
 
-    /// Waits for what is under way: transactions as long as callers' own ones, and then as long as
-    /// their statements take. New work is refused from when the stop began.
+    /// Waits for the work in progress: half of `grace` for transactions, as for this VM's own callers, and
+    /// the other half for running statements. New work is refused since the stop began.
     pub async fn stop(&self, grace: Span) {
         self.stopping.send_replace(Stopping::Idle);
         let half = grace.percent(50);
-        if self.is_over(half).await {
+        if self.drain(half).await {
             return;
         }
         self.stopping.send_replace(Stopping::Transactions);
-        self.is_over(half).await;
+        self.drain(half).await;
     }
 
-    async fn is_over(&self, span: Span) -> bool {
-        let over = async {
-            while self.busy.get() > 0 {
+    /// Waits until no work is in progress; returns whether that was so within the span.
+    async fn drain(&self, span: Span) -> bool {
+        let drained = async {
+            while self.active.get() > 0 {
                 self.ended.notified().await;
             }
         };
-        tokio::time::timeout(span.into(), over).await.is_ok()
+        tokio::time::timeout(span.into(), drained).await.is_ok()
     }
 
-    fn begin(self: &Rc<Self>) -> Busy {
-        self.busy.set(self.busy.get() + 1);
-        Busy(self.clone())
+    fn begin(self: &Rc<Self>) -> Active {
+        self.active.set(self.active.get() + 1);
+        Active(self.clone())
     }
 
     fn is_stopping(&self) -> bool {
@@ -132,36 +133,35 @@
     }
 }
 
-/// Waits until a stop has come so far.
+/// Waits until a stop has reached a stage.
 ///
-/// **Failure answered.** What the channel returns holds a lock on it, and whoever waits goes on to
-/// write to its peer. **Symptom without it.** The next step of the stop waits for that lock on the
-/// only thread there is, and the process stands still until it is killed. **Why it suffices.** The
-/// lock ends with this function.
-async fn reached(stopping: &mut watch::Receiver<Stopping>, due: Stopping) {
+/// A function of its own, so that the guard that `wait_for` returns is dropped here. If the caller held it
+/// while writing to its peer, the next stage of the stop would wait for that lock on the only thread, and the
+/// process would hang until it is killed.
+async fn wait_for_stage(stopping: &mut watch::Receiver<Stopping>, stage: Stopping) {
     // The sender lives as long as the relay, which every session holds.
-    let _ = stopping.wait_for(|stopping| *stopping >= due).await;
+    let _ = stopping.wait_for(|stopping| *stopping >= stage).await;
 }
 
 impl Session {
-    async fn talk(&mut self) -> io::Result<()> {
+    async fn run(&mut self) -> io::Result<()> {
         let mut stopping = self.relay.stopping.subscribe();
         loop {
             let limit = self.limit();
-            // What a stop waits for: the end of the transaction, or nothing.
-            let due = match self.open {
+            // The stage of a stop at which this session ends.
+            let stage = match self.open {
                 Some(_) => Stopping::Transactions,
                 None => Stopping::Idle,
             };
             let request = tokio::select! {
                 biased;
                 request = tokio::time::timeout(limit.into(), self.channel.receive()) => request,
-                () = reached(&mut stopping, due) => match due {
+                () = wait_for_stage(&mut stopping, stage) => match stage {
                     Stopping::Transactions => {
                         self.roll_back();
                         continue;
                     }
-                    _ => return self.leave().await,
+                    _ => return self.close().await,
                 },
             };
             let Ok(request) = request else {
@@ -170,19 +170,18 @@
             let Some(request) = request? else {
                 return Ok(());
             };
-            let told = self.answer(request).await;
-            self.tell(&told).await?;
+            let response = self.answer(request).await;
+            self.send(&response).await?;
         }
     }
 
-    /// Tells the other end that nothing is taken on this stream any more, and waits for its end.
+    /// Informs the other end that this stream takes no more requests, and waits until it closes the stream.
     ///
-    /// **Failure answered.** A request is on its way while the stream is closed by a stop. **Symptom
-    /// without it.** It counts as lost, and a write's caller is told that its outcome is unknown.
-    /// **Why it suffices.** A request that was sent before this was read takes it for its reply; an
-    /// idle stream on which something has come is not used any more.
-    async fn leave(&mut self) -> io::Result<()> {
-        self.tell(&Told::only(Reply::Away)).await?;
+    /// If the stream were closed at once, a request on its way would count as lost, and a write's caller
+    /// would get an unknown outcome. This way the asking VM takes the message as the reply to a request that
+    /// was sent before, and does not use an idle stream on which something has arrived.
+    async fn close(&mut self) -> io::Result<()> {
+        self.send(&Told::bare(Reply::Away)).await?;
         let drained = async {
             let Channel { stream, input, .. } = &mut self.channel;
             while stream.read_buf(input).await? > 0 {
@@ -190,43 +189,46 @@
             }
             io::Result::Ok(())
         };
-        let drained = tokio::time::timeout(UNUSED.into(), drained).await;
+        let drained = tokio::time::timeout(IDLE_TIMEOUT.into(), drained).await;
         drained.unwrap_or(Ok(()))
     }
 
     /// How long to wait for the next request.
     fn limit(&self) -> Span {
         if self.open.is_none() {
-            return UNUSED;
+            return IDLE_TIMEOUT;
         }
         let view = self.relay.targets.shared.look();
-        let idle = view.config.as_ref().map_or(UNUSED, |config| config.idle);
+        let idle = view
+            .config
+            .as_ref()
+            .map_or(IDLE_TIMEOUT, |config| config.idle);
         idle + IDLE_MARGIN
     }
 
-    async fn tell(&mut self, told: &Told) -> io::Result<()> {
-        let written = self.channel.send(told);
-        let written = tokio::time::timeout(SLOW_PEER.into(), written).await;
-        written.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    async fn send(&mut self, response: &Told) -> io::Result<()> {
+        let sent = self.channel.send(response);
+        let sent = tokio::time::timeout(SEND_TIMEOUT.into(), sent).await;
+        sent.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
     }
 
     async fn answer(&mut self, request: Request) -> Told {
         match request {
             Request::Start(start) => self.start(start).await,
-            Request::Next(ask) => self.proceed(ask).await,
+            Request::Next(ask) => self.next(ask).await,
             Request::End => {
                 self.roll_back();
-                Told::only(Reply::NotRun(Code::RolledBack))
+                Told::bare(Reply::NotRun(Code::RolledBack))
             }
             Request::Spend(spend) => {
                 let grant = self.relay.targets.quotas.grant(&spend);
-                Told::only(Reply::Granted(grant))
+                Told::bare(Reply::Granted(grant))
             }
         }
     }
 
-    /// A reply, and how the database stands.
-    fn of(&self, reply: Reply, target: &Target, urgency: Urgency) -> Told {
+    /// A reply with the state of the database.
+    fn response(&self, reply: Reply, target: &Target, urgency: Urgency) -> Told {
         Told {
             reply,
             wait: target.pool.gate.wait(urgency),
@@ -237,17 +239,17 @@
     async fn start(&mut self, start: Start) -> Told {
         self.roll_back();
         if self.relay.is_stopping() {
-            return Told::only(Reply::Away);
+            return Told::bare(Reply::Away);
         }
         let targets = self.relay.targets.clone();
         let Some(target) = targets.find(&start.database) else {
-            return Told::only(Reply::Unknown);
+            return Told::bare(Reply::Unknown);
         };
         if self.is_behind(&target, start.after) {
-            return self.of(Reply::NotRun(Code::Behind), &target, start.ask.urgency);
+            return self.response(Reply::NotRun(Code::Behind), &target, start.ask.urgency);
         }
         let Some((query, shape)) = self.read(&start.ask) else {
-            return Told::only(Reply::NotRun(Code::Malformed));
+            return Told::bare(Reply::NotRun(Code::Malformed));
         };
         let begin = start.begin.map(|opening| Order::Begin {
             read: opening.read,
@@ -259,43 +261,50 @@
             after: start.after,
             ..self.statement(&start.ask, &query, shape.as_ref(), &trace)
         };
-        let busy = self.relay.begin();
-        let ran = exchange::start(&targets, &target, &statement, || Some(busy), || true).await;
+        let active = self.relay.begin();
+        let ran = exchange::start(&targets, &target, &statement, || Some(active), || true).await;
         let reply = match ran {
-            Ran::Answered(answer, lent, busy, asked) => {
+            Ran::Answered(answer, lent, active, asked) => {
                 let open = Open {
                     lent,
                     target: target.clone(),
-                    busy,
+                    active,
                 };
-                let stays = statement.begin.is_some();
-                self.passed_on(&targets, open, stays, answer, asked, start.ask.urgency)
+                let in_transaction = statement.begin.is_some();
+                self.forward(
+                    &targets,
+                    open,
+                    in_transaction,
+                    answer,
+                    asked,
+                    start.ask.urgency,
+                )
             }
             Ran::NotRun(code) => Reply::NotRun(code),
             Ran::Unreached => Reply::Unreached,
             Ran::Lost(why) => Reply::Lost(why),
         };
-        self.of(reply, &target, start.ask.urgency)
+        self.response(reply, &target, start.ask.urgency)
     }
 
-    async fn proceed(&mut self, ask: Ask) -> Told {
+    async fn next(&mut self, ask: Ask) -> Told {
         let Some(mut open) = self.open.take() else {
-            // It was idle for too long, or this VM stops.
-            return Told::only(Reply::NotRun(Code::RolledBack));
+            // The transaction was idle for too long, or this VM is stopping.
+            return Told::bare(Reply::NotRun(Code::RolledBack));
         };
         let Some((query, shape)) = self.read(&ask) else {
-            return Told::only(Reply::NotRun(Code::Malformed));
+            return Told::bare(Reply::NotRun(Code::Malformed));
         };
         let targets = self.relay.targets.clone();
-        // The VM that asks writes the request's line.
+        // The asking VM writes the log line of the request.
         let trace = Trace::default();
         let statement = self.statement(&ask, &query, shape.as_ref(), &trace);
         let (target, connection) = (open.target.clone(), open.lent.connection());
         let ran = exchange::next(&targets, &target, connection, &statement, || true).await;
         let reply = match ran {
-            Ok((answer, asked)) => self.passed_on(&targets, open, true, answer, asked, ask.urgency),
+            Ok((answer, asked)) => self.forward(&targets, open, true, answer, asked, ask.urgency),
             Err(failed) => {
-                exchange::give_back(&targets, open.lent, open.busy);
+                exchange::give_back(&targets, open.lent, open.active);
                 match failed {
                     Failed::Busy => Reply::NotRun(Code::Busy),
                     Failed::Ended | Failed::Broken => Reply::NotRun(Code::RolledBack),
@@ -303,14 +312,14 @@
                 }
             }
         };
-        self.of(reply, &target, ask.urgency)
+        self.response(reply, &target, ask.urgency)
     }
 
-    /// Whether the database is known not to have a position.
+    /// Whether the database's log is known not to have reached a position.
     ///
-    /// **Pattern answered.** A replica falls behind, and VMs that seldom hear of it go on to send it
-    /// reads. **Without it** each such read takes a slot for being refused (4,500 of 80,000 statements
-    /// on a day of high load); the owner has just heard how far it is.
+    /// VMs that seldom receive the position of a lagging replica go on sending it reads. Without this check,
+    /// each of them would take a slot only to be refused (4,500 of 80,000 statements on a day of high load).
+    /// The owner has a recent position.
     fn is_behind(&self, target: &Target, after: Option<Position>) -> bool {
         let known = target.pool.position(self.relay.now());
         let (Some(after), Some(known)) = (after, known) else {
@@ -319,26 +328,26 @@
         known.term == after.term && known < after
     }
 
-    /// Passes an answer on. What it leaves open stays so if it is of a transaction, and else is
-    /// rolled back.
-    fn passed_on(
+    /// Makes the reply from a database's answer. Keeps the transaction open if the statement belongs to one,
+    /// and otherwise returns the connection, with a rollback if needed.
+    fn forward(
         &mut self,
         targets: &Targets,
         open: Open,
-        stays: bool,
+        in_transaction: bool,
         answer: Answer,
         asked: Time,
         urgency: Urgency,
     ) -> Reply {
         targets.heard(&open.target, asked, &answer, urgency);
-        match stays && answer.state == State::Open {
+        match in_transaction && answer.state == State::Open {
             true => self.open = Some(open),
-            false => exchange::give_back(targets, open.lent, open.busy),
+            false => exchange::give_back(targets, open.lent, open.active),
         }
         Reply::Answered(answer)
     }
 
-    /// The caller's statement out of its message.
+    /// Decodes the caller's statement and its prepared statement.
     fn read(&self, ask: &Ask) -> Option<(Query, Option<Rc<Shape>>)> {
         let mut message = BytesMut::from(&ask.query[..]);
         let read = (self.relay.targets.adapter.wire.read_message)(&mut message);
@@ -372,7 +381,7 @@
 
     fn roll_back(&mut self) {
         if let Some(open) = self.open.take() {
-            exchange::give_back(&self.relay.targets, open.lent, open.busy);
+            exchange::give_back(&self.relay.targets, open.lent, open.active);
         }
     }
 }
--- a/src/direct/tenure.rs
+++ b/src/direct/tenure.rs
@@ -1,34 +1,35 @@
-//! How much this VM may grant of what it keeps for others, such as its share of an allowance.
+//! Tenure: how long an allocator may grant after it was last shown as registered, and how much of its share.
 //!
-//! In a network partition a keeper and its successor may both be asked. A keeper grants its whole share
-//! for [`TERM`] after a proof was asked for: a reading that shows this VM as registered, or the word of a
-//! steward that hears a majority. From then on, up to [`LEASE`] after the last such reading, it grants
-//! half. Whoever evicts a VM hears a majority too, and no VM returns to an older steward, so that word is
-//! at most [`HEARD`] old at an eviction. A successor knows of the eviction: it grants nothing for
-//! [`SUCCESSION`], and half until the former keeper's time is over.
+//! In a network partition an allocator and its successor may both receive requests. An allocator grants its
+//! whole share for [`TERM`] after it asked for a proof: a reading of the store that shows this VM as
+//! registered, or the answer of a steward that receives heartbeats from a majority. After that, up to
+//! [`LEASE`] after the last such reading, it grants half. A steward that evicts a VM also has a majority, and
+//! no VM returns to an older steward, so that the last such answer is at most [`HEARTBEAT_AGE`] old at an
+//! eviction. A successor, which knows of the eviction, grants nothing for [`SUCCESSION`], and half until the
+//! tenure of its predecessor has ended.
 
 use crate::clock::{Span, Time};
 use crate::direct::lead::{LEASE, TERM};
 
-/// Within what time a VM has to have sent a heartbeat to count as heard.
-pub const HEARD: Span = Span::from_secs(1);
+/// The greatest age of a VM's last heartbeat with which the steward counts it towards its majority.
+pub const HEARTBEAT_AGE: Span = Span::from_secs(1);
 
-/// How long after an eviction the VM that was evicted may hand out all that it keeps.
-pub const SUCCESSION: Span = Span(TERM.0 + HEARD.0);
+/// How long after its eviction a VM may still grant its whole share.
+pub const SUCCESSION: Span = Span(TERM.0 + HEARTBEAT_AGE.0);
 
-/// How long after an eviction the VM that was evicted may hand out anything.
-const OVER: Span = Span(LEASE.0 + HEARD.0);
+/// How long after its eviction a VM may still grant anything.
+const TENURE_END: Span = Span(LEASE.0 + HEARTBEAT_AGE.0);
 
-/// How much a keeper may hand out.
+/// How much of its share an allocator may grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Part {
-    /// Half of it: another VM may hand out as much.
+pub enum Fraction {
+    /// Half of it: another VM may grant the other half.
     Half,
     /// All of it.
     Whole,
 }
 
-/// Since when, and until when, a VM may hand out what it keeps.
+/// Since when, and until when, a VM may grant from its shares.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tenure {
     since: Time,
@@ -37,7 +38,8 @@
 }
 
 impl Tenure {
-    /// A reading asked at `asked` shows this VM as registered; whether a tenure begins with it.
+    /// Records that a reading requested at `asked` shows this VM as registered; returns whether a new tenure
+    /// begins with it.
     pub fn read(&mut self, asked: Time, now: Time) -> bool {
         let begins = self.until <= now && now < asked + LEASE;
         if begins {
@@ -48,50 +50,50 @@
         begins
     }
 
-    /// A steward that hears most of the VMs answered what it was asked at `asked`.
-    pub fn heard(&mut self, asked: Time) {
+    /// Records that a steward that receives heartbeats from a majority answered a request made at `asked`.
+    pub fn confirm(&mut self, asked: Time) {
         self.whole_until = self.whole_until.max(asked + TERM);
     }
 
-    /// Since when it has gone on without a gap, if it does at `now`.
+    /// When the tenure that is valid at `now` began; `None` if there is none.
     pub fn since(&self, now: Time) -> Option<Time> {
         (now < self.until).then_some(self.since)
     }
 
-    /// How much may be handed out, if anything.
-    pub fn part(&self, now: Time) -> Option<Part> {
+    /// How much of a share may be granted at `now`; `None` for nothing.
+    pub fn fraction(&self, now: Time) -> Option<Fraction> {
         self.since(now)?;
         Some(if now < self.whole_until {
-            Part::Whole
+            Fraction::Whole
         } else {
-            Part::Half
+            Fraction::Half
         })
     }
 }
 
-/// From when on a keeper hands out, and from when on all of it.
+/// From when on a new allocator grants, and from when on its whole share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Entry {
-    /// When it begins.
+    /// When it begins to grant.
     pub begins: Time,
-    /// When it need not leave half to the keeper before.
+    /// When it no longer leaves half to its predecessor.
     pub whole_from: Time,
 }
 
 impl Entry {
-    /// That of a VM whose place nobody else had, or whose predecessor has ended.
-    pub fn of_first(since: Time) -> Self {
+    /// The entry of a VM that has no predecessor, or whose predecessor's tenure has ended.
+    pub fn first(since: Time) -> Self {
         Self {
             begins: since,
             whole_from: since,
         }
     }
 
-    /// That of the successor of a VM whose eviction has been known since `since`, with so many VMs of all
-    /// evicted.
-    pub fn of_successor(since: Time, evicted: usize, vms: usize) -> Self {
-        let whole_from = since + OVER;
-        // Most of the VMs may hear another steward.
+    /// The entry of the successor of a VM whose eviction has been known since `since`. `evicted` of all `vms`
+    /// are evicted.
+    pub fn successor(since: Time, evicted: usize, vms: usize) -> Self {
+        let whole_from = since + TENURE_END;
+        // With half of the VMs evicted, a majority may follow another steward.
         let begins = if evicted * 2 >= vms {
             whole_from
         } else {
@@ -100,13 +102,13 @@
         Self { begins, whole_from }
     }
 
-    /// How much may be handed out at `now`, if its tenure allows that.
-    pub fn part(&self, tenure: &Tenure, now: Time) -> Option<Part> {
-        let part = tenure.part(now)?;
+    /// How much of a share may be granted at `now`, limited by the tenure; `None` for nothing.
+    pub fn fraction(&self, tenure: &Tenure, now: Time) -> Option<Fraction> {
+        let fraction = tenure.fraction(now)?;
         Some(if now < self.whole_from {
-            Part::Half
+            Fraction::Half
         } else {
-            part
+            fraction
         })
     }
 }
--- a/src/direct/view.rs
+++ b/src/direct/view.rs
@@ -1,4 +1,4 @@
-//! What this VM knows and has under way, shared by its tasks on one thread.
+//! The state of this VM and its work in progress, shared by its tasks on one thread.
 
 use crate::clock::{Span, Time};
 use crate::direct::config::{Config, Database, Route};
@@ -17,28 +17,28 @@
 use tokio::sync::{Notify, watch};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What is known at one moment.
+/// The state at one moment.
 #[derive(Debug, Default)]
 pub struct View {
     /// The configuration in force.
     pub config: Option<Rc<Config>>,
-    /// The databases that are registered.
+    /// The registered databases.
     pub databases: BTreeMap<DatabaseId, Database>,
-    /// Who leads.
+    /// Who leads each group, and this VM's leases.
     pub book: Book,
-    /// The VMs that are registered, this one among them.
+    /// The registered VMs, including this one.
     pub fellows: Fellows,
-    /// How long this VM may hand out what it keeps for others.
+    /// How long this VM may grant tokens as an allocator.
     pub tenure: Tenure,
-    /// How far primaries have come.
+    /// How far the logs of primaries had come at known times.
     pub fresh: Fresh,
-    /// How far primaries are known to have come at least.
+    /// The highest known log position of each primary.
     pub reached: Reached,
-    /// How databases have answered this VM.
+    /// When databases last answered this VM or failed.
     pub reports: Reports,
-    /// Statements and transactions on primaries that are not over.
+    /// Statements and transactions on primaries that have not ended.
     pub work: Work,
-    /// Whether the last attempt to learn who leads failed: neither the steward nor the store answered.
+    /// Whether the last attempt to read who leads failed: neither the steward nor the store answered.
     pub blind: bool,
     /// Whether a planned stop has begun.
     pub stopping: bool,
@@ -50,40 +50,38 @@
         self.config.as_ref()?.routes.get(database)
     }
 
-    /// The lease on a group's primary, and where that database is.
+    /// The lease on a group's primary, and the database's registration.
     ///
-    /// **Failure answered.** The primary ended with all that it had, and started again under its id.
-    /// **Symptom without it.** Reads miss acknowledged commits, and what is written there vanishes
-    /// with the next promotion. **Why it suffices.** The lease names the birth of the database that
-    /// was made primary; until the register shows the new one, positions tell ([`Reached`]).
+    /// A primary may lose all its data and start again under its id. Reads there would miss acknowledged
+    /// commits, and writes there would be lost with the next promotion. The lease names the birth of the
+    /// database that was promoted; until the register shows the new birth, [`Reached`] detects the lost log.
     pub fn primary(&self, group: &GroupId, now: Time) -> Option<(Lease, &Database)> {
         let lease = self.book.lease(group, now)?;
         let database = self.databases.get(&lease.primary)?;
         (lease.born == database.born).then_some((lease, database))
     }
 
-    /// Whether a group that has no usable primary now may have one within moments.
+    /// Whether a group that has no usable primary now is likely to have one soon, so that callers wait.
     ///
-    /// **Pattern answered.** A replacement takes some hundred milliseconds, and the first reading of a
-    /// VM that starts some ten; the store may be away for seconds. **Without it** either each
-    /// replacement is an error to all callers of the group, or callers of a VM that can't serve
-    /// them wait at each try for what is known not to come.
+    /// A replacement takes some hundred milliseconds, and the first reading of a VM that starts some ten, but
+    /// the store may be unreachable for seconds. Without this check, either each replacement is an error to
+    /// all callers of the group, or callers of a VM that can't serve them wait in vain at each try.
     pub fn expects_primary(&self, group: &GroupId) -> bool {
         !self.blind || self.book.is_changing(group)
     }
 
-    /// The databases of a group that are registered.
+    /// The registered databases of a group.
     pub fn members<'a>(&'a self, group: &'a GroupId) -> impl Iterator<Item = &'a Database> {
         self.databases.values().filter(move |d| d.group == *group)
     }
 }
 
-/// The view as tasks share it; whoever changes it wakes those that wait for a change.
+/// The view as tasks share it, with notifications of changes.
 #[derive(Debug, Default)]
 pub struct Shared {
-    /// What is counted for the scraper.
+    /// The metrics of this VM.
     pub meter: Meter,
-    /// A caller shows a key that this VM's configuration does not know: a newer one may.
+    /// Notified when a caller presents a key that is not in this VM's configuration; a newer one may have it.
     pub wants_config: Notify,
     view: RefCell<View>,
     changed: Notify,
@@ -91,30 +89,30 @@
 }
 
 impl Shared {
-    /// Looks at the view. Not to be held over an await.
+    /// Borrows the view. Must not be held across an await.
     pub fn look(&self) -> Ref<'_, View> {
         self.view.borrow()
     }
 
-    /// Changes the view without waking anyone. Not to be held over an await.
+    /// Borrows the view mutably, without waking waiting tasks. Must not be held across an await.
     pub fn quietly(&self) -> RefMut<'_, View> {
         self.view.borrow_mut()
     }
 
-    /// Changes the view, and wakes all that wait for a change.
+    /// Changes the view, and wakes all tasks that wait for a change.
     pub fn change<T>(&self, change: impl FnOnce(&mut View) -> T) -> T {
         let result = change(&mut self.view.borrow_mut());
         self.changed.notify_waiters();
         result
     }
 
-    /// A configuration is in force.
+    /// Puts a configuration in force.
     pub fn configure(&self, config: Config) {
         self.change(|view| view.config = Some(Rc::new(config)));
         self.configured.send_replace(());
     }
 
-    /// Changes with each configuration.
+    /// A receiver that is notified of each configuration.
     pub fn configs(&self) -> watch::Receiver<()> {
         self.configured.subscribe()
     }
@@ -125,48 +123,48 @@
     }
 }
 
-/// A VM as the rows show it.
+/// A registered VM, as its row in the store shows it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fellow {
-    /// Where it listens for other VMs.
+    /// The address at which it listens for other VMs.
     pub address: SocketAddr,
-    /// Where it relays other VMs' statements to databases, if it does.
+    /// The address at which it relays other VMs' statements to databases, if it does.
     pub relay: Option<SocketAddr>,
     /// Its failure domain.
     pub domain: Domain,
-    /// The processor that it has.
+    /// Its processor cores.
     pub cores: Cores,
-    /// Whether a steward that does not hear it has marked it.
+    /// Whether a steward that received no heartbeats from it has evicted it.
     pub evicted: bool,
 }
 
 impl Fellow {
-    /// Where it relays, unless it is evicted.
+    /// Its relay address, unless it is evicted.
     pub fn serves(&self) -> Option<SocketAddr> {
         self.relay.filter(|_| !self.evicted)
     }
 }
 
-/// The VMs, or what changed of them.
+/// The list of VMs, or the changes to a list that the receiver has.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FellowNews {
-    /// What stands for the list that it changes; none if it is a whole list.
+    /// The digest of the list that it changes; `None` if this is a complete list.
     pub base: Option<u64>,
-    /// VMs of that list that are not there any more, or are otherwise.
+    /// VMs of that list that were removed or have changed.
     pub gone: Vec<SocketAddr>,
-    /// VMs that are there now.
+    /// VMs that were added or have changed.
     pub came: Vec<Fellow>,
 }
 
-/// The addresses of VMs that only one of two lists has, or that they show differently.
+/// The addresses of VMs that differ between two lists, or are in one of them only.
 fn differing(before: &[Fellow], after: &[Fellow]) -> Vec<SocketAddr> {
     let (before, after) = (before.iter().collect(), after.iter().collect());
     let differing = BTreeSet::symmetric_difference(&before, &after);
-    let addresses: BTreeSet<SocketAddr> = differing.map(|one: &&Fellow| one.address).collect();
+    let addresses: BTreeSet<SocketAddr> = differing.map(|peer: &&Fellow| peer.address).collect();
     addresses.into_iter().collect()
 }
 
-/// The VMs of the newest reading that was a lease for this VM, in order.
+/// The VMs, in order, of the newest reading of the store that gave this VM a lease.
 #[derive(Debug, Clone, Default)]
 pub struct Fellows {
     list: Rc<[Fellow]>,
@@ -181,18 +179,18 @@
         &self.list
     }
 
-    /// Tells this list from others; 0 while none is known.
+    /// The digest of this list; 0 while none is known.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Since when this very list is known.
+    /// Since when this list is known.
     pub fn since(&self) -> Time {
         self.since
     }
 
-    /// Takes over a list; returns whether it differs from the one known.
-    pub fn learn(&mut self, mut list: Vec<Fellow>, now: Time) -> bool {
+    /// Replaces the list; returns whether it differs from the previous one.
+    pub fn replace(&mut self, mut list: Vec<Fellow>, now: Time) -> bool {
         list.sort();
         list.dedup();
         if *list == *self.list {
@@ -200,15 +198,15 @@
         }
         let changed = differing(&self.list, &list);
         self.history.note(self.digest, changed);
-        // Plain structs of names and numbers always have an encoding.
+        // Encoding plain structs of names and numbers does not fail.
         self.digest = xxh3_64(&postcard::to_stdvec(&list).unwrap_or_default());
         self.list = list.into();
         self.since = now;
         true
     }
 
-    /// What a VM has to be told that knows the list for which `known` stands.
-    pub fn news_for(&self, known: u64) -> Option<FellowNews> {
+    /// The update for a VM that has the list with the digest `known`; `None` if it is up to date.
+    pub fn update_for(&self, known: u64) -> Option<FellowNews> {
         if known == self.digest && known != 0 {
             return None;
         }
@@ -222,7 +220,7 @@
         let came = self
             .list
             .iter()
-            .filter(|one| changed.contains(&one.address));
+            .filter(|peer| changed.contains(&peer.address));
         Some(FellowNews {
             base: Some(known),
             came: came.cloned().collect(),
@@ -230,99 +228,100 @@
         })
     }
 
-    /// Takes over what another VM told; nothing, if it is about another list than this one.
-    pub fn hear(&mut self, news: FellowNews, now: Time) {
-        let Some(base) = news.base else {
-            self.learn(news.came, now);
+    /// Applies an update from another VM; ignores it if it changes another list than this one.
+    pub fn apply(&mut self, update: FellowNews, now: Time) {
+        let Some(base) = update.base else {
+            self.replace(update.came, now);
             return;
         };
         if base != self.digest {
             return;
         }
-        let stays = |one: &&Fellow| !news.gone.contains(&one.address);
+        let stays = |peer: &&Fellow| !update.gone.contains(&peer.address);
         let mut list: Vec<Fellow> = self.list.iter().filter(stays).cloned().collect();
-        list.extend(news.came);
-        self.learn(list, now);
+        list.extend(update.came);
+        self.replace(list, now);
     }
 }
 
-/// How one database has answered this VM of late.
+/// When one database last answered this VM, and since when it has failed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// How long ago it last answered anything, if it ever did.
+    /// How long ago it last answered, if it ever did.
     pub answered: Option<Span>,
-    /// How long ago the first failure since then was: a connection refused, broken or silent.
+    /// How long ago the first failure after that was: a connection refused, broken or timed out.
     pub failing: Option<Span>,
 }
 
+/// The times from which a [`Report`] is made.
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
+struct Contact {
     answered: Option<Time>,
     failing: Option<Time>,
 }
 
-/// How databases have answered this VM.
+/// When each database last answered this VM or failed.
 #[derive(Debug, Clone, Default)]
 pub struct Reports {
-    seen: BTreeMap<DatabaseId, Seen>,
+    contacts: BTreeMap<DatabaseId, Contact>,
     alarm: Rc<Notify>,
 }
 
 impl Reports {
-    /// A database answered, whatever it said.
+    /// Records that a database answered, with success or not.
     pub fn answered(&mut self, database: &DatabaseId, now: Time) {
-        let seen = self.seen.entry(database.clone()).or_default();
-        seen.answered = Some(now);
-        seen.failing = None;
+        let contact = self.contacts.entry(database.clone()).or_default();
+        contact.answered = Some(now);
+        contact.failing = None;
     }
 
-    /// A connection to a database could not be opened, broke, or stayed silent past its deadline.
+    /// Records that a connection to a database could not be opened, broke, or timed out.
     pub fn failed(&mut self, database: &DatabaseId, now: Time) {
-        let seen = self.seen.entry(database.clone()).or_default();
-        if seen.failing.is_none() {
-            seen.failing = Some(now);
+        let contact = self.contacts.entry(database.clone()).or_default();
+        if contact.failing.is_none() {
+            contact.failing = Some(now);
             self.alarm.notify_one();
         }
     }
 
-    /// How it answered, as of `now`.
+    /// The report on one database as of `now`.
     pub fn report(&self, database: &DatabaseId, now: Time) -> Report {
-        let seen = self.seen.get(database).copied().unwrap_or_default();
+        let contact = self.contacts.get(database).copied().unwrap_or_default();
         Report {
-            answered: seen.answered.map(|at| now.since(at)),
-            failing: seen.failing.map(|at| now.since(at)),
+            answered: contact.answered.map(|at| now.since(at)),
+            failing: contact.failing.map(|at| now.since(at)),
         }
     }
 
-    /// Forgets databases that are not registered any more.
+    /// Drops databases that are no longer registered.
     pub fn retain(&mut self, keep: impl Fn(&DatabaseId) -> bool) {
-        self.seen.retain(|database, _| keep(database));
+        self.contacts.retain(|database, _| keep(database));
     }
 
-    /// Rings when a database that answered begins to fail, so that the steward is told at once.
+    /// Notified when a database begins to fail, so that it is reported to the steward at once.
     pub fn alarm(&self) -> Rc<Notify> {
         self.alarm.clone()
     }
 
-    /// All databases that were tried, as of `now`.
+    /// The reports on all databases that were tried, as of `now`.
     pub fn all(&self, now: Time) -> Vec<(DatabaseId, Report)> {
-        let all = self.seen.keys();
+        let all = self.contacts.keys();
         all.map(|id| (id.clone(), self.report(id, now))).collect()
     }
 }
 
-/// Work on primaries that has started and is not over, by group and epoch. A replacement that is
-/// planned waits for it.
+/// Counts of statements and transactions in progress on primaries, by group and epoch. A planned
+/// replacement waits for them.
 #[derive(Debug, Clone, Default)]
 pub struct Work(BTreeMap<(GroupId, Epoch), u32>);
 
 impl Work {
-    /// Something starts.
+    /// Records that a statement or transaction starts.
     pub fn start(&mut self, group: &GroupId, epoch: Epoch) {
         *self.0.entry((group.clone(), epoch)).or_default() += 1;
     }
 
-    /// Something is over.
+    /// Records that a statement or transaction has ended.
     pub fn end(&mut self, group: &GroupId, epoch: Epoch) {
         let key = (group.clone(), epoch);
         if let Some(count) = self.0.get_mut(&key) {
@@ -333,12 +332,12 @@
         }
     }
 
-    /// Whether anything is under way at all.
+    /// Whether any work is in progress.
     pub fn is_any(&self) -> bool {
         !self.0.is_empty()
     }
 
-    /// Whether anything is under way in this epoch, or in one before.
+    /// Whether work is in progress in this epoch of a group, or in an earlier one.
     pub fn is_under_way(&self, group: &GroupId, epoch: Epoch) -> bool {
         let up_to = (group.clone(), Epoch::MIN)..=(group.clone(), epoch);
         self.0.range(up_to).next().is_some()
--- a/tests/direct_history.rs
+++ b/tests/direct_history.rs
@@ -71,12 +71,12 @@
     fn same(lists: Vec<(Vec<u8>, bool)>) -> bool {
         let (mut here, mut there) = (Fellows::default(), Fellows::default());
         for (list, asks) in lists {
-            here.learn(list.into_iter().map(fellow).collect(), NOW);
+            here.replace(list.into_iter().map(fellow).collect(), NOW);
             if !asks {
                 continue;
             }
-            if let Some(news) = here.news_for(there.digest()) {
-                there.hear(news, NOW);
+            if let Some(news) = here.update_for(there.digest()) {
+                there.apply(news, NOW);
             }
             if here.list() != there.list() {
                 return false;
@@ -97,13 +97,13 @@
         numbers.map(fellow).collect::<Vec<_>>()
     };
     let mut here = Fellows::default();
-    here.learn(fellows(None), NOW);
+    here.replace(fellows(None), NOW);
     let known = here.digest();
-    here.learn(fellows(Some(7)), NOW);
-    let news = here.news_for(known).unwrap();
+    here.replace(fellows(Some(7)), NOW);
+    let news = here.update_for(known).unwrap();
     assert_eq!((news.came.len(), news.gone.len()), (0, 1));
-    assert_eq!(here.news_for(here.digest()), None);
-    assert_eq!(here.news_for(12_345).unwrap().came.len(), 250);
+    assert_eq!(here.update_for(here.digest()), None);
+    assert_eq!(here.update_for(12_345).unwrap().came.len(), 250);
 }
 
 /// The same for databases.
--- a/tests/direct_quota.rs
+++ b/tests/direct_quota.rs
@@ -1,10 +1,10 @@
-//! Allowances: what keepers hand out, and what all VMs spend of it together.
+//! Allowances: the tokens that allocators grant, and the operations that all VMs run together.
 
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::direct::identity::{Allowance, Rate};
-use lentilspoke::direct::quota::bucket::{Bucket, Share, TERM};
-use lentilspoke::direct::quota::keeper::{KEEPERS, keepers};
-use lentilspoke::direct::quota::purse::{Purse, Token};
+use lentilspoke::direct::quota::allocator::{MAX_ALLOCATORS, allocators};
+use lentilspoke::direct::quota::bucket::{Bucket, Share, TOKEN_VALIDITY};
+use lentilspoke::direct::quota::cache::{Cache, Token};
 use lentilspoke::direct::view::Fellow;
 use lentilspoke::types::{Cores, OrganisationId};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -13,7 +13,7 @@
 
 const START: Time = Time(1_000_000_000);
 
-/// The span that the users judge by.
+/// The span over which users check the limit.
 const WINDOW: Span = Span::from_secs(5);
 
 fn allowance(rate: u64, burst: u32) -> Allowance {
@@ -58,43 +58,46 @@
 }
 
 #[test]
-fn each_region_has_a_keeper() {
+fn each_region_has_an_allocator() {
     let fellows = fellows(85);
-    let mut kept = BTreeMap::<SocketAddr, usize>::new();
+    let mut shares = BTreeMap::<SocketAddr, usize>::new();
     for number in 0..85 {
-        let keepers = keepers(&fellows, &id(&format!("o{number}")), KEEPERS, region);
+        let allocators = allocators(&fellows, &id(&format!("o{number}")), MAX_ALLOCATORS, region);
         let of = |relay| fellows.iter().find(|one| one.relay == Some(relay)).unwrap();
-        let mut regions: Vec<_> = keepers.iter().map(|relay| region(of(*relay))).collect();
+        let mut regions: Vec<_> = allocators.iter().map(|relay| region(of(*relay))).collect();
         regions.sort_unstable();
         assert_eq!(regions, ["east", "south", "west"]);
-        for keeper in keepers {
-            *kept.entry(keeper).or_default() += 1;
+        for allocator in allocators {
+            *shares.entry(allocator).or_default() += 1;
         }
     }
-    // 255 parts of allowances over 85 VMs: none has more than a few.
-    assert!(kept.values().max() <= Some(&12), "{kept:?}");
+    // 255 shares over 85 VMs: none has more than a few.
+    assert!(shares.values().max() <= Some(&12), "{shares:?}");
 }
 
 #[test]
-fn a_burst_of_one_has_one_keeper() {
-    assert_eq!(keepers(&fellows(85), &id("o1"), 1, region).len(), 1);
-    assert_eq!(keepers(&fellows(2), &id("o1"), KEEPERS, region).len(), 2);
-    assert!(keepers(&[], &id("o1"), KEEPERS, region).is_empty());
+fn a_burst_of_one_has_one_allocator() {
+    assert_eq!(allocators(&fellows(85), &id("o1"), 1, region).len(), 1);
+    assert_eq!(
+        allocators(&fellows(2), &id("o1"), MAX_ALLOCATORS, region).len(),
+        2
+    );
+    assert!(allocators(&[], &id("o1"), MAX_ALLOCATORS, region).is_empty());
 }
 
-/// A VM ends: only organisations that it kept get another keeper, and only in its place.
+/// When a VM leaves, only organisations of which it was an allocator get another one, and only in its place.
 #[test]
-fn few_keepers_change_with_a_vm() {
+fn few_allocators_change_with_a_vm() {
     let all = fellows(85);
     let mut fewer = all.clone();
     let gone = fewer.remove(40).relay.unwrap();
     for number in 0..85 {
         let organisation = id(&format!("o{number}"));
-        let before = keepers(&all, &organisation, KEEPERS, region);
-        let after = keepers(&fewer, &organisation, KEEPERS, region);
+        let before = allocators(&all, &organisation, MAX_ALLOCATORS, region);
+        let after = allocators(&fewer, &organisation, MAX_ALLOCATORS, region);
         let kept = before
             .iter()
-            .filter(|keeper| after.contains(keeper))
+            .filter(|allocator| after.contains(allocator))
             .count();
         let expected = before.len() - usize::from(before.contains(&gone));
         assert_eq!(kept, expected);
@@ -107,19 +110,19 @@
     assert_eq!(bucket.grant(1, 0, at(0)).count, 0);
     assert_eq!(bucket.grant(1, 0, at(0)).retry, Span::from_millis(100));
     assert_eq!(bucket.grant(9, 0, at(500)).count, 5);
-    // At most the burst, however long it rests.
+    // At max the burst, however long it is unused.
     assert_eq!(bucket.grant(99, 0, at(60_000)).count, 20);
 }
 
-/// Half of a bucket was handed out for later when all of its holders spend it at once: what lies in the
-/// bucket then is smaller by as much, so that both together are never more than the burst.
+/// Prefetched tokens may all be spent at once. The bucket then holds fewer tokens by as many, so that both
+/// together never exceed the burst.
 #[test]
-fn what_is_out_counts_against_the_burst() {
+fn outstanding_tokens_count_against_the_burst() {
     let mut bucket = Bucket::new(Share::of(allowance(10, 40), 1), at(0));
     let first = bucket.grant(1, 20, at(10_000));
-    assert_eq!((first.count, first.within), (10, TERM));
+    assert_eq!((first.count, first.within), (10, TOKEN_VALIDITY));
     assert_eq!(bucket.grant(99, 0, at(11_900)).count, 31);
-    // The room that unspent tokens leave fills by the rate.
+    // The capacity that expired tokens free fills by the rate.
     assert_eq!(bucket.grant(99, 0, at(12_000)).count, 1);
 }
 
@@ -132,55 +135,56 @@
 }
 
 #[test]
-fn a_purse_asks_for_what_it_spends() {
-    let mut purse = Purse::default();
-    assert!(purse.take(at(0)).is_none());
+fn a_cache_prefetches_what_it_spends() {
+    let mut cache = Cache::default();
+    assert!(cache.take(at(0)).is_none());
     let mut bucket = Bucket::new(
         Share::of(allowance(100, 100), 1),
         START - Span::from_secs(10),
     );
     for turn in 0..4 {
         let now = at(turn * 100);
-        purse.put(bucket.grant(1, purse.spare(), now), now);
-        assert!(purse.take(now).is_some());
+        cache.add(bucket.grant(1, cache.prefetch(), now), now);
+        assert!(cache.take(now).is_some());
     }
-    assert_eq!(purse.spare(), 4);
-    // All that is left ends with its term, and what was spent is forgotten.
-    assert!(purse.take(at(3_000)).is_none());
-    assert_eq!(purse.spare(), 0);
+    assert_eq!(cache.prefetch(), 4);
+    // The remaining tokens expire, and the spent ones are no longer counted.
+    assert!(cache.take(at(3_000)).is_none());
+    assert_eq!(cache.prefetch(), 0);
 }
 
-/// One thing that happens to a fleet.
+/// One event in a group of VMs.
 #[derive(Debug, Clone, Copy)]
-enum Happening {
-    /// An operation comes at a VM.
-    Comes(usize),
-    /// A VM is killed and starts again with nothing.
-    Restarts(usize),
-    /// A VM stands still for a while, and then goes on as if nothing had been.
-    Stands(usize),
+enum Event {
+    /// An operation arrives at a VM.
+    Operation(usize),
+    /// A VM is killed and restarts without state.
+    Restart(usize),
+    /// A VM freezes for a while, and then goes on with its state.
+    Freeze(usize),
 }
 
 #[derive(Debug, Clone)]
-struct Day(Vec<(u8, Happening)>);
+/// Events, each after a pause in milliseconds.
+struct Schedule(Vec<(u8, Event)>);
 
 const VMS: usize = 6;
 
-impl Arbitrary for Day {
+impl Arbitrary for Schedule {
     fn arbitrary(random: &mut Gen) -> Self {
-        let happening = |random: &mut Gen| {
+        let event = |random: &mut Gen| {
             let vm = usize::arbitrary(random) % VMS;
             match u8::arbitrary(random) {
-                0..3 => Happening::Restarts(vm),
-                3..5 => Happening::Stands(vm),
-                _ => Happening::Comes(vm),
+                0..3 => Event::Restart(vm),
+                3..5 => Event::Freeze(vm),
+                _ => Event::Operation(vm),
             }
         };
-        let mut day = Vec::new();
+        let mut events = Vec::new();
         for _ in 0..4_000 {
-            day.push((u8::arbitrary(random) / 8, happening(random)));
+            events.push((u8::arbitrary(random) / 8, event(random)));
         }
-        Self(day)
+        Self(events)
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
@@ -188,48 +192,48 @@
     }
 }
 
-impl Arbitrary for Happening {
+impl Arbitrary for Event {
     fn arbitrary(random: &mut Gen) -> Self {
-        Self::Comes(usize::arbitrary(random) % VMS)
+        Self::Operation(usize::arbitrary(random) % VMS)
     }
 }
 
-/// A VM of the fleet: it spends, and the first three keep a third of the allowance each.
+/// A VM: each spends tokens, and the first three also allocate a third of the allowance each.
 struct Vm {
-    purse: Purse,
+    cache: Cache,
     bucket: Bucket,
-    /// Until when it stands still.
-    stands: Time,
+    /// Until when it is frozen.
+    frozen_until: Time,
 }
 
-/// What is spent of an allowance over a day, and when.
-fn play(day: &Day, allowance: Allowance) -> Vec<Time> {
+/// When each operation of a schedule that received a token ran.
+fn play(schedule: &Schedule, allowance: Allowance) -> Vec<Time> {
     let mut now = START;
     let new = |allowance, now| Vm {
-        purse: Purse::default(),
-        bucket: Bucket::new(Share::of(allowance, KEEPERS), now),
-        stands: now,
+        cache: Cache::default(),
+        bucket: Bucket::new(Share::of(allowance, MAX_ALLOCATORS), now),
+        frozen_until: now,
     };
     let mut vms: Vec<Vm> = (0..VMS).map(|_| new(allowance, now)).collect();
     let mut spent = Vec::new();
-    for (pause, happening) in &day.0 {
+    for (pause, event) in &schedule.0 {
         now = now + Span::from_millis(u64::from(*pause));
-        match *happening {
-            Happening::Restarts(vm) => vms[vm] = new(allowance, now),
-            Happening::Stands(vm) => vms[vm].stands = now + Span::from_secs(3),
-            Happening::Comes(vm) if now < vms[vm].stands => {}
-            Happening::Comes(vm) => {
-                let mut token: Option<Token> = vms[vm].purse.take(now);
-                for keeper in 0..KEEPERS {
-                    if token.is_some() || now < vms[keeper].stands {
+        match *event {
+            Event::Restart(vm) => vms[vm] = new(allowance, now),
+            Event::Freeze(vm) => vms[vm].frozen_until = now + Span::from_secs(3),
+            Event::Operation(vm) if now < vms[vm].frozen_until => {}
+            Event::Operation(vm) => {
+                let mut token: Option<Token> = vms[vm].cache.take(now);
+                for allocator in 0..MAX_ALLOCATORS {
+                    if token.is_some() || now < vms[allocator].frozen_until {
                         continue;
                     }
-                    let spare = vms[vm].purse.spare();
-                    let bucket = &mut vms[keeper].bucket;
-                    bucket.resize(Share::of(allowance, KEEPERS), now);
-                    let grant = bucket.grant(1, spare, now);
-                    vms[vm].purse.put(grant, now);
-                    token = vms[vm].purse.take(now);
+                    let prefetch = vms[vm].cache.prefetch();
+                    let bucket = &mut vms[allocator].bucket;
+                    bucket.resize(Share::of(allowance, MAX_ALLOCATORS), now);
+                    let grant = bucket.grant(1, prefetch, now);
+                    vms[vm].cache.add(grant, now);
+                    token = vms[vm].cache.take(now);
                 }
                 spent.extend(token.map(|_| now));
             }
@@ -238,49 +242,50 @@
     spent
 }
 
-fn most_in_a_window(spent: &[Time]) -> usize {
+fn max_in_a_window(spent: &[Time]) -> usize {
     let mut from = 0;
-    let mut most = 0;
+    let mut max = 0;
     for (to, last) in spent.iter().enumerate() {
         while spent[from] + WINDOW <= *last {
             from += 1;
         }
-        most = most.max(to + 1 - from);
+        max = max.max(to + 1 - from);
     }
-    most
+    max
 }
 
-/// An organisation asks for far more than it may, by way of six VMs that are killed, stand still and go
-/// on, for a minute. Whatever comes when, no five seconds see more than the rate and the burst allow:
-/// not by a hair's breadth, though the users would let a tenth more pass.
+/// An organisation sends far more than its allowance for a minute, through six VMs that are killed and
+/// restarted, or freeze and go on. In no five seconds does more run than the rate and the burst allow,
+/// although users would accept a tenth more.
 #[test]
 fn no_window_sees_more_than_the_allowance() {
-    fn holds(day: Day, rate: u8, burst: u8) -> bool {
+    fn holds(schedule: Schedule, rate: u8, burst: u8) -> bool {
         let (rate, burst) = (u64::from(rate) + 1, u32::from(burst));
-        let spent = play(&day, allowance(rate, burst));
-        most_in_a_window(&spent) as u64 <= rate * 5 + u64::from(burst)
+        let spent = play(&schedule, allowance(rate, burst));
+        max_in_a_window(&spent) as u64 <= rate * 5 + u64::from(burst)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(64, 11))
         .tests(60)
-        .quickcheck(holds as fn(Day, u8, u8) -> bool);
+        .quickcheck(holds as fn(Schedule, u8, u8) -> bool);
 }
 
-/// An organisation sends half of what it may, in no order, through all VMs alike. Nearly nothing is
-/// refused, though each VM has a few operations a second and no VM sees what the others do.
+/// An organisation sends half of its allowance at random through all VMs alike. Nearly nothing is refused,
+/// though each VM has a few operations a second and none knows what the others run.
 #[test]
 fn little_is_refused_below_the_allowance() {
     let mut random = Gen::from_size_and_seed(64, 12);
-    let (mut came, mut ran) = (0, 0);
+    let (mut sent, mut ran) = (0, 0);
     for _ in 0..20 {
-        let mut day = Day::arbitrary(&mut random);
-        day.0
-            .retain(|(_, happening)| matches!(happening, Happening::Comes(_)));
-        let lasted: u64 = day.0.iter().map(|(pause, _)| u64::from(*pause)).sum();
-        let rate = day.0.len() as u64 * 1_000 / lasted;
-        came += day.0.len();
-        // The first second finds empty buckets.
-        ran += play(&day, allowance(rate * 2, (rate * 2) as u32)).len();
+        let mut schedule = Schedule::arbitrary(&mut random);
+        schedule
+            .0
+            .retain(|(_, event)| matches!(event, Event::Operation(_)));
+        let lasted: u64 = schedule.0.iter().map(|(pause, _)| u64::from(*pause)).sum();
+        let rate = schedule.0.len() as u64 * 1_000 / lasted;
+        sent += schedule.0.len();
+        // In the first second the buckets are still empty.
+        ran += play(&schedule, allowance(rate * 2, (rate * 2) as u32)).len();
     }
-    assert!(ran * 100 >= came * 98, "{ran} of {came}");
+    assert!(ran * 100 >= sent * 98, "{ran} of {sent}");
 }
--- a/tests/direct_relay.rs
+++ b/tests/direct_relay.rs
@@ -1,4 +1,4 @@
-//! Failures of owners of connections, each played in a world of more VMs than have their own.
+//! Failures of VMs that own connections, each simulated with more VMs than a database has connections for.
 
 mod scene;
 
@@ -24,7 +24,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Six VMs before databases that take eleven connections each: three of them own each database.
+/// Six VMs and databases that accept eleven connections each: three VMs own each database.
 fn crowded() -> Setup {
     Setup {
         vms: 6,
@@ -33,7 +33,7 @@
     }
 }
 
-/// The VM that connected to a database most often, the steward's own sessions apart.
+/// The VM that connected to a database most often, without the steward, which has sessions of its own.
 fn owner(scene: &Scene, of: &str) -> VmId {
     let steward = scene.steward();
     let mut opened: Vec<_> = scene.openings(&db(of)).into_iter().collect();
@@ -42,10 +42,10 @@
     opened[0].0.clone()
 }
 
-/// Callers of all kinds call on six VMs, and a database sees the connections of its three owners
-/// and of the steward only. Nothing is refused.
+/// Callers of all kinds use six VMs, but a database receives connections from its three owners and the
+/// steward only. Nothing is refused.
 #[test]
-fn databases_see_their_owners_only() {
+fn only_owners_connect_to_databases() {
     play(crowded(), |scene| async move {
         let told = scene.passes().await.told;
         let refused: Vec<_> = scene
@@ -61,8 +61,8 @@
     });
 }
 
-/// An owner of the primary is killed while it runs statements of other VMs. Writes under way there
-/// are unknown to their callers; those that come later go through another owner at once.
+/// An owner of the primary is killed while it runs statements of other VMs. Writes in progress there have an
+/// unknown outcome; later ones go through another owner at once.
 #[test]
 fn an_owner_is_killed() {
     play(crowded(), |scene| async move {
@@ -75,9 +75,8 @@
     });
 }
 
-/// An owner freezes for 4 s with statements of other VMs under way. Their callers are told at the
-/// latest when the statement's time is over, reads are run elsewhere after 0.4 s, and from then on
-/// the owner is passed over.
+/// An owner freezes for 4 s while it runs statements of other VMs. Their callers get an answer at the latest
+/// at the statement's timeout, reads are run elsewhere after 0.4 s, and from then on the owner is avoided.
 #[test]
 fn an_owner_freezes() {
     play(crowded(), |scene| async move {
@@ -104,8 +103,8 @@
     });
 }
 
-/// An owner is asked to stop. It takes no new statements of other VMs, ends those under way, and
-/// lets transactions of their callers go on for half of its time: nobody is told an error.
+/// An owner is asked to stop. It accepts no new statements of other VMs, completes those in progress, and
+/// lets open transactions go on for half of its grace period: no caller gets an error.
 #[test]
 fn an_owner_stops() {
     play(crowded(), |scene| async move {
@@ -118,10 +117,10 @@
     });
 }
 
-/// An owner is cut from its database, and serves other VMs all the same: they go through another
+/// An owner loses its connection to its database, but still answers other VMs: they go through another
 /// owner, and the primary is not replaced.
 #[test]
-fn an_owner_is_cut_from_its_database() {
+fn an_owner_is_cut_off_from_its_database() {
     play(crowded(), |scene| async move {
         scene.until(5_000).await;
         let cut = owner(&scene, "db0a");
@@ -133,9 +132,8 @@
     });
 }
 
-/// A VM that relays all its statements is killed in the midst of its callers' transactions. Their
-/// owner rolls them back when the stream ends, so that nothing of them is kept and their connections
-/// are free.
+/// A VM that sends all its statements to owners is killed during its callers' transactions. The owner rolls
+/// them back when the stream ends, so that none of their writes remain and their connections are freed.
 #[test]
 fn a_vm_with_transactions_at_owners_is_killed() {
     play(crowded(), |scene| async move {
@@ -147,12 +145,12 @@
     });
 }
 
-/// An owner is asked to stop while a caller of another VM rests in a transaction there, and streams of
-/// other VMs are idle. Those are told that nothing is taken any more; half of the time later the
-/// transaction is rolled back. A lock that was held since the first step stopped the whole process
-/// at the second one (found by the soak, seed 11, which stood still).
+/// An owner is asked to stop while a caller of another VM is idle in a transaction there, and streams of
+/// other VMs are idle. These are informed that no more requests are taken; after half of the grace period
+/// the transaction is rolled back. A lock that was held since the first stage of the stop blocked the whole
+/// process at the second one (the soak with seed 11 hung).
 #[test]
-fn an_owner_stops_while_a_transaction_rests_there() {
+fn an_owner_stops_during_an_idle_transaction() {
     for number in 1..=6 {
         play(crowded(), |scene| async move {
             let stopped = vm(&format!("vm{number}"));
@@ -161,7 +159,7 @@
             let ending = scene.rest_in_transactions("primary0", &stopped).await;
             scene.until(4_900).await;
             for mut session in ending {
-                // The stream that it leaves is one too many, and stays idle.
+                // Its stream is then not needed by any other session, and stays idle.
                 assert!(session.say("rollback").await.is_ok());
             }
             let stop = Fault::Stop(stopped, Span::from_secs(6));
@@ -172,11 +170,11 @@
     }
 }
 
-/// A primary that most VMs reach by way of others goes dark. What those say of their queues is no
-/// word of the primary: it is replaced about as soon as where every VM has its own connections,
-/// and callers are told meanwhile that it does not serve.
+/// A primary that most VMs reach through owners becomes unreachable. The owners' replies about their queues
+/// do not count as answers of the primary: it is replaced about as soon as if every VM had its own
+/// connections, and callers meanwhile get the answer that it does not serve.
 #[test]
-fn a_dark_primary_behind_owners_is_replaced() {
+fn an_unreachable_primary_behind_owners_is_replaced() {
     play(crowded(), |scene| async move {
         let dark = Fault::Dark(Node::Database(db("db0a")));
         scene.fault(dark, 5_000, 16_000).await;
@@ -187,8 +185,8 @@
     });
 }
 
-/// An owner that has just started is asked for a database that it has not heard of. It says so, and not
-/// that the database refused: whoever asked goes on to another owner, or connects by itself.
+/// An owner that has just started gets a request for a database that it does not know. It replies that, not a
+/// refusal by the database, so that the asking VM tries another owner or connects itself.
 #[actix_rt::test]
 async fn an_owner_does_not_know_the_database_yet() {
     let (near, far) = tokio::io::duplex(4_096);
--- a/tests/direct_tenure.rs
+++ b/tests/direct_tenure.rs
@@ -1,4 +1,4 @@
-//! Who may hand out an allowance: worlds whose VMs are cut in two while an organisation asks for more than it may.
+//! Allocators of allowances in network partitions, while organisations send more than their allowance.
 
 mod scene;
 
@@ -14,7 +14,7 @@
 
 const VMS: usize = 12;
 
-/// Each is kept by other VMs, so that some have all of their keepers on one side.
+/// Each has other allocators, so that some have all of theirs on one side.
 const ORGANISATIONS: usize = 8;
 
 const ALLOWANCE: Allowance = Allowance {
@@ -22,9 +22,9 @@
     burst: 60,
 };
 
-/// What five seconds may see: five times the rate, and the burst.
 const WINDOW: Duration = Duration::from_secs(5);
-const MOST: usize = 210;
+/// Operations allowed within [`WINDOW`]: five times the rate, and the burst.
+const MAX_OPERATIONS: usize = 210;
 
 fn world() -> Setup {
     Setup {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Cuts some VMs from all others and from the store, but from no database.
+/// Cuts some VMs off from all others and from the store, but from no database.
 fn cut(some: &[VmId], all: &[VmId]) -> Vec<Fault> {
     let others = all.iter().filter(|vm| !some.contains(vm));
     let far = others.map(|vm| Node::Vm(vm.clone())).chain([Node::Store]);
@@ -44,16 +44,16 @@
     some.iter().map(sever).collect()
 }
 
-/// Asks for all that each organisation can have through a VM.
-async fn press(scene: &Scene, vm: &VmId) {
+/// Sends as many operations of each organisation through a VM as are answered.
+async fn saturate(scene: &Scene, vm: &VmId) {
     for number in 0..ORGANISATIONS {
         let mut session = scene.session("bounded0", vm, &format!("key{number}")).await;
         tokio::task::spawn_local(async move { while session.say("read i1").await.is_ok() {} });
     }
 }
 
-/// The most operations of one organisation that ran within five seconds, and when these began.
-fn most(scene: &Scene) -> (usize, Duration) {
+/// The most operations of one organisation that ran within [`WINDOW`], and when that window began.
+fn busiest_window(scene: &Scene) -> (usize, Duration) {
     let book = scene.book();
     let mut ran = BTreeMap::<&str, Vec<Instant>>::new();
     for run in &book.runs {
@@ -74,7 +74,7 @@
         scene.until(2_000).await;
         let all = scene.world.running();
         for vm in &all {
-            press(&scene, vm).await;
+            saturate(&scene, vm).await;
         }
         scene.until(6_000).await;
         let faults = cut(&some(&scene), &all);
@@ -82,18 +82,21 @@
         scene.until(18_000).await;
         faults.iter().for_each(|fault| fault.end(&scene.world));
         scene.until(30_000).await;
-        let (most, from) = most(&scene);
-        assert!(most <= MOST, "{most} operations in 5 s from {from:?} on");
+        let (most, from) = busiest_window(&scene);
+        assert!(
+            most <= MAX_OPERATIONS,
+            "{most} operations in 5 s from {from:?} on"
+        );
     });
 }
 
-/// Guards against two sides of a cut that both hand out what the keepers on the lesser side had.
+/// Guards against both sides of a partition granting the shares of the allocators on the minority side.
 #[test]
 fn a_third_is_cut_off() {
     play_cut(|_| ["vm2", "vm5", "vm6", "vm9"].map(vm).to_vec());
 }
 
-/// The same, with the steward on the lesser side, which goes on to hear all VMs there.
+/// The same with the steward on the minority side, where it still receives heartbeats from all VMs.
 #[test]
 fn a_third_is_cut_off_with_the_steward() {
     play_cut(|scene| {
@@ -109,7 +112,7 @@
     });
 }
 
-/// The same with more than half of the VMs on the side that the store does not answer.
+/// The same with more than half of the VMs on the side that is cut off from the store.
 #[test]
 fn most_are_cut_off() {
     play_cut(|_| (1..=8).map(|number| vm(&format!("vm{number}"))).collect());
