--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -1,5 +1,5 @@
-//! What VMs ask each other. Each question is one call and its answer; time on the way counts
-//! against whoever asked, so no clock of another VM is ever trusted.
+//! The questions that VMs ask each other, and their answers. Each question is one call. The asking VM counts
+//! ages from the time of its call, so that it need not trust another VM's clock.
 
 use crate::clock::Span;
 use crate::direct::adapter::Later;
@@ -19,159 +19,158 @@
 pub enum Question {
     /// A heartbeat to the steward, or to any VM while none is known.
     Beat(Beat),
-    /// Tell what the store holds, as read a moment ago at most: asked of a VM that reads for others.
+    /// Asks a VM that reads the store for others for its content, as read a moment ago at most.
     Read(Beat),
-    /// Write the asking VM's row together with others, and tell what a reading after that shows.
+    /// Asks to write the asking VM's row together with others, and for a reading made after that.
     Enroll {
-        /// What it knows.
+        /// The asking VM's state.
         beat: Beat,
-        /// Where it relays other VMs' statements, if it does.
+        /// The address at which it relays other VMs' statements, if it does.
         relay: Option<SocketAddr>,
         /// Its failure domain.
         domain: Domain,
-        /// The processor that it has.
+        /// Its processor cores.
         cores: Cores,
-        /// The version that its row must have, as it was told.
+        /// The version that its row must have, as known to the asking VM.
         expect: table::Version,
     },
-    /// Give up this epoch of a group, once work on its primary is over or `patience` is.
+    /// Asks to release an epoch of a group, once work on its primary has ended or the timeout has passed.
     Drop {
         /// The group.
         group: GroupId,
-        /// The epoch, and all before it.
+        /// The epoch; all before it are released too.
         epoch: Epoch,
-        /// How long work under way may take to end.
+        /// How long to wait for the end of work in progress.
         patience: Span,
     },
-    /// The steward hands its duties over as it stops.
+    /// Sent by a steward that stops, to hand over its duty.
     HandOver {
         /// The fencing token that it held.
         token: u64,
-        /// The version of the duty's row for which this counts.
+        /// The version of the duty's row for which this is valid.
         version: table::Version,
     },
-    /// Which epochs do you vouch for: asked while the store or the steward is not heard.
+    /// Asks which epochs the VM confirms, to extend leases while the store or the steward does not answer.
     Vouch,
-    /// Make a call of the store for a VM that the store turns away.
+    /// Asks to call the store on behalf of a VM that the store refuses.
     Store {
         /// The call.
         ask: table::Ask,
-        /// How long its answer may take.
+        /// The timeout of the call.
         within: Span,
     },
-    /// There is something new, or a new steward: send it a heartbeat at once.
+    /// Asks to send a heartbeat to the steward at once: it is new, or has an update.
     Nudge {
-        /// Where the steward listens.
+        /// The address at which the steward listens.
         address: SocketAddr,
         /// Its fencing token.
         token: u64,
     },
 }
 
-/// What a VM tells with a heartbeat.
+/// The state that a VM sends with a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Beat {
-    /// Who asks.
+    /// The asking VM.
     pub vm: VmId,
     /// Its life.
     pub life: Life,
-    /// Where it listens for other VMs.
+    /// The address at which it listens for other VMs.
     pub address: SocketAddr,
-    /// The configuration that it has in force.
+    /// The version of its configuration in force.
     pub config: Version,
-    /// What it has of a newer one.
+    /// The parts of a newer configuration that it has received.
     pub gathered: Option<Gathered>,
-    /// Whether what is long may be told: a part of a newer configuration, all of the register. Asked of a VM
-    /// near by.
+    /// Whether the answer may be long: a part of a newer configuration, or the whole register. Set when the
+    /// asked VM is near by.
     pub whole: bool,
     /// The digest of the register that it has.
     pub register: u64,
-    /// The digest of the VMs that it knows.
+    /// The digest of its list of VMs.
     pub fellows: u64,
-    /// The digest of who leads, as far as it knows.
+    /// The digest of the leads that it knows.
     pub leads: u64,
-    /// How databases have answered it.
+    /// When databases last answered it or failed.
     pub reports: Vec<(DatabaseId, Report)>,
 }
 
-/// An answer.
+/// The answer to a [`Question`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// To a heartbeat, and to a VM whose row was written.
+    /// To `Beat`, `Read` and `Enroll`.
     News(Box<News>),
-    /// To a drop: it is given up, by this life of the VM.
+    /// To `Drop`: this life of the VM has released the epoch.
     Dropped(Life),
-    /// To a vouch: what this life of the VM has neither dropped nor sees being replaced.
+    /// To `Vouch`: the epochs that this life of the VM has not released and does not know to be replaced.
     Vouched(Life, Vec<(GroupId, Epoch)>),
-    /// To a hand-over: whether the duty was taken.
+    /// To `HandOver`: whether the duty was taken.
     Taken(bool),
-    /// To a call of the store: what it answered the VM that was asked.
+    /// To `Store`: what the store answered the VM that was asked.
     Stored(Result<table::Told, table::Fault>),
-    /// To a nudge.
+    /// To `Nudge`.
     Noted,
-    /// Made on the asking side, never sent: the connection was refused, so no process listens
-    /// there. A VM listens before it registers, so the life that is registered has ended.
+    /// Never sent, but made by the asking VM: the connection was refused, so no process listens there. A VM
+    /// listens before it registers, so the registered life has ended.
     Absent,
 }
 
-/// What a VM is told with the answer to its heartbeat.
+/// The content of the answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct News {
     /// The life of the VM that answers.
     pub life: Life,
-    /// The store's era as it knows it, and for how long.
+    /// The store's era as the answering VM knows it, and for how long it has known it.
     pub era: Option<(table::Era, Span)>,
     /// Whether it is the steward.
     pub steward: bool,
-    /// Whether it is the steward, and hears most of the VMs that are registered.
+    /// Whether it is the steward, and receives heartbeats from a majority of the registered VMs.
     pub hears_most: bool,
-    /// Which steward it follows, if it knows one.
+    /// The steward that it follows, if it knows one.
     pub duty: Option<Heard>,
-    /// Whether the reading shows the asking VM's row. If not, no leads are told, and it has to
-    /// register.
+    /// Whether the reading shows the asking VM's row. If not, no leads are sent, and it has to register.
     pub member: bool,
-    /// How the asking VM's row stands in the newest reading, if there is one.
+    /// The asking VM's row in the newest reading, if there is one.
     pub listed: Option<Listed>,
-    /// Who leads, by a reading that shows the asking VM's row.
+    /// The leads, from a reading that shows the asking VM's row.
     pub leads: Option<Leads>,
-    /// How far primaries have come, as this VM was last answered.
+    /// The log positions of primaries, as of their last answers to this VM.
     pub fresh: Vec<Progress>,
-    /// The VMs of that reading, if they differ from those told.
+    /// The VMs of that reading, if they differ from those that the asking VM knows.
     pub fellows: Option<FellowNews>,
-    /// Which configuration the answering VM has in force.
+    /// The version of the answering VM's configuration in force.
     pub newest: Version,
-    /// What that configuration has and the asking VM does not, if that is short, or a part of it was asked for.
+    /// The entries of that configuration that the asking VM lacks, if they are few or a part was asked for.
     pub config: Option<Part>,
-    /// The register, if it differs from the one told.
+    /// The register, if it differs from the one that the asking VM has.
     pub register: Option<RegisterNews>,
 }
 
-/// The register, or what changed of it.
+/// The register of databases, or its changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegisterNews {
     /// How old the reading was when this answer was made.
     pub age: Span,
-    /// What stands for it.
+    /// Its digest.
     pub digest: u64,
-    /// What it holds; none where that is long: then it is read from the store.
+    /// Its content; `None` if that is long: then the asking VM reads it from the store.
     pub content: Option<Content>,
 }
 
-/// What a register holds.
+/// The content of a register.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
     /// All databases.
     All(Vec<Database>),
-    /// What differs from the one that the asking VM has.
+    /// The changes to the one that the asking VM has.
     Changes {
-        /// Databases that are not there any more.
+        /// Databases that were removed.
         gone: Vec<DatabaseId>,
-        /// Databases that came or changed.
+        /// Databases that were added or have changed.
         came: Vec<Database>,
     },
 }
 
-/// How a VM's row stands in a reading.
+/// A VM's row in a reading of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
     /// The row's version.
@@ -180,30 +179,29 @@
     pub age: Span,
 }
 
-/// What a reading of the store showed of who leads.
+/// The leads that a reading of the store showed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leads {
     /// How old the reading was when this answer was made.
     pub age: Span,
-    /// The digest of what it showed.
+    /// The digest of these leads.
     pub digest: u64,
-    /// What it showed, if that differs from what the asking VM knew: all of it, or what has changed
-    /// since.
+    /// The leads, if they differ from those that the asking VM has: all of them, or those that have changed.
     pub rows: Option<Vec<(GroupId, Lead)>>,
 }
 
 /// A steward, as another VM knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heard {
-    /// Where it listens for other VMs.
+    /// The address at which it listens for other VMs.
     pub address: SocketAddr,
     /// Its fencing token.
     pub token: u64,
-    /// The version of the duty's row, if it is the answering VM that holds it.
+    /// The version of the duty's row, if the answering VM is the steward.
     pub version: Option<crate::direct::table::Version>,
     /// How long ago it last answered.
     pub age: Span,
 }
 
-/// Asks the VM at an address; nothing comes back from one that is not reached within the span.
+/// Asks the VM at an address; returns `None` if it does not answer within the span.
 pub type Call = Rc<dyn Fn(SocketAddr, Question, Span) -> Later<Option<Answer>>>;
--- a/src/direct/parts.rs
+++ b/src/direct/parts.rs
@@ -1,10 +1,9 @@
-//! A configuration as VMs tell it to each other: what differs from the one that the asking VM has, in parts of a
+//! Transfers a configuration between VMs: only the entries that differ from the receiver's, in parts of
 //! bounded length.
 //!
-//! **Pattern answered.** A configuration of thousands of routes changes in some of them, before VMs with small
-//! links. **Without it** each is sent all of it in one answer, which takes longer than an answer is waited for; it is
-//! asked for again, and each try fills the same link. **Why it suffices.** An answer is as short as any other,
-//! and what has come is never sent again while the version stays the same.
+//! If a configuration of thousands of routes were sent to VMs with small links in one answer, the answer
+//! would time out, and each retry would fill the same link again. A part is as short as any other answer, and
+//! parts that have arrived are not sent again while the version stays the same.
 
 use crate::clock::Span;
 use crate::direct::config::{Config, Group, Route};
@@ -15,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// Which entry of a configuration. Parts go by this order.
+/// Identifies an entry of a configuration. Parts are sent in this order.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Name {
     /// A group.
@@ -28,45 +27,45 @@
     Route(Box<str>),
 }
 
-/// An entry's content.
+/// The value of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Value {
     /// A group's limits.
     Group(Group),
-    /// What an organisation may ask for.
+    /// An organisation's allowance.
     Allowance(Allowance),
-    /// Who holds a key.
+    /// The organisation that holds a key.
     Holder(OrganisationId),
-    /// What callers of a name get.
+    /// The route that callers of a name use.
     Route(Route),
 }
 
-/// An entry; without a value it is there no more.
+/// An entry; `None` if it was removed.
 pub type Entry = (Name, Option<Value>);
 
-/// What a VM has of a configuration that it lacks.
+/// How much of a newer configuration a VM has received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gathered {
-    /// Of which version.
+    /// The newer configuration's version.
     pub version: Version,
-    /// The version from which it differs in these entries; none if they are all of it.
+    /// The version that the entries change; `None` if they are a complete configuration.
     pub from: Option<Version>,
-    /// The last entry that it has.
+    /// The last entry that it has received.
     pub last: Name,
 }
 
-/// Some entries in which a configuration differs from another, or that it consists of.
+/// Some of the entries of a configuration, or of its differences from another version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
     /// The configuration's version.
     pub version: Version,
-    /// The version from which it differs in these entries; none if they are all of it.
+    /// The version that the entries change; `None` if they are a complete configuration.
     pub from: Option<Version>,
-    /// The entry after which this part goes on; none for the first part.
+    /// The last entry of the previous part; `None` for the first part.
     pub after: Option<Name>,
     /// The entries, in order.
     pub entries: Vec<Entry>,
-    /// Whether others follow.
+    /// Whether more parts follow.
     pub more: bool,
     /// How long a transaction may stay idle.
     pub idle: Span,
@@ -74,21 +73,21 @@
     pub keyed: bool,
 }
 
-/// How much a part may hold.
+/// The length limit of a part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Limit {
-    /// All that is left, if it is no more than so many entries.
+    /// All remaining entries, if they are no more than this many; otherwise no part.
     Rest(usize),
-    /// So many entries of what is left.
+    /// Up to this many of the remaining entries.
     Portion(usize),
 }
 
-/// What changed of the configuration of late.
+/// The recent changes to the configuration.
 #[derive(Debug, Default)]
 pub struct Changes(History<Name>);
 
 impl Changes {
-    /// One configuration has taken the place of another.
+    /// Records the replacement of a configuration by another.
     pub fn note(&mut self, before: &Config, after: &Config) {
         let names: BTreeSet<Name> = names(before).chain(names(after)).collect();
         let changed = names.into_iter();
@@ -96,8 +95,8 @@
         self.0.note(before.version.0, changed.collect());
     }
 
-    /// What a VM is told that has the version `known` in force and has `gathered` of a newer one: the entries
-    /// that follow, if the limit lets any be told.
+    /// The next part for a VM that has version `known` in force and has `gathered` of a newer one; `None` if
+    /// it is up to date or the limit allows no part.
     pub fn part(
         &self,
         config: &Config,
@@ -108,7 +107,7 @@
         if config.version <= known {
             return None;
         }
-        let (Limit::Rest(most) | Limit::Portion(most)) = limit;
+        let (Limit::Rest(max) | Limit::Portion(max)) = limit;
         let changed = self.0.since(known.0);
         let from = changed.is_some().then_some(known);
         let gathered = gathered.filter(|has| has.version == config.version && has.from == from);
@@ -117,15 +116,15 @@
             Some(changed) => {
                 let first = after.as_ref().map_or(Bound::Unbounded, Bound::Excluded);
                 let rest = changed.range::<Name, _>((first, Bound::Unbounded));
-                rest.take(most + 1).cloned().collect()
+                rest.take(max + 1).cloned().collect()
             }
-            None => names_after(config, after.as_ref()).take(most + 1).collect(),
+            None => names_after(config, after.as_ref()).take(max + 1).collect(),
         };
-        let more = names.len() > most;
+        let more = names.len() > max;
         if more && matches!(limit, Limit::Rest(_)) {
             return None;
         }
-        names.truncate(most);
+        names.truncate(max);
         let entries = names.into_iter().map(|name| {
             let value = value(config, &name);
             (name, value)
@@ -142,14 +141,14 @@
     }
 }
 
-/// The parts that have come of a configuration.
+/// The received parts of a configuration.
 #[derive(Debug, Default)]
 pub struct Gathering {
     parts: Vec<Part>,
 }
 
 impl Gathering {
-    /// What has come, to be told to whoever tells the next part.
+    /// What has been received, for the request of the next part.
     pub fn gathered(&self) -> Option<Gathered> {
         let part = self.parts.last()?;
         Some(Gathered {
@@ -159,22 +158,22 @@
         })
     }
 
-    /// How much has come: rises with each part that is taken.
+    /// The version and number of entries received; rises with each part that is accepted.
     pub fn length(&self) -> (Version, usize) {
         let version = self.parts.last().map(|part| part.version);
         let entries = self.parts.iter().map(|part| part.entries.len());
         (version.unwrap_or_default(), entries.sum())
     }
 
-    /// A configuration is in force: what has come of it, or of one before, is needed no more.
+    /// Drops the parts of the configuration that is now in force, or of an earlier one.
     pub fn forget(&mut self, in_force: Version) {
         if self.length().0 <= in_force {
             self.parts.clear();
         }
     }
 
-    /// Takes a part where `known` is in force; the configuration once all of it has come. A part that does
-    /// not follow what has come is left out: it was asked for before, or of another VM.
+    /// Adds a part while `known` is in force; returns the configuration once it is complete. Ignores a part
+    /// that does not continue the received ones: it was requested earlier, or from another VM.
     pub fn take(&mut self, part: Part, known: Option<&Config>) -> Option<Config> {
         let in_force = known.map(|config| config.version);
         let newer = in_force.is_none_or(|version| part.version > version);
@@ -202,7 +201,7 @@
     }
 }
 
-/// The configuration that parts make of the one in force.
+/// Applies the parts of a complete transfer to the configuration in force.
 fn assemble(parts: Vec<Part>, known: Option<&Config>) -> Option<Config> {
     let last = parts.last()?;
     let mut config = match last.from {
@@ -234,7 +233,7 @@
                 config.routes.insert(name, route);
             }
             (name, None) => remove(&mut config, &mut organisations, &name),
-            // Another release may tell what this one does not know.
+            // Another release may send entries that this one does not support.
             (_, Some(_)) => return None,
         }
     }
@@ -285,7 +284,7 @@
     groups.chain(allowances).chain(keys).chain(routes)
 }
 
-/// The keys of a map from a bound on; none without one.
+/// The keys of a map from a bound on; none if there is no bound.
 fn rest<'a, K: Ord + Clone, V>(
     map: Option<&'a BTreeMap<K, V>>,
     bound: Option<Bound<&'a K>>,
--- a/src/direct/table.rs
+++ b/src/direct/table.rs
@@ -1,4 +1,4 @@
-//! The platform's store as the product uses it: rows that change by compare-and-set.
+//! The interface to the platform's store: rows of tables, changed by compare-and-set.
 
 use crate::clock::Span;
 use bytes::Bytes;
@@ -7,7 +7,7 @@
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-/// Which row: its table and key.
+/// Identifies a row by its table and key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RowId {
     /// The table.
@@ -17,7 +17,7 @@
 }
 
 impl RowId {
-    /// Names a row.
+    /// Builds an id.
     pub fn new(table: impl Into<Box<str>>, key: impl Into<Box<str>>) -> Self {
         Self {
             table: table.into(),
@@ -32,8 +32,8 @@
     }
 }
 
-/// Which copy of itself the store runs on. It rises by one each time the store comes back from an older copy and
-/// has lost what was written since; 0 where the platform's store has no such number.
+/// The store's era. It rises by one each time the store is restored from an older copy and has lost later
+/// writes; 0 where the platform's store has no such number.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -54,31 +54,31 @@
     }
 }
 
-/// The version of a row or of the store. Numbers rise with each transaction of an era, and are given out again in the
-/// next one, so that only the pair tells which of two is newer.
+/// The version of a row or of the store. Numbers rise with each transaction within an era and are reused in
+/// the next one, so only the pair shows which of two versions is newer.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Version {
-    /// The era in which the store told it.
+    /// The era in which the store assigned it.
     pub era: Era,
     /// The store's counter.
     pub number: u64,
 }
 
 impl Version {
-    /// That of a row that does not exist.
+    /// The version of a row that does not exist.
     pub const NONE: Self = Self {
         era: Era(0),
         number: 0,
     };
 
-    /// A number as told in an era.
+    /// The version with this number in an era.
     pub const fn new(era: Era, number: u64) -> Self {
         Self { era, number }
     }
 
-    /// Whether it is that of a row that does not exist.
+    /// Whether this is the version of a row that does not exist.
     pub fn is_none(self) -> bool {
         self.number == 0
     }
@@ -90,31 +90,31 @@
     }
 }
 
-/// A row as the store has it.
+/// A row of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Which one.
+    /// Its table and key.
     pub id: RowId,
-    /// Its value; none once it was removed.
+    /// Its value; `None` if it was removed.
     pub value: Option<Bytes>,
     /// Its version.
     pub version: Version,
 }
 
 impl Row {
-    /// The bytes of its key and value.
+    /// The size of its key and value in bytes.
     pub fn size(&self) -> usize {
         self.id.key.len() + self.value.as_ref().map_or(0, |value| value.len())
     }
 }
 
-/// The version that a row has among these.
+/// The version of a row in `rows`, or [`Version::NONE`].
 pub fn version_in(rows: &[Row], id: &RowId) -> Version {
     let found = rows.iter().find(|row| row.id == *id);
     found.map_or(Version::NONE, |row| row.version)
 }
 
-/// A call of the store.
+/// A call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ask {
     /// All rows of a table.
@@ -125,27 +125,26 @@
         table: Box<str>,
         /// The first key; empty for the first one of the table.
         from: Box<str>,
-        /// How many rows at most.
+        /// The most rows to return.
         most: u32,
     },
-    /// What changed in a table after a version, as soon as there is something, or nothing once
-    /// `wait` is over.
+    /// The changes to a table after a version, as soon as there are any, or none once `wait` has passed.
     Follow {
         /// The table.
         table: Box<str>,
-        /// The version that is known.
+        /// The version after which changes are returned.
         after: Version,
-        /// How long the store may wait.
+        /// How long the store may wait for a change.
         wait: Span,
     },
-    /// Changes rows, all or none.
+    /// Changes rows atomically.
     Write(Change),
 }
 
-/// A change under conditions.
+/// A change that is made only if rows have the expected versions.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Rows, with the version that each must have.
+    /// Rows and the version that each must have.
     pub expect: Vec<(RowId, Version)>,
     /// Rows to write.
     pub writes: Vec<(RowId, Bytes)>,
@@ -153,31 +152,31 @@
     pub remove: Vec<RowId>,
 }
 
-/// What the store answers.
+/// The store's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Told {
     /// Rows, as of the store's version.
     Rows {
-        /// The rows asked for, or changed.
+        /// The rows that were requested or have changed.
         rows: Vec<Row>,
-        /// The store's version then.
+        /// The store's version when they were read.
         version: Version,
     },
-    /// Changed; the version that the rows written have.
+    /// The change was made; the new version of the rows written.
     Written(Version),
-    /// Not changed: the rows under condition as they are.
+    /// The change was not made; the current rows of those with an expected version.
     Conflict(Vec<Row>),
-    /// The history asked for is gone; the table has to be read.
+    /// The requested history is no longer stored; the whole table has to be read.
     Forgotten,
 }
 
-/// Why the store gave no answer.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Fault {
-    /// Nothing was done.
+    /// The call had no effect.
     #[error("the store did not take the call: {0}; ask again later")]
     Refused(Box<str>),
-    /// It may have been done, or be done in some seconds.
+    /// The call may have taken effect, or may do so within some seconds.
     #[error("the store's answer was lost: {0}; read before asking again")]
     Unknown(Box<str>),
 }
--- a/tests/direct_mesh.rs
+++ b/tests/direct_mesh.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-const WITHIN: Span = Span::from_secs(10);
+const TIMEOUT: Span = Span::from_secs(10);
 
 fn question(token: u64) -> Question {
     let version = 7;
@@ -35,84 +35,84 @@
     (address, actix_rt::spawn(mesh::serve(listener, answerer)))
 }
 
-fn anywhere() -> SocketAddr {
+fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
 #[actix_rt::test]
 async fn questions_are_answered_by_the_vm_that_was_asked() {
     let call = mesh::call();
-    let (address, _vm) = vm(anywhere());
-    let asked = (0..20).map(|token| call(address, question(token), WITHIN));
+    let (address, _vm) = vm(any_port());
+    let asked = (0..20).map(|token| call(address, question(token), TIMEOUT));
     let answers = futures_util::future::join_all(asked).await;
     for (token, answer) in answers.into_iter().enumerate() {
         assert_eq!(answer, Some(Answer::Taken(token % 2 == 0)), "{token}");
     }
 }
 
-/// The process of a VM is gone and its machine still answers. Whoever asks learns at once that
-/// nobody is there, and does not wait for its lease.
+/// The process of a VM has ended, but its machine still answers. The asking VM learns this at once, so that
+/// it need not wait for the ended VM's lease.
 #[actix_rt::test]
-async fn a_vm_that_has_ended_is_told_from_a_silent_one() {
-    let listener = system::listen(anywhere()).unwrap();
+async fn a_vm_that_has_ended_is_distinguished_from_a_silent_one() {
+    let listener = system::listen(any_port()).unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
     let call = mesh::call();
     assert_eq!(
-        call(address, question(1), WITHIN).await,
+        call(address, question(1), TIMEOUT).await,
         Some(Answer::Absent)
     );
     assert_eq!(call(address, question(1), Span::ZERO).await, None);
 }
 
-/// A VM's process starts again at its address. The channel that was kept to the former one is
-/// broken; the question is asked again on a new one, and its caller sees nothing of it.
+/// A VM's process restarts at its address, which breaks the kept connection. The question is repeated on a
+/// new connection, without an error to its caller.
 #[actix_rt::test]
-async fn a_vm_that_started_again_is_reached() {
+async fn a_restarted_vm_is_reached() {
     let call = mesh::call();
-    let (address, first) = vm(anywhere());
+    let (address, first) = vm(any_port());
     assert_eq!(
-        call(address, question(2), WITHIN).await,
+        call(address, question(2), TIMEOUT).await,
         Some(Answer::Taken(true))
     );
     first.abort();
     let _ = first.await;
     let (_, _second) = vm(address);
     assert_eq!(
-        call(address, question(3), WITHIN).await,
+        call(address, question(3), TIMEOUT).await,
         Some(Answer::Taken(false))
     );
 }
 
-/// Connections to a VM, passed on until they are to go silent.
-struct Path {
+/// A TCP proxy to a VM, which can make its connections silent.
+struct Forwarder {
     address: SocketAddr,
     opened: Rc<Cell<u32>>,
     silence: Rc<Notify>,
 }
 
-impl Path {
+impl Forwarder {
     fn to(vm: SocketAddr) -> Self {
-        let listener: TcpListener = system::listen(anywhere()).unwrap();
-        let path = Self {
+        let listener: TcpListener = system::listen(any_port()).unwrap();
+        let forwarder = Self {
             address: listener.local_addr().unwrap(),
             opened: Rc::default(),
             silence: Rc::default(),
         };
-        let (opened, silence) = (path.opened.clone(), path.silence.clone());
+        let (opened, silence) = (forwarder.opened.clone(), forwarder.silence.clone());
         actix_rt::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
                 opened.set(opened.get() + 1);
                 let far = TcpStream::connect(vm).await.unwrap();
-                actix_rt::spawn(pass(near, far, silence.clone()));
+                actix_rt::spawn(forward(near, far, silence.clone()));
             }
         });
-        path
+        forwarder
     }
 }
 
-/// Passes bytes on until it is to be silent; then both ends stay open, and nothing comes through.
-async fn pass(mut near: TcpStream, mut far: TcpStream, silence: Rc<Notify>) {
+/// Forwards bytes until `silence` is notified; then both ends stay open, but nothing is forwarded.
+async fn forward(mut near: TcpStream, mut far: TcpStream, silence: Rc<Notify>) {
     let silenced = {
         let copied = tokio::io::copy_bidirectional(&mut near, &mut far);
         tokio::select! {
@@ -125,19 +125,18 @@
     }
 }
 
-/// How long a question that gets no answer in time is waited for.
-const SHORT: Span = Span::from_millis(40);
+/// The timeout of questions that are not to be answered in time.
+const SHORT_TIMEOUT: Span = Span::from_millis(40);
 
-/// A steward answers a heartbeat after whoever asked has given up. Its connection works, so that the next
-/// question goes there too: a new connection for each late answer is more work for a steward that is
-/// late already, and of hundreds of VMs at once.
+/// A steward answers a heartbeat after its timeout. The connection still works and is used for the next
+/// question: new connections from hundreds of VMs would slow down a steward that is late already.
 #[actix_rt::test]
-async fn a_late_answer_costs_no_connection() {
+async fn a_late_answer_keeps_the_connection() {
     let call = mesh::call();
-    let listener: TcpListener = system::listen(anywhere()).unwrap();
+    let listener: TcpListener = system::listen(any_port()).unwrap();
     let address = listener.local_addr().unwrap();
     let gate = Rc::new(Notify::new());
-    let opens = gate.clone();
+    let release = gate.clone();
     let answerer: mesh::Answerer = Rc::new(move |question| {
         let gate = gate.clone();
         Box::pin(async move {
@@ -148,30 +147,36 @@
         })
     });
     let _vm = actix_rt::spawn(mesh::serve(listener, answerer));
-    let path = Path::to(address);
-    let asked = call(path.address, question(1), WITHIN).await;
+    let forwarder = Forwarder::to(address);
+    let asked = call(forwarder.address, question(1), TIMEOUT).await;
     assert_eq!(asked, Some(Answer::Noted));
     for _ in 0..3 {
-        assert_eq!(call(path.address, Question::Vouch, SHORT).await, None);
-        opens.notify_one();
-        let asked = call(path.address, question(1), WITHIN).await;
+        assert_eq!(
+            call(forwarder.address, Question::Vouch, SHORT_TIMEOUT).await,
+            None
+        );
+        release.notify_one();
+        let asked = call(forwarder.address, question(1), TIMEOUT).await;
         assert_eq!(asked, Some(Answer::Noted));
     }
-    assert_eq!(path.opened.get(), 1);
+    assert_eq!(forwarder.opened.get(), 1);
 }
 
-/// A kept connection goes silent for good, and new ones work. One question is missed; the next one is
+/// A kept connection goes silent for good, while new ones work. One question times out; the next one is
 /// answered, on a new connection.
 #[actix_rt::test]
-async fn a_silent_connection_is_left_after_one_question() {
+async fn a_silent_connection_is_dropped_after_one_question() {
     let call = mesh::call();
-    let (address, _vm) = vm(anywhere());
-    let path = Path::to(address);
-    let asked = call(path.address, question(2), WITHIN).await;
+    let (address, _vm) = vm(any_port());
+    let forwarder = Forwarder::to(address);
+    let asked = call(forwarder.address, question(2), TIMEOUT).await;
     assert_eq!(asked, Some(Answer::Taken(true)));
-    path.silence.notify_waiters();
-    assert_eq!(call(path.address, question(2), SHORT).await, None);
-    let asked = call(path.address, question(2), Span::from_secs(4)).await;
+    forwarder.silence.notify_waiters();
+    assert_eq!(
+        call(forwarder.address, question(2), SHORT_TIMEOUT).await,
+        None
+    );
+    let asked = call(forwarder.address, question(2), Span::from_secs(4)).await;
     assert_eq!(asked, Some(Answer::Taken(true)));
-    assert_eq!(path.opened.get(), 2);
+    assert_eq!(forwarder.opened.get(), 2);
 }
--- a/tests/direct_parts.rs
+++ b/tests/direct_parts.rs
@@ -1,4 +1,4 @@
-//! A configuration as VMs tell it to each other, in parts.
+//! The transfer of a configuration between VMs, in parts.
 
 use lentilspoke::clock::Span;
 use lentilspoke::direct::config::{Config, Group, Kind, Route};
@@ -8,7 +8,7 @@
 use quickcheck::quickcheck;
 use std::collections::BTreeMap;
 
-/// A configuration of a version, with entries by the bits of a seed.
+/// A configuration whose entries are derived from the bits of a seed.
 fn config(version: u64, seed: u64) -> Config {
     let bit = |number: u64| seed >> (number % 64) & 1 == 1;
     let group = |number: u64| format!("group{number}").parse().unwrap();
@@ -57,8 +57,8 @@
     }
 }
 
-/// A VM that has followed these configurations, the last of which is in force.
-fn teller(seeds: &[u64]) -> (Config, Changes) {
+/// A VM that had these configurations in force one after another: the last one, and the changes.
+fn sender(seeds: &[u64]) -> (Config, Changes) {
     let mut changes = Changes::default();
     let configs: Vec<Config> = (1..).zip(seeds).map(|(v, seed)| config(v, *seed)).collect();
     for pair in configs.windows(2) {
@@ -68,30 +68,30 @@
 }
 
 quickcheck! {
-    // Whatever a VM has in force, and whichever VMs tell it the parts by turns, one that knows what has changed since and
-    // one that does not, what it puts together is the configuration. No part is longer than it may be.
+    // A VM assembles the configuration whatever it has in force, and in whichever turns it receives parts
+    // from a VM that knows the changes since then and one that does not. No part exceeds the limit.
     fn parts_make_the_configuration(seeds: (u64, u64, u64), known: u8, turns: Vec<bool>) -> bool {
         let seeds = [seeds.0, seeds.1, seeds.2];
-        let (newest, changes) = teller(&seeds);
+        let (newest, changes) = sender(&seeds);
         let fresh = Changes::default();
         let place = usize::from(known % 3);
         let mine = (place > 0).then(|| config(place as u64, seeds[place - 1]));
         let in_force = mine.as_ref().map_or_else(Version::default, |config| config.version);
         let mut gathering = Gathering::default();
-        // However often the one that tells changes, one of them goes on to the end.
+        // After some changes of the sender, one of them sends all remaining parts.
         for knows in turns.into_iter().take(6).chain([true; 30]) {
-            let teller = if knows { &changes } else { &fresh };
+            let sender = if knows { &changes } else { &fresh };
             let gathered = gathering.gathered();
-            let part = teller.part(&newest, in_force, gathered.as_ref(), Limit::Portion(3)).unwrap();
+            let part = sender.part(&newest, in_force, gathered.as_ref(), Limit::Portion(3)).unwrap();
             if part.entries.len() > 3 {
                 return false;
             }
-            // One that arrives twice changes nothing.
-            let twice = part.clone();
+            // A duplicate has no effect.
+            let duplicate = part.clone();
             if let Some(made) = gathering.take(part, mine.as_ref()) {
                 return made == newest;
             }
-            if twice.after.is_some() && gathering.take(twice, mine.as_ref()).is_some() {
+            if duplicate.after.is_some() && gathering.take(duplicate, mine.as_ref()).is_some() {
                 return false;
             }
         }
@@ -99,11 +99,11 @@
     }
 }
 
-/// Guards against parts of two versions, or of two ways to tell one, that are put together.
+/// Guards against combining parts of two versions, or of a complete transfer and a differential one.
 #[test]
 fn parts_that_do_not_follow_are_left_out() {
-    let (second, changes) = teller(&[u64::MAX, 0]);
-    let (third, later) = teller(&[u64::MAX, 0, 5]);
+    let (second, changes) = sender(&[u64::MAX, 0]);
+    let (third, later) = sender(&[u64::MAX, 0, 5]);
     let limit = Limit::Portion(3);
     let mut gathering = Gathering::default();
     let known = config(1, u64::MAX);
@@ -111,7 +111,7 @@
     assert!(gathering.take(first, Some(&known)).is_none());
     let gathered = gathering.gathered();
     let next = changes.part(&second, Version(1), gathered.as_ref(), limit);
-    // The first part of the next version comes before it.
+    // The first part of the next version arrives before it.
     let newer = later
         .part(&third, Version(1), gathered.as_ref(), limit)
         .unwrap();
@@ -122,22 +122,22 @@
     assert_eq!(gathering.length(), before);
 }
 
-/// Guards against a heartbeat's answer with thousands of entries, and against one that leaves out what is short.
+/// Guards against a heartbeat's answer with thousands of entries, and against one that omits a few.
 #[test]
-fn a_heartbeat_tells_what_is_short() {
-    let (newest, changes) = teller(&[0, u64::MAX]);
-    let told = |known, limit| changes.part(&newest, Version(known), None, Limit::Rest(limit));
-    assert_eq!(told(1, 10), None);
-    assert_eq!(told(2, 100), None, "it has it already");
-    let all = told(1, 100).unwrap();
+fn a_heartbeat_carries_short_changes() {
+    let (newest, changes) = sender(&[0, u64::MAX]);
+    let part = |known, limit| changes.part(&newest, Version(known), None, Limit::Rest(limit));
+    assert_eq!(part(1, 10), None);
+    assert_eq!(part(2, 100), None, "already in force");
+    let all = part(1, 100).unwrap();
     let mut gathering = Gathering::default();
     assert_eq!(gathering.take(all, Some(&config(1, 0))), Some(newest));
     assert_eq!(gathering.length().1, 0);
 }
 
-/// Guards against a change of few entries that is told as all entries of a long configuration.
+/// Guards against sending all entries of a long configuration when few have changed.
 #[test]
-fn what_changed_is_told_alone() {
+fn only_changes_are_sent() {
     let mut before = config(1, u64::MAX);
     let route = before.routes.values().next().unwrap().clone();
     let names = (0..5_000).map(|number| format!("long{number}").into());
