--- a/src/direct/adapter.rs
+++ b/src/direct/adapter.rs
@@ -1,4 +1,4 @@
-//! What varies with the platform, as functions and closures.
+//! The interface to a platform, as plain functions and closures.
 
 use crate::clock::{Span, Time};
 use crate::direct::config::{Config, Database};
@@ -22,107 +22,107 @@
     /// Longer than a message may be.
     #[error("a message is longer than {0} bytes: send less at once")]
     Long(usize),
-    /// Not a message.
+    /// Not a valid message.
     #[error("not a message: {0}")]
     Unclear(Box<str>),
 }
 
-/// The platform's way of speaking to callers and databases. Readers take a whole message off the
-/// front of `input`, or leave it as it is and return none.
+/// The platform's wire protocol to callers and databases. The readers remove one complete message from the
+/// front of `input`, or leave it unchanged and return `None`.
 #[derive(Debug, Clone, Copy)]
 pub struct Wire {
-    /// Reads a caller's next message. One that is garbled is taken off too.
+    /// Reads a caller's next message. A garbled message is removed too.
     pub read_message: fn(input: &mut BytesMut) -> Result<Option<Message>, Garbled>,
-    /// Writes an answer to a caller; without `query` it answers the start of the session.
+    /// Writes an answer to a caller: to a statement if `started`, otherwise to the start of the session.
     pub write_answer: fn(output: &mut BytesMut, answer: &Answer, started: bool),
-    /// Writes the start of a session at a database of this group, which must have this id, on behalf
-    /// of an organisation or of nobody in particular.
+    /// Writes the start of a session at a database, which must be of this group and have this id, on behalf
+    /// of an organisation if there is one.
     pub write_start: fn(
         output: &mut BytesMut,
         group: &GroupId,
         database: &DatabaseId,
         organisation: Option<&OrganisationId>,
     ),
-    /// Writes a caller's statement; `name` takes the place of a prepared statement's name, and the
-    /// log must have `after`.
+    /// Writes a caller's statement; `name` replaces a prepared statement's name, and the database's log must
+    /// have reached `after`.
     pub write_query:
         fn(output: &mut BytesMut, query: &Query, name: Option<&str>, after: Option<Position>),
-    /// Writes a statement of our own.
+    /// Writes a statement of the proxy itself.
     pub write_order: fn(output: &mut BytesMut, order: &Order),
     /// Writes the end of a session at a database.
     pub write_bye: fn(output: &mut BytesMut),
-    /// Reads a database's whole answer: to the start of the session (which has no end of its
-    /// own but an error's) if `starting`, else to a statement.
+    /// Reads a database's complete answer: to the start of the session if `starting` (which ends explicitly
+    /// only with an error), otherwise to a statement.
     pub read_answer: fn(input: &mut BytesMut, starting: bool) -> Result<Option<Answer>, Garbled>,
     /// Reads the rows that answer [`Order::Standing`].
     pub read_standing: fn(answer: &Answer) -> Option<Standing>,
 }
 
-/// Where the platform keeps what it tells us, and how to read it.
+/// Where the platform stores its configuration and register, and how to decode them.
 #[derive(Debug, Clone)]
 pub struct Documents {
     /// The row of the configuration.
     pub config: RowId,
     /// The table in which databases register.
     pub register: Box<str>,
-    /// Reads the configuration.
+    /// Decodes the configuration.
     pub read_config: fn(value: &[u8]) -> Result<Config, Box<str>>,
-    /// Reads a database's entry, registered under `key`.
+    /// Decodes a database's entry, registered under `key`.
     pub read_database: fn(key: &str, value: &[u8]) -> Result<Database, Box<str>>,
 }
 
-/// An order that the platform makes a database the primary of its group.
+/// An order to the platform to make a database the primary of its group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Promotion {
     /// The group.
     pub group: GroupId,
-    /// The database that shall lead.
+    /// The database to promote.
     pub database: DatabaseId,
-    /// Who gives the order.
+    /// The VM that gives the order.
     pub holder: VmId,
     /// The fencing token of the holder's duty.
     pub token: u64,
-    /// When to break the connection off, as the order must not arrive later.
+    /// When to reset the connection, as the order must not arrive later.
     pub deadline: Time,
 }
 
-/// How an order ended.
+/// The outcome of a promotion order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Promoted {
-    /// The database leads, now or within a moment.
+    /// The database leads, or will within a moment.
     Done,
-    /// It is not running: choose another.
+    /// The database is not running: choose another.
     NotRunning,
-    /// Not done: ask again later.
+    /// The order had no effect: ask again later.
     Refused,
-    /// It may be done: ask again for the same database.
+    /// The order may have taken effect: ask again for the same database.
     Unknown,
 }
 
 /// A future on this thread.
 pub type Later<T> = LocalBoxFuture<'static, T>;
-/// Calls the store; an answer that has not begun to come after the span, or stops coming, counts as lost. How long
-/// one takes that comes depends on its length and the link.
+/// Calls the store. An answer that has not begun to arrive after the span, or stops arriving, counts as lost;
+/// one that arrives may take longer, depending on its length and the link.
 pub type CallStore = Rc<dyn Fn(Ask, Span) -> Later<Result<Told, Fault>>>;
 /// Orders a promotion.
 pub type Promote = Rc<dyn Fn(Promotion) -> Later<Promoted>>;
 /// Connects to an address within the span.
 pub type Connect = Rc<dyn Fn(SocketAddr, Span) -> Later<std::io::Result<Box<dyn Stream>>>>;
-/// Reads the clock that counts pauses.
+/// Reads the clock, which also advances while the VM is paused.
 pub type Clock = Rc<dyn Fn() -> Time>;
 
-/// What a platform's adapter is built from: where the platform is, and what the system gives.
+/// The environment from which a platform's adapter is built: the platform's addresses, and system functions.
 #[derive(Clone)]
 pub struct Outside {
     /// The store's address.
     pub store: SocketAddr,
-    /// Where orders go.
+    /// The address for promotion orders.
     pub orders: SocketAddr,
     /// Opens connections.
     pub connect: Connect,
-    /// Opens connections that are reset as they are closed, so that nothing arrives later.
+    /// Opens connections that are reset when closed, so that nothing arrives later.
     pub abrupt: Connect,
-    /// The time.
+    /// The clock.
     pub clock: Clock,
 }
 
@@ -135,20 +135,20 @@
 /// Builds a platform's adapter.
 pub type Build = fn(Outside) -> Adapter;
 
-/// All that the product needs of its platform.
+/// The adapter to a platform: everything that depends on it.
 #[derive(Clone)]
 pub struct Adapter {
-    /// How callers and databases speak.
+    /// The wire protocol of callers and databases.
     pub wire: Wire,
-    /// What the platform tells.
+    /// The configuration and the register.
     pub documents: Documents,
-    /// The store.
+    /// Calls the store.
     pub store: CallStore,
-    /// The order to promote.
+    /// Orders a promotion.
     pub promote: Promote,
-    /// Connections to databases.
+    /// Opens connections to databases and other VMs.
     pub connect: Connect,
-    /// The time.
+    /// The clock.
     pub clock: Clock,
 }
 
--- a/src/direct/config.rs
+++ b/src/direct/config.rs
@@ -1,4 +1,4 @@
-//! The configuration and the register of databases, checked.
+//! The configuration and the entries of the register of databases, after validation.
 
 use crate::clock::Span;
 use crate::direct::identity::Organisations;
@@ -12,17 +12,17 @@
 pub struct Config {
     /// Its version.
     pub version: Version,
-    /// The routes by the database that callers name.
+    /// The routes, by the database name that callers use.
     pub routes: BTreeMap<Box<str>, Route>,
     /// The groups.
     pub groups: BTreeMap<GroupId, Group>,
-    /// A transaction that stays idle for this long may be ended.
+    /// How long a transaction may stay idle before it may be ended.
     pub idle: Span,
-    /// The organisations, if callers need a key.
+    /// The organisations; `None` if callers need no key.
     pub organisations: Option<Organisations>,
 }
 
-/// What callers of one name get.
+/// The group and service level of callers that use one database name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// The group that serves them.
@@ -33,7 +33,7 @@
     pub timeout: Span,
     /// The latency objective of a whole operation.
     pub objective: Span,
-    /// 0 is served first.
+    /// The priority; 0 is served first.
     pub priority: u8,
     /// Whether callers need no key.
     pub public: bool,
@@ -46,36 +46,36 @@
     Primary,
     /// Every commit that was acknowledged this long before.
     Bounded(Span),
-    /// The same, and every commit of the session.
+    /// As `Bounded`, and every commit of the session.
     Session(Span),
 }
 
 /// A group of databases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Group {
-    /// How many connections each database takes, from all callers together.
+    /// How many connections each database accepts, from all callers together.
     pub connections: u32,
-    /// Whether a commit waits until a replica has it.
+    /// Whether a commit waits until a replica has received it.
     pub durable: bool,
 }
 
 /// A database as it registered itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Database {
-    /// Its id. A database that starts again under it has another birth, and nothing of before.
+    /// Its id. A database that starts again under the same id has another birth and none of its earlier data.
     pub id: DatabaseId,
-    /// When it started, if it says so.
+    /// When it started, if it states that.
     pub born: Option<Birth>,
     /// Its group.
     pub group: GroupId,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: Domain,
-    /// How many statements it runs at once.
+    /// How many statements it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to end.
+    /// Whether it is about to shut down.
     pub leaving: bool,
-    /// Whether it takes itself for the primary.
+    /// Whether it claims to be the primary.
     pub primary: bool,
 }
--- a/src/direct/identity.rs
+++ b/src/direct/identity.rs
@@ -1,12 +1,11 @@
-//! Whose a caller is: which organisation holds the key that it showed.
+//! Identifies callers: finds the organisation that holds the key that a caller presented.
 //!
-//! **Failure answered.** A key is taken away while its callers stay connected, or was never given out.
-//! **Symptom without it.** Work is run for somebody whom the configuration does not know, and a
-//! database is told the wrong organisation. **Why it suffices.** Whose a session is, is decided anew
-//! for each operation, by the configuration in force at that moment.
+//! A key may be revoked while its callers stay connected, or may never have been issued. So the organisation
+//! of a session is determined again for each operation, by the configuration in force at that moment;
+//! otherwise work would run for an unknown organisation, or be attributed to the wrong one at the database.
 //!
-//! Keys are secrets: only their hashes are kept, told to other VMs and compared. A hash says nothing
-//! of a near miss, as one letter changes all of it.
+//! Keys are secrets: only their hashes are stored, sent to other VMs and compared. A hash does not reveal a
+//! nearly correct key, as one letter changes all of it.
 
 use crate::direct::config::{Config, Route};
 use crate::types::OrganisationId;
@@ -15,10 +14,10 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Bytes kept of a key's SHA-256: no two keys of any configuration share so many.
+/// Bytes of a key's SHA-256 that are stored: enough that no two keys of a configuration collide.
 const KEPT: usize = 16;
 
-/// Bytes of a hash that a log line shows, to tell keys from each other.
+/// Bytes of a hash that log lines show, to distinguish keys.
 const SHOWN: usize = 4;
 
 /// A caller's key, as its hash.
@@ -36,7 +35,7 @@
     }
 }
 
-/// Why a text is no hash of a key. It does not show the text, which may be a key.
+/// The error for a text that is not a key's hash. It omits the text, which may be a key.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a key's hash: write its first {KEPT} bytes of SHA-256 in hexadecimal digits")]
 pub struct NoHash;
@@ -49,8 +48,8 @@
         if text.len() != 2 * KEPT || !text.is_ascii() {
             return Err(NoHash);
         }
-        for (place, byte) in kept.iter_mut().enumerate() {
-            let digits = &text[2 * place..2 * place + 2];
+        for (index, byte) in kept.iter_mut().enumerate() {
+            let digits = &text[2 * index..2 * index + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| NoHash)?;
         }
         Ok(Self(kept))
@@ -77,12 +76,12 @@
     }
 }
 
-/// What an organisation may ask for, over all VMs.
+/// The rate limit of an organisation, over all VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allowance {
-    /// Operations a second that may go on for ever.
+    /// Operations a second that are allowed permanently.
     pub rate: Rate,
-    /// Operations that may come at once after a rest.
+    /// Operations that are allowed at once after a pause.
     pub burst: u32,
 }
 
@@ -100,25 +99,25 @@
 /// The organisations of a configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Organisations {
-    /// Who holds each key.
+    /// The organisation that holds each key.
     pub keys: BTreeMap<Key, OrganisationId>,
-    /// What each may ask for; one that is not here may ask for anything.
+    /// The allowance of each organisation; one that is not listed is not limited.
     pub allowances: BTreeMap<OrganisationId, Allowance>,
 }
 
-/// Whose a caller is.
+/// The identity of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Identity {
-    /// Nobody's in particular: the route asks for no key.
+    /// Any caller: the route requires no key.
     Anyone,
-    /// An organisation's.
+    /// A caller of an organisation.
     Of(OrganisationId),
-    /// Nobody holds the key that it showed.
+    /// No organisation holds the key that the caller presented.
     Unknown,
 }
 
 impl Identity {
-    /// The organisation, if it is one's.
+    /// The caller's organisation, if it has one.
     pub fn organisation(&self) -> Option<&OrganisationId> {
         match self {
             Self::Of(organisation) => Some(organisation),
@@ -127,8 +126,8 @@
     }
 }
 
-/// Whose a caller of `route` is that showed `key`. Where a configuration has no organisations, all
-/// callers may come.
+/// The identity of a caller of `route` that presented `key`. If a configuration has no organisations, all
+/// callers are admitted.
 pub fn identify(config: &Config, route: &Route, key: &Key) -> Identity {
     let Some(organisations) = &config.organisations else {
         return Identity::Anyone;
--- a/src/direct/line.rs
+++ b/src/direct/line.rs
@@ -1,4 +1,4 @@
-//! The log lines of requests and sessions: what they touched, and what this VM believed then.
+//! The log lines of requests and sessions, with the state that this VM knew at the time.
 
 use crate::clock::Span;
 use crate::direct::config::Route;
@@ -8,27 +8,28 @@
 use crate::direct::statement::{Answer, End};
 use crate::direct::trace::{Operation, Reason, Shown, Steps, clip};
 
-/// Served requests have an allowance of their own, so that they never take that of the others.
+/// The target of lines of served requests. It has a line budget of its own, so that they never use up that of
+/// the others.
 const SERVED: &str = "lentilspoke::direct::served";
 
 /// A request that was answered.
 #[derive(Debug, Clone, Copy)]
 pub struct Ended<'a> {
-    /// The name that its caller gave for the database.
+    /// The database name that its caller used.
     pub host: &'a str,
     /// The route, if there is one.
     pub route: Option<&'a Route>,
-    /// The operation that it is of.
+    /// The operation that it belongs to.
     pub operation: &'a Operation,
-    /// What it met.
+    /// The steps that it took.
     pub steps: &'a Steps,
-    /// What its caller is told.
+    /// The answer to its caller.
     pub answer: &'a Answer,
 }
 
-/// What this VM believes of a group.
+/// The state of a group as this VM knows it.
 #[derive(Debug, Default)]
-struct Belief {
+struct Snapshot {
     version: Option<u64>,
     primary: Option<String>,
     epoch: Option<Epoch>,
@@ -42,20 +43,20 @@
     span.0 / 1_000
 }
 
-fn belief(front: &Front, route: Option<&Route>) -> Belief {
+fn snapshot(front: &Front, route: Option<&Route>) -> Snapshot {
     let now = front.now();
     let view = front.shared.look();
     let version = view.config.as_ref().map(|config| config.version.0);
     let Some(group) = route.map(|route| &route.group) else {
-        return Belief {
+        return Snapshot {
             version,
-            ..Belief::default()
+            ..Snapshot::default()
         };
     };
     let lead = view.book.known(group);
     let lease = view.book.lease(group, now);
     let newest = view.fresh.newest(group);
-    Belief {
+    Snapshot {
         version,
         primary: lead.map(|(lead, _)| lead.primary.to_string()),
         epoch: lead.map(|(lead, _)| lead.epoch),
@@ -89,7 +90,7 @@
     let Ended {
         operation, steps, ..
     } = ended;
-    let belief = belief(front, ended.route);
+    let snapshot = snapshot(front, ended.route);
     log::info!(
         target: target,
         request:% = operation.request,
@@ -99,24 +100,24 @@
         database:% = Shown(steps.database.as_ref()),
         owner:% = Shown(steps.owner),
         outcome,
-        primary:% = Shown(belief.primary.as_ref()),
-        epoch:% = Shown(steps.epoch.or(belief.epoch)),
-        lead_age_ms:% = Shown(belief.lead_age),
-        lease_ms:% = Shown(belief.lease),
-        position:% = Shown(belief.position.as_ref()),
-        position_age_ms:% = Shown(belief.position_age),
+        primary:% = Shown(snapshot.primary.as_ref()),
+        epoch:% = Shown(steps.epoch.or(snapshot.epoch)),
+        lead_age_ms:% = Shown(snapshot.lead_age),
+        lease_ms:% = Shown(snapshot.lease),
+        position:% = Shown(snapshot.position.as_ref()),
+        position_age_ms:% = Shown(snapshot.position_age),
         tries = steps.tries,
         last:% = Shown(steps.ended),
         queue_ms = millis(steps.queued),
         no_primary_ms = millis(steps.without_primary),
         took_ms = millis(front.now().since(operation.came)),
         spent_ms = millis(operation.spent()),
-        version:% = Shown(belief.version);
+        version:% = Shown(snapshot.version);
         "{message}"
     );
 }
 
-/// Writes the line of a caller that named a database without a route. There is no request yet.
+/// Writes the line of a caller that used a database name without a route. There is no request yet.
 pub fn no_route(front: &Front, host: &str) {
     let version = front.config().map(|config| config.version.0);
     log::info!(
@@ -125,7 +126,7 @@
     );
 }
 
-/// Writes the line of a caller that came before any configuration was known.
+/// Writes the line of a caller that connected before any configuration was known.
 pub fn no_config(host: &str) {
     log::info!(
         route:% = clip(host), outcome = "Busy";
@@ -133,7 +134,7 @@
     );
 }
 
-/// Writes the line of a caller whose key nobody holds, or holds any more.
+/// Writes the line of a caller whose key no organisation holds.
 pub fn no_key(front: &Front, host: &str, key: Option<&Key>) {
     let version = front.config().map(|config| config.version.0);
     log::info!(
@@ -142,7 +143,7 @@
     );
 }
 
-/// Writes the line of a session that ends otherwise than by its caller's wish.
+/// Writes the line of a session that was not ended by its caller.
 pub fn session_ends(front: &Front, why: &str, host: &str, operation: &Operation) {
     if operation.request.is_empty() {
         return;
--- a/src/direct/meter.rs
+++ b/src/direct/meter.rs
@@ -1,4 +1,4 @@
-//! What one VM counts while it serves, for a Prometheus scraper.
+//! The Prometheus metrics of one VM.
 
 mod levels;
 
@@ -19,16 +19,17 @@
 use prometheus_client::registry::Registry;
 use std::fmt::Write;
 
-/// Bounds in seconds, around latency objectives of 300 to 800 ms and queue waits of some ms.
-const BOUNDS: [f64; 12] = [
+/// Histogram bounds in seconds for latency objectives of 300 to 800 ms and queue waits of some ms.
+const REQUEST_BOUNDS: [f64; 12] = [
     0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4,
 ];
 
-/// The same for each database, of which there may be 1,200: enough to tell slow from silent.
-const COARSE: [f64; 5] = [0.01, 0.03, 0.1, 0.4, 1.6];
+/// Histogram bounds in seconds for each database. There may be 1,200 of them, so the bounds are few: enough
+/// to distinguish a slow database from one that does not answer.
+const DATABASE_BOUNDS: [f64; 5] = [0.01, 0.03, 0.1, 0.4, 1.6];
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A label's value; what is counted with each request has a fixed one.
+/// A label's value; `Fixed` needs no allocation for metrics that are updated with each request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Text {
     Fixed(&'static str),
@@ -81,7 +82,7 @@
 #[derive(Debug)]
 pub struct Meter {
     registry: Registry,
-    /// Picks served requests that have a log line.
+    /// Selects the served requests that get a log line.
     pub sampler: Sampler,
     refused: Family<OfCode, Counter>,
     served: Histograms,
@@ -102,19 +103,19 @@
     gauges: Gauges,
 }
 
-fn histogram() -> Histogram {
-    Histogram::new(BOUNDS)
+fn request_histogram() -> Histogram {
+    Histogram::new(REQUEST_BOUNDS)
 }
 
-fn coarse_histogram() -> Histogram {
-    Histogram::new(COARSE)
+fn database_histogram() -> Histogram {
+    Histogram::new(DATABASE_BOUNDS)
 }
 
 fn seconds(span: Span) -> f64 {
     span.0 as f64 / MICROS_PER_SECOND
 }
 
-/// The codes with which a database says that it ran nothing.
+/// The codes with which a database refuses to run a statement.
 const REFUSALS: [Code; 10] = [
     Code::Busy,
     Code::RolledBack,
@@ -128,7 +129,7 @@
     Code::Malformed,
 ];
 
-/// The name that metrics and `last` in log lines give a code.
+/// The name of a code in metrics and under `last` in log lines.
 pub fn code_name(code: Code) -> &'static str {
     match code {
         Code::Busy => "busy",
@@ -174,22 +175,22 @@
 }
 
 impl Meter {
-    /// All at zero.
+    /// Metrics that are all zero.
     pub fn new() -> Self {
         let mut meter = Self {
             registry: Registry::with_prefix("lentilspoke"),
             sampler: Sampler::default(),
             refused: Family::default(),
-            served: Family::new_with_constructor(histogram),
+            served: Family::new_with_constructor(request_histogram),
             reads: Family::default(),
             store_calls: Family::default(),
             store_bytes: Family::default(),
             config_tries: Family::default(),
             opened: Family::default(),
             not_opened: Family::default(),
-            answered: Family::new_with_constructor(coarse_histogram),
+            answered: Family::new_with_constructor(database_histogram),
             database_refused: Family::default(),
-            queue_wait: histogram(),
+            queue_wait: request_histogram(),
             allowance_asked: Counter::default(),
             allowance_refused: Counter::default(),
             lapsed: Family::default(),
@@ -197,7 +198,7 @@
             promotion_time: Family::default(),
             gauges: Gauges::default(),
         };
-        // What tells most in few lines goes first: a scraper may keep the first kilobytes only.
+        // The most informative metrics come first: a scraper may keep the first kilobytes only.
         meter.gauges.register(&mut meter.registry);
         meter.register_control();
         meter.register_requests();
@@ -293,7 +294,7 @@
         );
     }
 
-    /// A request was answered with something else than success.
+    /// Counts a request that was not answered with success.
     pub fn refused(&self, group: &GroupId, code: Code) {
         let labels = OfCode {
             group: group.into(),
@@ -302,7 +303,7 @@
         self.refused.get_or_create(&labels).inc();
     }
 
-    /// A request of a route of this kind was answered with success.
+    /// Records the latency of a request of a route of this kind that was answered with success.
     pub fn served(&self, kind: Kind, took: Span) {
         let kind = Text::Fixed(match kind {
             Kind::Primary => "primary",
@@ -313,28 +314,29 @@
         histogram.observe(seconds(took));
     }
 
-    /// A read was answered by a replica, or by the primary.
+    /// Counts a read that was answered by a replica, or by the primary.
     pub fn read(&self, by_replica: bool) {
         let by = Text::Fixed(if by_replica { "replica" } else { "primary" });
         self.reads.get_or_create(&OfRole { by }).inc();
     }
 
-    /// A request waited this long for a slot or a connection.
+    /// Records how long a request waited for a slot or a connection.
     pub fn queue_wait(&self, took: Span) {
         self.queue_wait.observe(seconds(took));
     }
 
-    /// A keeper was asked for a part of an organisation's allowance.
+    /// Counts a request for tokens to an allocator.
     pub fn allowance_asked(&self) {
         self.allowance_asked.inc();
     }
 
-    /// An operation was refused, as its organisation's allowance was used or nobody kept it.
+    /// Counts an operation that was refused, because its organisation's allowance was used up or no allocator
+    /// answered.
     pub fn allowance_refused(&self) {
         self.allowance_refused.inc();
     }
 
-    /// A connection to a database was opened.
+    /// Counts a connection that was opened to a database.
     pub fn connection_opened(&self, database: &DatabaseId) {
         let labels = OfDatabase {
             database: database.into(),
@@ -342,7 +344,7 @@
         self.opened.get_or_create(&labels).inc();
     }
 
-    /// A connection to a database could not be opened.
+    /// Counts a connection to a database that could not be opened.
     pub fn connection_failed(&self, database: &DatabaseId) {
         let labels = OfDatabase {
             database: database.into(),
@@ -350,7 +352,7 @@
         self.not_opened.get_or_create(&labels).inc();
     }
 
-    /// A database answered a statement this long after it was sent.
+    /// Records how long after it was sent a statement was answered by a database.
     pub fn answered(&self, database: &DatabaseId, took: Span) {
         let labels = OfDatabase {
             database: database.into(),
@@ -358,7 +360,7 @@
         self.answered.get_or_create(&labels).observe(seconds(took));
     }
 
-    /// A database refused to run a statement of this VM.
+    /// Counts a statement of this VM that a database refused to run.
     pub fn database_refused(&self, database: &DatabaseId, code: Code) {
         let labels = OfRefusal {
             database: database.into(),
@@ -367,7 +369,7 @@
         self.database_refused.get_or_create(&labels).inc();
     }
 
-    /// Forgets a database that is not registered any more, as ids are never used again.
+    /// Removes the metrics of a database that is no longer registered; its id is never used again.
     pub fn forget(&self, database: &DatabaseId) {
         let labels = OfDatabase {
             database: database.into(),
@@ -383,7 +385,7 @@
         }
     }
 
-    /// A call of the store ended.
+    /// Counts a call to the store that has ended, and the bytes that it read.
     pub fn store_call(&self, ask: &Ask, answer: &Result<Told, Fault>) {
         let labels = call_labels(ask, answer);
         self.store_calls.get_or_create(&labels).inc();
@@ -398,7 +400,7 @@
         }
     }
 
-    /// This VM tried to get a newer configuration.
+    /// Counts a try to get a newer configuration, by the way it was tried and whether it was available.
     pub fn config_try(&self, way: &'static str, had: bool) {
         let labels = OfTry {
             way: Text::Fixed(way),
@@ -407,7 +409,7 @@
         self.config_tries.get_or_create(&labels).inc();
     }
 
-    /// A request found no lease on its group's primary.
+    /// Counts a request that found no lease on its group's primary.
     pub fn lease_lapsed(&self, group: &GroupId) {
         let labels = OfGroup {
             group: group.into(),
@@ -415,7 +417,7 @@
         self.lapsed.get_or_create(&labels).inc();
     }
 
-    /// This VM, as steward, has changed a group's primary, this long after the intent.
+    /// Counts a change of a group's primary by this VM as steward, and the time since the intent.
     pub fn promoted(&self, group: &GroupId, took: Span) {
         let labels = OfGroup {
             group: group.into(),
@@ -424,11 +426,11 @@
         self.promotion_time.get_or_create(&labels).inc_by(took.0);
     }
 
-    /// The text that a scraper reads.
+    /// Encodes all metrics as text for a scraper.
     pub fn text(&self, levels: &Levels) -> Box<str> {
         self.gauges.set(levels);
         let mut text = String::new();
-        // Writing to a String does not fail.
+        // Writing to a `String` does not fail.
         let _ = encode(&mut text, &self.registry);
         text.into()
     }
--- a/src/direct/meter/levels.rs
+++ b/src/direct/meter/levels.rs
@@ -1,4 +1,4 @@
-//! What is read when the scraper asks.
+//! Gauges, set when the scraper reads them.
 
 use super::OfGroup;
 use crate::clock::Span;
@@ -7,18 +7,18 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Values that go up and down, read when the scraper asks.
+/// The values of the gauges at one moment.
 #[derive(Debug, Clone, Default)]
 pub struct Levels {
-    /// Whether callers may come.
+    /// Whether this VM accepts callers.
     pub ready: bool,
-    /// Callers connected.
+    /// Connected callers.
     pub callers: u64,
-    /// The configuration in force.
+    /// The version of the configuration in force.
     pub config: u64,
-    /// The newest configuration that this VM knows to be there.
+    /// The newest version of the configuration that this VM knows to exist.
     pub config_known: u64,
-    /// Calls of the store made for other VMs.
+    /// Calls to the store made for other VMs.
     pub relayed: u64,
     /// Groups on whose primary a lease is held.
     pub leases: u64,
@@ -26,11 +26,11 @@
     pub steward: bool,
     /// The fencing token of the steward that this VM follows, or is.
     pub token: u64,
-    /// How long ago that steward was asked last of what it answered.
+    /// How long ago the last question to that steward was asked that it answered.
     pub heard: Span,
-    /// VMs that are known to be registered.
+    /// VMs known to be registered.
     pub members: u64,
-    /// How old the newest reading of the register is.
+    /// The age of the newest reading of the register.
     pub register_age: Span,
     /// Who leads, for each group.
     pub leads: Vec<LeadLevel>,
@@ -38,24 +38,24 @@
     pub resident: u64,
     /// Processor time since the process started, in microseconds.
     pub processor: u64,
-    /// Log lines that found no room, since the process started.
+    /// Log lines dropped because their buffer was full, since the process started.
     pub logs_dropped: u64,
 }
 
-/// What this VM believes of who leads one group.
+/// Who leads one group, as this VM knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeadLevel {
     /// The group.
     pub group: GroupId,
     /// The epoch.
     pub epoch: u64,
-    /// How old the reading is on which a lease would count.
+    /// The age of the reading from which a lease would be counted.
     pub age: Span,
-    /// Until when the lease lasts from now; zero without one.
+    /// The remaining time of the lease; zero without one.
     pub lease: Span,
 }
 
-/// What a gauge shows.
+/// Selects the value of a gauge.
 type Level = fn(&Levels) -> u64;
 
 const LEVELS: [(&str, &str, Level); 14] = [
@@ -125,7 +125,7 @@
 }
 
 impl Gauges {
-    /// Registers those of the whole process.
+    /// Registers the gauges of the whole process.
     pub fn register(&mut self, registry: &mut Registry) {
         for (name, help, level) in LEVELS {
             let gauge = Gauge::default();
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Registers those of each group.
+    /// Registers the gauges of each group.
     pub fn register_leads(&self, registry: &mut Registry) {
         registry.register(
             "lead_epoch",
@@ -153,7 +153,7 @@
         );
     }
 
-    /// Sets them all.
+    /// Sets all gauges.
     pub fn set(&self, levels: &Levels) {
         for (gauge, level) in &self.levels {
             gauge.set(i64::try_from(level(levels)).unwrap_or(i64::MAX));
--- a/src/direct/mod.rs
+++ b/src/direct/mod.rs
@@ -1,13 +1,13 @@
-//! Direct access: each VM connects to every database itself, and who leads a group is a row in
-//! the platform's store.
+//! Direct access: each VM connects to every database itself, and a row in the platform's store records who
+//! leads a group.
 //!
-//! The other way, of `core::node`, has one holder a database and makes terms in the databases.
-//! Here a term is made by an order to the platform, and nothing at a database fences us: leases on
-//! who leads do ([`lead`]). docs/PLATFORM.md gives the reasons.
+//! The alternative in `core::node` has one holder for each database and makes terms in the databases. Here
+//! the platform makes a term when it is ordered to, and the databases don't fence VMs: leases on who leads do
+//! ([`lead`]). docs/PLATFORM.md gives the reasons.
 //!
-//! What varies with the platform is handed in as an [`adapter::Adapter`]: plain functions, and
-//! closures for what does I/O. The decisions take the time as a parameter; it is a clock that
-//! counts a pause of the VM, which the steady clock of the system does not.
+//! Everything that depends on the platform is passed in as an [`adapter::Adapter`]: plain functions, and
+//! closures for I/O. Decisions take the time as a parameter, from a clock that also advances while the VM is
+//! paused, which the system's monotonic clock does not.
 
 pub mod adapter;
 pub mod attempt;
--- a/src/direct/reached.rs
+++ b/src/direct/reached.rs
@@ -1,12 +1,10 @@
-//! How far each group's primary is known to have come, to tell one that lost its log.
+//! The highest known log position of each group's primary, by which a VM detects a primary that lost its log.
 //!
-//! **Failure answered.** The primary ends with all that it had and starts again under its id, and
-//! the register shows so up to two seconds later.
-//! **Symptom without it.** Reads on the primary miss acknowledged commits, and writes on the empty log
-//! are acknowledged and vanish when another database is promoted.
-//! **Why it suffices.** Within an epoch a primary's log only grows. A statement that was sent after
-//! a position was known here, and whose answer shows an earlier one, ran on another log. A VM that
-//! knows no position yet hears them from others with its first heartbeat.
+//! A primary may lose all its data and start again under its id, which the register shows up to two seconds
+//! later. Until then, reads on it would miss acknowledged commits, and writes to the empty log would be
+//! acknowledged and lost when another database is promoted. Within an epoch a primary's log only grows, so a
+//! statement that was sent after a position was known here, and whose answer shows an earlier one, ran on
+//! another log. A VM that knows no position yet receives them from others with its first heartbeat.
 
 use crate::clock::Time;
 use crate::direct::lead::Epoch;
@@ -20,12 +18,12 @@
     since: Time,
 }
 
-/// The furthest position of each group's primary, and since when it is known here.
+/// The highest position of each group's primary, and since when it is known here.
 #[derive(Debug, Clone, Default)]
 pub struct Reached(BTreeMap<GroupId, Known>);
 
 impl Reached {
-    /// The primary of `epoch` is known, as of `now`, to have had `position`.
+    /// Records that the primary of `epoch` is known, as of `now`, to have reached `position`.
     pub fn note(&mut self, group: &GroupId, epoch: Epoch, position: Position, now: Time) {
         let new = Known {
             epoch,
--- a/src/direct/run.rs
+++ b/src/direct/run.rs
@@ -1,13 +1,13 @@
-//! Runs callers' statements: on which database, how often, and how long it waits for one.
+//! Runs callers' statements: chooses the database, retries, and waits for a database that can run them.
 //!
-//! **Pattern answered.** A copy that is busy, behind, full or gone beside one that is not; a group
-//! whose primary is being replaced while its callers go on.
-//! **Without it** each such moment is an error to callers whose statement another copy could have
-//! run, or that a new primary runs a second later; and where all copies are full, tries multiply the load.
+//! A database may be busy, behind, full or gone while another one of its group is not, and a group's primary
+//! may be replaced while its callers go on. Without retries, callers would get errors for statements that
+//! another database could have run, or a new primary a second later; with unlimited retries, the load would
+//! multiply when all databases are full.
 //!
-//! What was not run is tried on the next copy at once, and a primary that is only busy again, for a
-//! quarter of the objective. A primary that is being replaced is waited for. Repeating a read whose
-//! answer was lost is paid from a budget.
+//! A statement that was not run is tried on the next database at once. A busy primary is tried again for a
+//! quarter of the objective, and a primary that is being replaced is waited for. A retry budget limits how
+//! often reads whose answer was lost are repeated.
 
 use crate::clock::Span;
 use crate::core::retry::Budget;
@@ -30,17 +30,17 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// How long to wait for news of who leads before a primary that refused is asked again.
-const ASK_AGAIN: Span = Span::from_millis(150);
+/// How long to wait for an update of who leads before a primary that refused is tried again.
+const PRIMARY_RETRY_DELAY: Span = Span::from_millis(150);
 
-/// A statement that waits for a primary looks this often whether another VM has told how far the
-/// log is, so that a replica may serve it.
-const LOOK_AGAIN: Span = Span::from_millis(250);
+/// How often a statement that waits for a primary checks whether a position from another VM allows a replica
+/// to serve it.
+const POSITION_CHECK_INTERVAL: Span = Span::from_millis(250);
 
-/// Between two tries at a busy primary: about a short statement's time.
-const BUSY_PAUSE: Span = Span::from_millis(15);
+/// The delay between two tries at a busy primary: about the time of a short statement.
+const BUSY_RETRY_DELAY: Span = Span::from_millis(15);
 
-/// When to come back while a group has no primary: a change takes about this much longer.
+/// The retry time stated to callers while a group has no primary: a change takes about this much longer.
 const NO_PRIMARY_RETRY: Span = Span::from_millis(500);
 
 type Ran = (Answer, Option<Transaction>);
@@ -57,20 +57,20 @@
     }
 }
 
-/// How a read ended on copies.
-enum OnCopies {
+/// The outcome of a read on replicas.
+enum ReplicaOutcome {
     Answered(Answer, Box<Held>),
-    /// No copy ran it.
+    /// No replica ran it.
     NotRun,
-    /// It may have run. The first statement of a transaction is not run again then: it would be
-    /// on another connection than before.
+    /// It may have run. The first statement of a transaction is then not repeated, as that would be on
+    /// another connection.
     Lost(Why),
 }
 
 /// What to do after a try at the primary.
-enum Then {
+enum Step {
     Answer(Ran),
-    Again,
+    Retry,
 }
 
 impl Runner {
@@ -82,18 +82,18 @@
         }
     }
 
-    /// The databases, which other VMs' statements reach too.
+    /// The databases; statements of other VMs use them too.
     pub fn targets(&self) -> &Rc<Targets> {
         &self.targets
     }
 
-    /// Rolls an open transaction back.
+    /// Rolls back an open transaction.
     pub fn roll_back(&self, transaction: Transaction) {
         transaction.roll_back(&self.targets);
     }
 
-    /// Runs a statement that stands alone, or the first one of a transaction, if its organisation may
-    /// ask for one more operation.
+    /// Runs a single statement, or the first one of a transaction, if its organisation's allowance has a
+    /// token for it.
     pub async fn spend_and_start(&self, session: &mut Session, job: &Job<'_>) -> Ran {
         let Some(organisation) = job.organisation else {
             return self.start(session, job).await;
@@ -101,7 +101,7 @@
         let quotas = &self.targets.quotas;
         let token = match quotas.spend(organisation).await {
             Ok(token) => token,
-            Err(refusal) => return self.over(session, job, organisation, &refusal),
+            Err(refusal) => return self.over_allowance(session, job, organisation, &refusal),
         };
         let ran = self.start(session, job).await;
         if let (Some(token), true) = (token, never_ran(&ran.0)) {
@@ -110,8 +110,8 @@
         ran
     }
 
-    /// An answer that says that the organisation may not ask for more now.
-    fn over(
+    /// Answers that the organisation's allowance permits no operation now.
+    fn over_allowance(
         &self,
         session: &mut Session,
         job: &Job<'_>,
@@ -134,25 +134,25 @@
         }
     }
 
-    /// Runs a statement that stands alone, or the first one of a transaction, which is left open.
+    /// Runs a single statement, or the first one of a transaction, which is left open.
     pub async fn start(&self, session: &mut Session, job: &Job<'_>) -> Ran {
         self.budget.borrow_mut().deposit(self.targets.now());
-        let mut tried_copies = false;
+        let mut tried_replicas = false;
         loop {
-            if !tried_copies && let Some(after) = self.needed(session, job) {
-                tried_copies = true;
-                match self.on_copies(session, job, after).await {
-                    OnCopies::Answered(answer, held) => {
+            if !tried_replicas && let Some(after) = self.required_position(session, job) {
+                tried_replicas = true;
+                match self.on_replicas(session, job, after).await {
+                    ReplicaOutcome::Answered(answer, held) => {
                         return self.settle(session, job, answer, held);
                     }
-                    OnCopies::Lost(why) => {
+                    ReplicaOutcome::Lost(why) => {
                         let (code, text) = outcome::lost(job, false, why);
                         return self.fail(session, job, code, text);
                     }
-                    OnCopies::NotRun => {}
+                    ReplicaOutcome::NotRun => {}
                 }
             }
-            if let Then::Answer(ran) = self.on_primary(session, job).await {
+            if let Step::Answer(ran) = self.on_primary(session, job).await {
                 return ran;
             }
         }
@@ -177,8 +177,8 @@
         }
     }
 
-    /// The position that makes a replica's log new enough, if one is known.
-    fn needed(&self, session: &Session, job: &Job<'_>) -> Option<Position> {
+    /// The position that a replica's log must have reached to serve the job, if one is known.
+    fn required_position(&self, session: &Session, job: &Job<'_>) -> Option<Position> {
         let staleness = job.staleness()?;
         let group = &job.route.group;
         let position = self.targets.position_at(group, job.since - staleness)?;
@@ -189,12 +189,17 @@
         Some(floor.map_or(position, |floor| floor.max(position)))
     }
 
-    /// Tries copies that are new enough, the best first.
-    async fn on_copies(&self, session: &Session, job: &Job<'_>, after: Position) -> OnCopies {
+    /// Tries replicas that are new enough, the best first.
+    async fn on_replicas(
+        &self,
+        session: &Session,
+        job: &Job<'_>,
+        after: Position,
+    ) -> ReplicaOutcome {
         let urgency = job.urgency();
         for target in self.targets.copies(&job.route.group, after, urgency) {
             if self.targets.now() >= job.deadline() {
-                return OnCopies::NotRun;
+                return ReplicaOutcome::NotRun;
             }
             let plan = Plan {
                 target,
@@ -206,20 +211,20 @@
                     self.targets.erred(&held.target.database);
                     held.release(&self.targets);
                 }
-                Attempt::Answered(answer, held) => return OnCopies::Answered(answer, held),
+                Attempt::Answered(answer, held) => return ReplicaOutcome::Answered(answer, held),
                 Attempt::NotRun(_) | Attempt::Unreached => {}
                 Attempt::Lost(_) if job.is_repeatable() && self.may_repeat() => {}
-                Attempt::Lost(why) => return OnCopies::Lost(why),
+                Attempt::Lost(why) => return ReplicaOutcome::Lost(why),
             }
         }
-        OnCopies::NotRun
+        ReplicaOutcome::NotRun
     }
 
-    /// Whether a read that failed on one copy is run on the next one.
+    /// Whether a read that failed on one replica is run on the next one.
     ///
-    /// **Pattern answered.** A database fails part of what it runs, and is well otherwise. **Without
-    /// it** its share of the reads is told an error, or comes back as new requests. A read changes
-    /// nothing, so it may run again; the budget bounds how many do where the fault is the statement's.
+    /// A database may fail some of its statements and be healthy otherwise; its share of the reads would get
+    /// errors, or come back as new requests. A read changes nothing, so it may run again. The budget limits
+    /// repeats of statements that fail everywhere.
     fn may_run_elsewhere(&self, job: &Job<'_>, answer: &Answer) -> bool {
         let failed = matches!(
             answer.end,
@@ -237,31 +242,31 @@
     }
 
     /// Tries the primary once, or waits until there is one.
-    async fn on_primary(&self, session: &mut Session, job: &Job<'_>) -> Then {
+    async fn on_primary(&self, session: &mut Session, job: &Job<'_>) -> Step {
         if self.targets.now() >= job.deadline() {
-            // What ran was answered, or was a read: nothing of it is kept.
+            // Any earlier try was answered or was a read, so no change was made.
             let text = "no copy could run it in time";
-            return Then::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
+            return Step::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
         }
         let group = &job.route.group;
         let Some((lease, target)) = self.targets.primary(group) else {
             self.meter().lease_lapsed(group);
             let text = "no primary is known";
             if !self.targets.shared.look().expects_primary(group) {
-                return Then::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
+                return Step::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
             }
-            let came = self.targets.now();
-            let left = job.news_until().since(came);
-            let news = self
+            let started = self.targets.now();
+            let left = job.news_until().since(started);
+            let update = self
                 .targets
-                .wait_for_news(group, None, left.min(LOOK_AGAIN));
-            let came_news = news.await;
+                .wait_for_news(group, None, left.min(POSITION_CHECK_INTERVAL));
+            let updated = update.await;
             let now = self.targets.now();
-            job.trace.without_primary(now.since(came));
-            if came_news || now < job.news_until() {
-                return Then::Again;
+            job.trace.without_primary(now.since(started));
+            if updated || now < job.news_until() {
+                return Step::Retry;
             }
-            return Then::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
+            return Step::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
         };
         let plan = Plan {
             target,
@@ -272,59 +277,61 @@
         self.after(session, job, &plan, attempt).await
     }
 
-    /// Decides what follows from a try at the primary.
+    /// Decides what to do after a try at the primary.
     async fn after(
         &self,
         session: &mut Session,
         job: &Job<'_>,
         plan: &Plan,
         attempt: Attempt,
-    ) -> Then {
+    ) -> Step {
         let now = self.targets.now();
         match attempt {
             Attempt::Answered(answer, held) => {
-                Then::Answer(self.settle(session, job, answer, held))
+                Step::Answer(self.settle(session, job, answer, held))
             }
             Attempt::NotRun(Code::Busy | Code::Full | Code::NoStatement)
-                if now + BUSY_PAUSE >= job.queue_until() =>
+                if now + BUSY_RETRY_DELAY >= job.queue_until() =>
             {
                 let retry = plan.target.pool.retry(now);
-                Then::Answer(self.busy(session, job, retry, "the primary is busy"))
+                Step::Answer(self.busy(session, job, retry, "the primary is busy"))
             }
             Attempt::NotRun(Code::Busy | Code::NoStatement) => {
-                tokio::time::sleep(BUSY_PAUSE.into()).await;
-                Then::Again
+                tokio::time::sleep(BUSY_RETRY_DELAY.into()).await;
+                Step::Retry
             }
             Attempt::NotRun(Code::Full) => {
                 plan.target.pool.wait().await;
-                Then::Again
+                Step::Retry
             }
             Attempt::NotRun(code) if !outcome::may_do_elsewhere(code) => {
-                Then::Answer(self.fail(session, job, code, "refused by the database"))
+                Step::Answer(self.fail(session, job, code, "refused by the database"))
             }
             Attempt::NotRun(_) | Attempt::Unreached => {
-                if now + ASK_AGAIN >= job.news_until() {
+                if now + PRIMARY_RETRY_DELAY >= job.news_until() {
                     let text = "the primary does not serve";
-                    return Then::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
+                    return Step::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
                 }
                 let group = &job.route.group;
                 let epoch = plan.lease.as_ref().map(|lease| lease.epoch);
-                self.targets.wait_for_news(group, epoch, ASK_AGAIN).await;
+                self.targets
+                    .wait_for_news(group, epoch, PRIMARY_RETRY_DELAY)
+                    .await;
                 job.trace.without_primary(self.targets.now().since(now));
-                Then::Again
+                Step::Retry
             }
             Attempt::Lost(why) => {
                 let repeats = why != Why::Silent && job.is_repeatable() && self.may_repeat();
                 if repeats && now < job.news_until() {
-                    return Then::Again;
+                    return Step::Retry;
                 }
                 let (code, text) = outcome::lost(job, false, why);
-                Then::Answer(self.fail(session, job, code, text))
+                Step::Answer(self.fail(session, job, code, text))
             }
         }
     }
 
-    /// Turns a database's answer into the caller's, and keeps or returns the connection.
+    /// Makes the caller's answer from a database's answer, and keeps or returns the connection.
     fn settle(
         &self,
         session: &mut Session,
@@ -364,14 +371,14 @@
         &self.targets.shared.meter
     }
 
-    /// An answer that says that nothing was run, and when to come back.
+    /// Answers that nothing was run, and after which time to retry.
     fn busy(&self, session: &mut Session, job: &Job<'_>, retry: Span, text: &str) -> Ran {
         let retry_ms = retry.0 / 1_000;
         let text = format!("{text}; retry_ms={retry_ms}");
         self.fail(session, job, Code::Busy, &text)
     }
 
-    /// An answer that says that the statement failed, and with it its transaction.
+    /// Answers that the statement failed, and with it its transaction.
     fn fail(&self, session: &mut Session, job: &Job<'_>, code: Code, text: &str) -> Ran {
         session.phase = match job.part == Part::Single || job.commit {
             true => Phase::Idle,
@@ -381,7 +388,7 @@
     }
 }
 
-/// Whether an answer says that no database has run anything.
+/// Whether an answer means that no database ran the statement.
 fn never_ran(answer: &Answer) -> bool {
     matches!(answer.end, End::Error { code, .. } if outcome::may_do_elsewhere(code))
 }
--- a/tests/direct_identity.rs
+++ b/tests/direct_identity.rs
@@ -1,4 +1,4 @@
-//! Whose a caller is, and that no key can be read off what is printed.
+//! Identification of callers by their keys, and that keys don't appear in output.
 
 use lentilspoke::clock::Span;
 use lentilspoke::direct::config::{Config, Kind, Route};
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_key_names_its_organisation() {
+fn a_key_identifies_its_organisation() {
     let config = config(Some(&[("k1", "miny"), ("k2", "miny"), ("k3", "tuba")]));
     let of = |key, public| identify(&config, &route(public), &Key::of(key));
     assert_eq!(of("k2", false), Identity::Of("miny".parse().unwrap()));
@@ -46,8 +46,8 @@
     assert_eq!(of("", false), Identity::Unknown);
 }
 
-/// All keys are taken away at once: the configuration has organisations, and nobody holds a key. That is
-/// not a configuration without organisations, under which everybody may come.
+/// All keys are revoked at once: the configuration has organisations, but no keys. This differs from a
+/// configuration without organisations, which admits all callers.
 #[test]
 fn no_keys_at_all_admit_nobody() {
     let none = config(Some(&[]));
@@ -62,8 +62,8 @@
     );
 }
 
-/// An operator reads a dump, a log line or an error in which a key was passed. Nothing there helps to
-/// guess it: it is held as a hash, of which eight digits are shown.
+/// A dump, a log line or an error that involves a key does not reveal it: the key is stored as a hash, of
+/// which eight digits are shown.
 #[test]
 fn keys_are_not_shown() {
     let secret = "copper-cathode-7";
--- a/tests/direct_keys.rs
+++ b/tests/direct_keys.rs
@@ -1,4 +1,4 @@
-//! Callers with keys, organisations and allowances, in worlds of several VMs.
+//! Callers with keys, organisations and allowances, in simulations of several VMs.
 
 mod scene;
 
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Far more than the callers of a scene ask for.
-const PLENTY: Allowance = Allowance {
+/// Far more than the callers of a simulation send.
+const UNLIMITED: Allowance = Allowance {
     rate: Rate(1_000_000),
     burst: 1_000,
 };
@@ -36,8 +36,8 @@
     }
 }
 
-/// Puts a configuration in force in which `org0` has other keys.
-fn give_keys(scene: &Scene, keys: &[&str]) {
+/// Puts a configuration in force in which `org0` has these keys.
+fn set_keys(scene: &Scene, keys: &[&str]) {
     let last = scene.world.configs.borrow().last().unwrap().1.clone();
     let mut config = last;
     config.version = config.version.next();
@@ -50,11 +50,11 @@
     scene.world.configure(config);
 }
 
-/// Callers of three organisations use six VMs, of which three own each database. What a caller asks
-/// runs on connections that were opened on its organisation's behalf, and nothing is refused.
+/// Callers of three organisations use six VMs, of which three own each database. A caller's statements run on
+/// connections that were opened on behalf of its organisation, and nothing is refused.
 #[test]
 fn connections_belong_to_organisations() {
-    play(keyed(PLENTY), |scene| async move {
+    play(keyed(UNLIMITED), |scene| async move {
         let report = scene.passes().await;
         let said = scene.said(0, 30_000);
         let refused: Vec<_> = said.iter().filter(|said| !said.is_done()).collect();
@@ -64,10 +64,10 @@
     });
 }
 
-/// A caller shows a key that nobody holds: its session is refused, and nothing runs.
+/// A caller presents a key that no organisation holds: its session is refused, and nothing runs.
 #[test]
 fn an_unknown_key_is_refused() {
-    play(keyed(PLENTY), |scene| async move {
+    play(keyed(UNLIMITED), |scene| async move {
         scene.until(1_000).await;
         let refused = scene.opens_with("primary0", &vm("vm1"), "key7").await;
         assert!(!refused);
@@ -75,24 +75,24 @@
     });
 }
 
-/// A key is taken away while a session rests, one stands in a transaction, and the store turns their VM
-/// away. Within a second the first is closed, and the second's next statement is refused and its session
-/// ends: whatever it wrote is rolled back.
+/// A key is revoked while one session is idle, another is in a transaction, and the store refuses their VM.
+/// Within a second the first session is closed. The second one's next statement is refused and its session
+/// ends, and its writes are rolled back.
 #[test]
-fn a_key_is_taken_away() {
-    play(keyed(PLENTY), |scene| async move {
+fn a_key_is_revoked() {
+    play(keyed(UNLIMITED), |scene| async move {
         scene.until(2_000).await;
         let vm = vm("vm1");
-        let mut resting = scene.session("primary0", &vm, "key0").await;
+        let mut idle = scene.session("primary0", &vm, "key0").await;
         let mut open = scene.session("primary0", &vm, "key0").await;
-        assert_eq!(code(&resting.say("write i1 a").await.unwrap()), None);
+        assert_eq!(code(&idle.say("write i1 a").await.unwrap()), None);
         open.begin(false).await.unwrap();
         assert_eq!(code(&open.say("write i2 b").await.unwrap()), None);
-        let alone = Some([vm.clone()].into());
-        Fault::Store(Health::Refusing, alone).begin(&scene.world);
-        give_keys(&scene, &[]);
+        let only = Some([vm.clone()].into());
+        Fault::Store(Health::Refusing, only).begin(&scene.world);
+        set_keys(&scene, &[]);
         sleep(Duration::from_secs(1)).await;
-        assert!(resting.say("read i1").await.is_err());
+        assert!(idle.say("read i1").await.is_err());
         let answer = open.say("write i3 c").await.unwrap();
         assert_eq!(code(&answer), Some(Code::NoKey));
         assert!(open.say("commit").await.is_err());
@@ -107,13 +107,13 @@
     });
 }
 
-/// A key is used at a VM in the moment in which the operator has given it out, when that VM does not know
-/// of it yet: the VM asks for a newer configuration before it refuses, and the session opens.
+/// A key is used as soon as the operator has issued it, at a VM whose configuration does not have it yet.
+/// The VM requests a newer configuration before it refuses, and the session opens.
 #[test]
-fn a_new_key_is_known_at_once() {
-    play(keyed(PLENTY), |scene| async move {
+fn a_new_key_is_accepted_at_once() {
+    play(keyed(UNLIMITED), |scene| async move {
         scene.until(2_000).await;
-        give_keys(&scene, &["key0", "fresh"]);
+        set_keys(&scene, &["key0", "fresh"]);
         sleep(Duration::from_millis(30)).await;
         for vm in scene.world.running() {
             assert!(scene.opens_with("primary0", &vm, "fresh").await, "{vm}");
@@ -122,16 +122,16 @@
     });
 }
 
-/// One organisation sends all that two VMs can take for fifteen seconds, one of which is killed and
-/// starts again in between. No five seconds see more than its allowance; what is beyond it is refused
-/// at once, and by a promise. Nobody else is refused.
+/// One organisation sends as much as it can through two VMs for fifteen seconds; one of them is killed and
+/// restarted meanwhile. In no five seconds does more run than its allowance. Excess operations are refused at
+/// once, as not run. No other organisation is refused.
 #[test]
-fn an_organisation_asks_for_more_than_it_may() {
+fn an_organisation_exceeds_its_allowance() {
     let allowance = Allowance {
         rate: Rate(20_000),
         burst: 20,
     };
-    let mut setup = keyed(PLENTY);
+    let mut setup = keyed(UNLIMITED);
     if let Some(organisations) = &mut setup.organisations {
         organisations
             .allowances
@@ -142,7 +142,7 @@
         for vm in ["vm1", "vm2"] {
             for _ in 0..8 {
                 let session = scene.session("bounded0", &self::vm(vm), "key0").await;
-                tokio::task::spawn_local(press(session));
+                tokio::task::spawn_local(read_repeatedly(session));
             }
         }
         scene.fault(Fault::Kill(vm("vm2")), 8_000, 9_000).await;
@@ -173,7 +173,7 @@
     });
 }
 
-/// Reads as fast as it is answered.
-async fn press(mut session: Session) {
+/// Sends reads, each as soon as the previous one is answered.
+async fn read_repeatedly(mut session: Session) {
     while session.say("read i1").await.is_ok() {}
 }
--- a/tests/meter.rs
+++ b/tests/meter.rs
@@ -1,4 +1,4 @@
-//! What the scraper reads.
+//! The metrics as a scraper reads them.
 
 use lentilspoke::clock::Span;
 use lentilspoke::direct::config::Kind;
@@ -6,7 +6,7 @@
 use lentilspoke::direct::statement::Code;
 use lentilspoke::direct::table::{Ask, Era, Fault, Row, RowId, Told, Version};
 
-/// Each thing that is counted shows once, under its name and labels.
+/// Each metric appears once, under its name and labels.
 #[test]
 fn each_count_shows() {
     let meter = Meter::new();
@@ -61,10 +61,10 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against a scraper that keeps the first 4 KB of a VM with many databases, and so neither the
-/// configuration's version nor the calls of the store.
+/// A scraper may keep only the first 4 KB of a VM's metrics. With many databases, it must still get the
+/// configuration's version and the calls to the store.
 #[test]
-fn what_tells_most_comes_first() {
+fn the_most_informative_metrics_come_first() {
     let meter = Meter::new();
     for number in 0..200 {
         let database = format!("db{number}").parse().unwrap();
