--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -163,7 +163,7 @@
         let end = began + LONGEST;
         let ancestors = {
             let view = self.setup.shared.look();
-            reader::ancestors(view.fellows.list(), self.setup.address)
+            reader::ancestors(view.peers.list(), self.setup.address)
         };
         for ancestor in ancestors {
             if self.now() >= began + within {
@@ -219,7 +219,7 @@
 
     /// Whether some VMs read the store for the others.
     pub(super) fn have_readers(&self) -> bool {
-        self.setup.shared.look().fellows.list().len() > reader::FEW
+        self.setup.shared.look().peers.list().len() > reader::FEW
     }
 
     fn lacks_config(&self) -> bool {
--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -88,7 +88,7 @@
         let others = members.filter(|(_, (m, _))| !m.evicted && Some(m.address) != holder);
         // Those that have most processor, as all others beat to whoever holds the duty; and of these the
         // ones that read for others, as they know the row's version.
-        let readers = reader::all(self.setup.shared.look().fellows.list());
+        let readers = reader::all(self.setup.shared.look().peers.list());
         let place = |id, cores, address| (Reverse(cores), !readers.contains(address), id);
         let own = place(&self.id, self.setup.cores, &self.setup.address);
         let rank = others
@@ -224,7 +224,7 @@
     /// Has every VM send a heartbeat now, or in a moment if all were asked just before.
     pub(super) fn nudge_all(self: &Rc<Self>) {
         let now = self.now();
-        let vms = self.setup.shared.look().fellows.list().len();
+        let vms = self.setup.shared.look().peers.list().len();
         let Some(at) = self.state.borrow_mut().nudge.ask(now, vms) else {
             return;
         };
@@ -261,7 +261,7 @@
     /// up to 780 calls of 195 VMs, worked out. **Why it suffices.** Some that read for others are in each failure
     /// domain; where the store turns a third of the VMs away, one of twelve is answered.
     fn successors(&self) -> Vec<(MemberId, SocketAddr)> {
-        let readers = reader::all(self.setup.shared.look().fellows.list());
+        let readers = reader::all(self.setup.shared.look().peers.list());
         let mut others = self.others();
         others.retain(|(_, address)| readers.contains(address));
         others
--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -340,14 +340,14 @@
 
     /// Some other VMs, without the steward.
     fn peers(&self) -> Vec<SocketAddr> {
-        let fellows = self.setup.shared.look().fellows.list().clone();
+        let fellows = self.setup.shared.look().peers.list().clone();
         let addresses = fellows.iter().map(|fellow| fellow.address);
         self.some_of(addresses.collect())
     }
 
     /// Some of those that read for others, without the steward.
     pub(super) fn other_readers(&self) -> Vec<SocketAddr> {
-        let readers = reader::all(self.setup.shared.look().fellows.list());
+        let readers = reader::all(self.setup.shared.look().peers.list());
         self.some_of(readers.into_iter().collect())
     }
 
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -6,7 +6,7 @@
 use crate::direct::control::{Control, reader};
 use crate::direct::mesh::{Answer, Listed, Question};
 use crate::direct::table::Version;
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use futures_util::FutureExt;
 use futures_util::future::join_all;
 use futures_util::stream::{FuturesUnordered, StreamExt};
@@ -59,7 +59,7 @@
     /// Whether this VM reads the store for itself, and for others.
     pub(super) fn reads(&self) -> bool {
         let view = self.setup.shared.look();
-        reader::reads(view.fellows.list(), self.setup.address)
+        reader::reads(view.peers.list(), self.setup.address)
     }
 
     /// Whether another VM tells this one of each new configuration.
@@ -123,7 +123,7 @@
         let mut fellows = rows::fellows(members);
         let own = self.setup.address;
         fellows.retain(|fellow| fellow.address != own);
-        fellows.push(Fellow {
+        fellows.push(Peer {
             address: own,
             relay: self.setup.relay,
             domain: self.setup.domain.clone(),
@@ -212,7 +212,7 @@
     pub(super) async fn ask_readers(&self, whole: bool) -> Source {
         let (near, far) = {
             let view = self.setup.shared.look();
-            let (fellows, own) = (view.fellows.list(), self.setup.address);
+            let (fellows, own) = (view.peers.list(), self.setup.address);
             (reader::near(fellows, own), reader::far(fellows, own))
         };
         let turn = (self.chance() * far.len() as f64) as usize;
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -295,7 +295,7 @@
             steward: held.is_some(),
             token: held.max(post.map(|post| post.token)).unwrap_or_default(),
             heard: post.map(|post| now.since(post.hearing.since)),
-            members: self.setup.shared.look().fellows.list().len(),
+            members: self.setup.shared.look().peers.list().len(),
             register_age: state.register.asked().map(|asked| now.since(asked)),
             config: state.newest.max(self.config_version()),
         }
@@ -310,7 +310,7 @@
     fn is_large(&self) -> bool {
         let state = self.state.borrow();
         let read = state.reading.as_ref().map_or(0, |r| r.members.len());
-        let known = self.setup.shared.look().fellows.list().len();
+        let known = self.setup.shared.look().peers.list().len();
         state.many_rows || read.max(known) > LARGE
     }
 
--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -93,7 +93,7 @@
             gathered: self.state.borrow().gathering.gathered(),
             whole,
             register: self.state.borrow().register.digest(),
-            fellows: view.fellows.digest(),
+            peers: view.peers.digest(),
             leads: view.book.digest(),
             reports: telling(&view, now),
         }
@@ -142,7 +142,7 @@
             listed,
             leads: reading.map(|reading| leads_news(reading, &state.leads, beat.leads, now)),
             fresh: self.fresh_news(now),
-            fellows: reading.and_then(|_| self.fellows_news(beat.fellows)),
+            peers: reading.and_then(|_| self.fellows_news(beat.peers)),
             newest,
             config: part,
             register: self.register_news(beat.register, whole, now),
@@ -174,7 +174,7 @@
     /// How far primaries have come, as far as that was not told before.
     fn fresh_news(&self, now: Time) -> Vec<Progress> {
         let view = self.setup.shared.look();
-        let most = MOST_FRESH / view.fellows.list().len().max(1);
+        let most = MOST_FRESH / view.peers.list().len().max(1);
         let mut told = view.fresh.told(now);
         told.retain(|progress| progress.age < NEWS);
         if told.len() > most {
@@ -210,7 +210,7 @@
 
     /// The VMs, or what changed of them, unless whoever asks knows them.
     fn fellows_news(&self, known: u64) -> Option<FellowNews> {
-        self.setup.shared.look().fellows.update_for(known)
+        self.setup.shared.look().peers.update_for(known)
     }
 
     fn register_news(&self, known: u64, whole: bool, now: Time) -> Option<RegisterNews> {
@@ -288,9 +288,9 @@
             view.reached
                 .note(&progress.group, progress.epoch, progress.position, now);
         }
-        if let Some(fellows) = news.fellows {
+        if let Some(fellows) = news.peers {
             let now = self.now();
-            self.setup.shared.quietly().fellows.apply(fellows, now);
+            self.setup.shared.quietly().peers.apply(fellows, now);
         }
         if news.hears_most {
             self.setup.shared.quietly().tenure.confirm(asked);
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -5,7 +5,7 @@
 use crate::direct::control::rows::{Member, Reading, member_row};
 use crate::direct::control::state::Held;
 use crate::direct::table::{Change, Fault, RowId, Version};
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -38,9 +38,9 @@
     }
 
     /// Learns which VMs there are.
-    pub(super) fn learn_fellows(&self, fellows: Vec<Fellow>) {
+    pub(super) fn learn_fellows(&self, fellows: Vec<Peer>) {
         let now = self.now();
-        self.setup.shared.quietly().fellows.replace(fellows, now);
+        self.setup.shared.quietly().peers.replace(fellows, now);
     }
 
     /// Learns who holds the duty: it may have gone to another VM, or come to this one by a write
--- a/src/direct/control/reader.rs
+++ b/src/direct/control/reader.rs
@@ -12,7 +12,7 @@
 //! call, never correctness.
 
 use crate::direct::hash;
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use crate::types::Domain;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,13 +30,13 @@
 
 /// Whether the VM that listens at `own` reads for itself and for others. One that is not in the list
 /// does not know better.
-pub fn reads(fellows: &[Fellow], own: SocketAddr) -> bool {
+pub fn reads(fellows: &[Peer], own: SocketAddr) -> bool {
     let known = fellows.iter().any(|fellow| fellow.address == own);
     fellows.len() <= FEW || !known || of_domain(fellows, own).contains(&own)
 }
 
 /// The VMs to ask for what `own` does not read itself.
-pub fn near(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
+pub fn near(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
     let mut readers = of_domain(fellows, own);
     readers.retain(|reader| *reader != own);
     readers
@@ -47,7 +47,7 @@
 ///
 /// Answers a start of all VMs, and a change of a long configuration. Each VM has at most [`CHILDREN`], so the
 /// load of one VM does not grow with the fleet, and the depth grows with its logarithm.
-pub fn ancestors(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
+pub fn ancestors(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
     if fellows.len() <= FEW {
         return Vec::new();
     }
@@ -64,7 +64,7 @@
 }
 
 /// The readers of other failure domains.
-pub fn far(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
+pub fn far(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
     let near = of_domain(fellows, own);
     let mut readers = all(fellows);
     readers.retain(|reader| !near.contains(reader));
@@ -72,11 +72,11 @@
 }
 
 /// The readers of all failure domains; all VMs where there are few.
-pub fn all(fellows: &[Fellow]) -> BTreeSet<SocketAddr> {
+pub fn all(fellows: &[Peer]) -> BTreeSet<SocketAddr> {
     if fellows.len() <= FEW {
         return fellows.iter().map(|fellow| fellow.address).collect();
     }
-    let mut domains = BTreeMap::<&Domain, Vec<&Fellow>>::new();
+    let mut domains = BTreeMap::<&Domain, Vec<&Peer>>::new();
     for fellow in fellows {
         let domain = domains.entry(&fellow.domain).or_default();
         domain.push(fellow);
@@ -84,11 +84,11 @@
     domains.into_values().flat_map(first).collect()
 }
 
-fn of_domain(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
+fn of_domain(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
     first(of_same_domain(fellows, own))
 }
 
-fn of_same_domain(fellows: &[Fellow], own: SocketAddr) -> Vec<&Fellow> {
+fn of_same_domain(fellows: &[Peer], own: SocketAddr) -> Vec<&Peer> {
     let domain = fellows.iter().find(|f| f.address == own).map(|f| &f.domain);
     let near = fellows.iter().filter(|f| Some(&f.domain) == domain);
     near.collect()
@@ -96,13 +96,13 @@
 
 /// Those of a failure domain that have most processor, and of these the ones that hashing puts first, so
 /// that its readers are not the VMs that come first in other lists as well.
-fn first(fellows: Vec<&Fellow>) -> Vec<SocketAddr> {
+fn first(fellows: Vec<&Peer>) -> Vec<SocketAddr> {
     let mut ranked = ranked(fellows);
     ranked.truncate(EACH);
     ranked
 }
 
-fn ranked(mut fellows: Vec<&Fellow>) -> Vec<SocketAddr> {
+fn ranked(mut fellows: Vec<&Peer>) -> Vec<SocketAddr> {
     fellows.sort_by_cached_key(|fellow| {
         let address = fellow.address;
         (Reverse(fellow.cores), Reverse(weight(address)), address)
--- a/src/direct/control/rows.rs
+++ b/src/direct/control/rows.rs
@@ -4,7 +4,7 @@
 use crate::clock::Time;
 use crate::direct::lead::Lead;
 use crate::direct::table::{Era, Row, RowId, Version};
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use crate::types::{Cores, Domain, GroupId, Life, VmId};
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
@@ -169,7 +169,7 @@
     }
 
     /// Its VMs, one for each row.
-    pub fn fellows(&self) -> Vec<Fellow> {
+    pub fn fellows(&self) -> Vec<Peer> {
         fellows(&self.members)
     }
 
@@ -204,8 +204,8 @@
 }
 
 /// VMs as others know them.
-pub fn fellows(members: &BTreeMap<MemberId, (Member, Version)>) -> Vec<Fellow> {
-    let fellow = |(member, _): &(Member, Version)| Fellow {
+pub fn fellows(members: &BTreeMap<MemberId, (Member, Version)>) -> Vec<Peer> {
+    let fellow = |(member, _): &(Member, Version)| Peer {
         address: member.address,
         relay: member.relay,
         domain: member.domain.clone(),
--- a/src/direct/control/vouch.rs
+++ b/src/direct/control/vouch.rs
@@ -10,7 +10,7 @@
 use crate::direct::control::Control;
 use crate::direct::lead::{Epoch, QUORUM};
 use crate::direct::mesh::{Answer, Question};
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use crate::types::GroupId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -107,8 +107,8 @@
     async fn ask_fellows(&self) -> Vec<Vec<(GroupId, Epoch)>> {
         let mut fellows: Vec<(bool, SocketAddr)> = {
             let view = self.setup.shared.look();
-            let fellows = view.fellows.list().iter();
-            let place = |f: &Fellow| (f.domain != self.setup.domain, f.address);
+            let fellows = view.peers.list().iter();
+            let place = |f: &Peer| (f.domain != self.setup.domain, f.address);
             fellows.map(place).collect()
         };
         fellows.sort();
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -87,7 +87,7 @@
     /// The digest of the register that it has.
     pub register: u64,
     /// The digest of its list of VMs.
-    pub fellows: u64,
+    pub peers: u64,
     /// The digest of the leads that it knows.
     pub leads: u64,
     /// When databases last answered it or failed.
@@ -136,7 +136,7 @@
     /// The log positions of primaries, as of their last answers to this VM.
     pub fresh: Vec<Progress>,
     /// The VMs of that reading, if they differ from those that the asking VM knows.
-    pub fellows: Option<FellowNews>,
+    pub peers: Option<FellowNews>,
     /// The version of the answering VM's configuration in force.
     pub newest: Version,
     /// The entries of that configuration that the asking VM lacks, if they are few or a part was asked for.
--- a/src/direct/owner.rs
+++ b/src/direct/owner.rs
@@ -10,7 +10,7 @@
 //! that costs a connection, never correctness, since an owner believes nothing and only passes on.
 
 use crate::direct::hash;
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use crate::types::{DatabaseId, Domain, OrganisationId};
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
 }
 
 /// Which VMs connect to `goal`; `is_near` tells which failure domains are near that.
-pub fn access(fellows: &[Fellow], goal: Goal<'_>, is_near: impl Fn(&Domain) -> bool) -> Access {
+pub fn access(fellows: &[Peer], goal: Goal<'_>, is_near: impl Fn(&Domain) -> bool) -> Access {
     if fellows.len() * OWN_SHARE <= goal.connections as usize {
         return Access::All;
     }
@@ -128,7 +128,7 @@
 /// rendezvous hashing puts first. Of two lists that differ by one VM, only that VM's databases get
 /// another owner.
 pub fn owners(
-    fellows: &[Fellow],
+    fellows: &[Peer],
     id: &DatabaseId,
     is_near: impl Fn(&Domain) -> bool,
 ) -> Vec<SocketAddr> {
--- a/src/direct/quota/allocator.rs
+++ b/src/direct/quota/allocator.rs
@@ -5,7 +5,7 @@
 //! joins or leaves changes the allocators of few of them.
 
 use crate::direct::hash;
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use crate::types::OrganisationId;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -18,10 +18,10 @@
 /// The relay addresses of an organisation's allocators, the highest ranked of each region first.
 /// `limit` must not exceed the allowance's burst, since a share of less than one operation grants nothing.
 pub fn allocators<'a>(
-    peers: impl IntoIterator<Item = &'a Fellow>,
+    peers: impl IntoIterator<Item = &'a Peer>,
     organisation: &OrganisationId,
     limit: usize,
-    region: impl Fn(&'a Fellow) -> &'a str,
+    region: impl Fn(&'a Peer) -> &'a str,
 ) -> Vec<SocketAddr> {
     let seed = xxh3_64(organisation.as_str().as_bytes());
     let mut regions: BTreeMap<&str, Vec<(Reverse<u64>, SocketAddr)>> = BTreeMap::new();
--- a/src/direct/quota/spend.rs
+++ b/src/direct/quota/spend.rs
@@ -9,7 +9,7 @@
 use crate::direct::relay::line::Lines;
 use crate::direct::relay::{Reply, Request, Spend};
 use crate::direct::tenure::Entry;
-use crate::direct::view::{Fellow, Shared, View};
+use crate::direct::view::{Peer, Shared, View};
 use crate::types::OrganisationId;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -187,7 +187,7 @@
     /// Drops the buckets of organisations that have other allocators in a new list of VMs. If this VM becomes
     /// their allocator again, it starts with an empty bucket.
     fn drop_reassigned(&self) {
-        let peers = self.shared.look().fellows.digest();
+        let peers = self.shared.look().peers.digest();
         if self.checked.replace(peers) == peers {
             return;
         }
@@ -206,7 +206,7 @@
     /// successor of an evicted VM.
     fn entry(&self, organisation: &OrganisationId, allowance: Allowance) -> Entry {
         let view = self.shared.look();
-        let (peers, since) = (view.fellows.list(), view.fellows.since());
+        let (peers, since) = (view.peers.list(), view.peers.since());
         let region = |peer| self.region(peer);
         let allocators =
             allocator::allocators(peers.iter(), organisation, limit(allowance), region);
@@ -266,7 +266,7 @@
     /// The allocators, those near this VM first.
     fn near_first(&self, allocators: &[SocketAddr]) -> Vec<SocketAddr> {
         let view = self.shared.look();
-        let list = view.fellows.list();
+        let list = view.peers.list();
         let is_near = |allocator: &SocketAddr| {
             let mut peers = list.iter();
             let peer = peers.find(|peer| peer.relay == Some(*allocator));
@@ -281,7 +281,7 @@
         let limit = limit(allowance);
         let view = self.shared.look();
         let mut known = self.allocators.borrow_mut();
-        let peers = view.fellows.digest();
+        let peers = view.peers.digest();
         if known.peers != peers {
             known.peers = peers;
             known.by_organisation.clear();
@@ -289,13 +289,13 @@
         let key = (organisation.clone(), limit);
         let found = known.by_organisation.entry(key).or_insert_with(|| {
             let region = |peer| self.region(peer);
-            let peers = view.fellows.list().iter().filter(|peer| !peer.evicted);
+            let peers = view.peers.list().iter().filter(|peer| !peer.evicted);
             allocator::allocators(peers, organisation, limit, region).into()
         });
         found.clone()
     }
 
-    fn region<'a>(&'a self, peer: &'a Fellow) -> &'a str {
+    fn region<'a>(&'a self, peer: &'a Peer) -> &'a str {
         let region = self.place.regions.get(&peer.domain);
         region.map_or(peer.domain.as_str(), |region| &**region)
     }
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -223,14 +223,14 @@
         let config = view.config.as_ref();
         let group = config.and_then(|config| config.groups.get(&database.group));
         let connections = group.map_or(u32::MAX, |group| group.connections);
-        let fellows = view.fellows.digest();
+        let fellows = view.peers.digest();
         let mut ways = self.ways.borrow_mut();
         if let Some(known) = ways.get(&database.id)
             && (known.fellows, known.connections) == (fellows, connections)
         {
             return known.clone();
         }
-        let list = view.fellows.list();
+        let list = view.peers.list();
         let goal = Goal {
             id: &database.id,
             connections,
--- a/src/direct/view.rs
+++ b/src/direct/view.rs
@@ -27,7 +27,7 @@
     /// Who leads each group, and this VM's leases.
     pub book: Book,
     /// The registered VMs, including this one.
-    pub fellows: Fellows,
+    pub peers: Peers,
     /// How long this VM may grant tokens as an allocator.
     pub tenure: Tenure,
     /// How far the logs of primaries had come at known times.
@@ -123,9 +123,9 @@
     }
 }
 
-/// A registered VM, as its row in the store shows it.
+/// Another registered VM, or this one, as its row in the store shows it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Fellow {
+pub struct Peer {
     /// The address at which it listens for other VMs.
     pub address: SocketAddr,
     /// The address at which it relays other VMs' statements to databases, if it does.
@@ -138,7 +138,7 @@
     pub evicted: bool,
 }
 
-impl Fellow {
+impl Peer {
     /// Its relay address, unless it is evicted.
     pub fn serves(&self) -> Option<SocketAddr> {
         self.relay.filter(|_| !self.evicted)
@@ -153,29 +153,29 @@
     /// VMs of that list that were removed or have changed.
     pub gone: Vec<SocketAddr>,
     /// VMs that were added or have changed.
-    pub came: Vec<Fellow>,
+    pub came: Vec<Peer>,
 }
 
 /// The addresses of VMs that differ between two lists, or are in one of them only.
-fn differing(before: &[Fellow], after: &[Fellow]) -> Vec<SocketAddr> {
+fn differing(before: &[Peer], after: &[Peer]) -> Vec<SocketAddr> {
     let (before, after) = (before.iter().collect(), after.iter().collect());
     let differing = BTreeSet::symmetric_difference(&before, &after);
-    let addresses: BTreeSet<SocketAddr> = differing.map(|peer: &&Fellow| peer.address).collect();
+    let addresses: BTreeSet<SocketAddr> = differing.map(|peer: &&Peer| peer.address).collect();
     addresses.into_iter().collect()
 }
 
 /// The VMs, in order, of the newest reading of the store that gave this VM a lease.
 #[derive(Debug, Clone, Default)]
-pub struct Fellows {
-    list: Rc<[Fellow]>,
+pub struct Peers {
+    list: Rc<[Peer]>,
     digest: u64,
     since: Time,
     history: History<SocketAddr>,
 }
 
-impl Fellows {
+impl Peers {
     /// The VMs.
-    pub fn list(&self) -> &Rc<[Fellow]> {
+    pub fn list(&self) -> &Rc<[Peer]> {
         &self.list
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Replaces the list; returns whether it differs from the previous one.
-    pub fn replace(&mut self, mut list: Vec<Fellow>, now: Time) -> bool {
+    pub fn replace(&mut self, mut list: Vec<Peer>, now: Time) -> bool {
         list.sort();
         list.dedup();
         if *list == *self.list {
@@ -237,8 +237,8 @@
         if base != self.digest {
             return;
         }
-        let stays = |peer: &&Fellow| !update.gone.contains(&peer.address);
-        let mut list: Vec<Fellow> = self.list.iter().filter(stays).cloned().collect();
+        let stays = |peer: &&Peer| !update.gone.contains(&peer.address);
+        let mut list: Vec<Peer> = self.list.iter().filter(stays).cloned().collect();
         list.extend(update.came);
         self.replace(list, now);
     }
--- a/tests/direct_bulk.rs
+++ b/tests/direct_bulk.rs
@@ -3,7 +3,7 @@
 mod scene;
 
 use lentilspoke::direct::control::reader::{self, CHILDREN};
-use lentilspoke::direct::view::Fellow;
+use lentilspoke::direct::view::Peer;
 use lentilspoke::standin::direct::fault::Fault;
 use lentilspoke::standin::direct::group::REGISTER;
 use lentilspoke::standin::direct::setup::Setup;
@@ -33,8 +33,8 @@
     vms.iter().filter(|vm| scene.world.is_ready(vm)).count()
 }
 
-fn fellows(domains: usize, each: usize) -> Vec<Fellow> {
-    let fellow = |domain: usize, host: usize| Fellow {
+fn fellows(domains: usize, each: usize) -> Vec<Peer> {
+    let fellow = |domain: usize, host: usize| Peer {
         address: SocketAddr::from((
             [10, domain as u8, (host / 250) as u8, (host % 250) as u8],
             7_440,
--- a/tests/direct_fleet.rs
+++ b/tests/direct_fleet.rs
@@ -7,7 +7,7 @@
 use lentilspoke::direct::control::rows::{Duty, Member, duty_row};
 use lentilspoke::direct::mesh::{Beat, Question};
 use lentilspoke::direct::table;
-use lentilspoke::direct::view::Fellow;
+use lentilspoke::direct::view::Peer;
 use lentilspoke::standin::direct::fault::Fault;
 use lentilspoke::standin::direct::network::Node;
 use lentilspoke::standin::direct::setup::Setup;
@@ -220,7 +220,7 @@
                 gathered: None,
                 whole: false,
                 register: 0,
-                fellows: 0,
+                peers: 0,
                 leads: 0,
                 reports: Vec::new(),
             },
@@ -256,8 +256,8 @@
     (member, row.version)
 }
 
-fn fellows(domains: usize, each: usize) -> Vec<Fellow> {
-    let fellow = |domain: usize, host: usize| Fellow {
+fn fellows(domains: usize, each: usize) -> Vec<Peer> {
+    let fellow = |domain: usize, host: usize| Peer {
         address: SocketAddr::from(([10, domain as u8, 0, host as u8], 7_440)),
         relay: None,
         domain: format!("domain{domain}").parse().unwrap(),
--- a/tests/direct_history.rs
+++ b/tests/direct_history.rs
@@ -5,15 +5,15 @@
 use lentilspoke::direct::control::register::Register;
 use lentilspoke::direct::history::History;
 use lentilspoke::direct::mesh::Content;
-use lentilspoke::direct::view::{Fellow, Fellows};
+use lentilspoke::direct::view::{Peer, Peers};
 use lentilspoke::types::{Cores, DatabaseId};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
 
 const NOW: Time = Time(1_000_000);
 
-fn fellow(number: u8) -> Fellow {
-    Fellow {
+fn fellow(number: u8) -> Peer {
+    Peer {
         address: format!("10.0.0.{number}:7000").parse().unwrap(),
         relay: None,
         domain: "d".parse().unwrap(),
@@ -69,7 +69,7 @@
 #[test]
 fn whoever_is_told_changes_knows_the_same_vms() {
     fn same(lists: Vec<(Vec<u8>, bool)>) -> bool {
-        let (mut here, mut there) = (Fellows::default(), Fellows::default());
+        let (mut here, mut there) = (Peers::default(), Peers::default());
         for (list, asks) in lists {
             here.replace(list.into_iter().map(fellow).collect(), NOW);
             if !asks {
@@ -96,7 +96,7 @@
         let numbers = (0..=250).filter(|number| Some(*number) != but);
         numbers.map(fellow).collect::<Vec<_>>()
     };
-    let mut here = Fellows::default();
+    let mut here = Peers::default();
     here.replace(fellows(None), NOW);
     let known = here.digest();
     here.replace(fellows(Some(7)), NOW);
--- a/tests/direct_owner.rs
+++ b/tests/direct_owner.rs
@@ -1,7 +1,7 @@
 //! Which VMs own connections to a database, and through whom the others reach it.
 
 use lentilspoke::direct::owner::{Access, Goal, OWNERS, Way, access, owners};
-use lentilspoke::direct::view::Fellow;
+use lentilspoke::direct::view::Peer;
 use lentilspoke::types::{Cores, DatabaseId, Domain};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,8 +13,8 @@
 }
 
 /// VMs in six failure domains.
-fn fellows(count: usize) -> Vec<Fellow> {
-    let fellow = |number| Fellow {
+fn fellows(count: usize) -> Vec<Peer> {
+    let fellow = |number| Peer {
         address: format!("10.{}.0.{number}:7000", number % 6)
             .parse()
             .unwrap(),
@@ -35,7 +35,7 @@
     ["d0", "d3"].contains(&domain.as_str())
 }
 
-fn way_of(vm: usize, fellows: &[Fellow], id: &DatabaseId, connections: u32) -> Way {
+fn way_of(vm: usize, fellows: &[Peer], id: &DatabaseId, connections: u32) -> Way {
     access(fellows, Goal { id, connections }, is_near).way(Some(relay(vm)), id)
 }
 
@@ -118,7 +118,7 @@
 }
 
 /// Who connects to a database of 48 connections.
-fn shared(fellows: &[Fellow], id: &DatabaseId) -> Access {
+fn shared(fellows: &[Peer], id: &DatabaseId) -> Access {
     let connections = 48;
     access(fellows, Goal { id, connections }, is_near)
 }
--- a/tests/direct_quota.rs
+++ b/tests/direct_quota.rs
@@ -5,7 +5,7 @@
 use lentilspoke::direct::quota::allocator::{MAX_ALLOCATORS, allocators};
 use lentilspoke::direct::quota::bucket::{Bucket, Share, TOKEN_VALIDITY};
 use lentilspoke::direct::quota::cache::{Cache, Token};
-use lentilspoke::direct::view::Fellow;
+use lentilspoke::direct::view::Peer;
 use lentilspoke::types::{Cores, OrganisationId};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -32,13 +32,13 @@
 }
 
 /// VMs in two failure domains of each of three regions.
-fn fellows(count: usize) -> Vec<Fellow> {
+fn fellows(count: usize) -> Vec<Peer> {
     let fellow = |number| {
         let address = |port| -> SocketAddr {
             let text = format!("10.{}.0.{number}:{port}", number % 6);
             text.parse().unwrap()
         };
-        Fellow {
+        Peer {
             address: address(7_000),
             relay: Some(address(7_001)),
             domain: format!("d{}", number % 6).parse().unwrap(),
@@ -49,7 +49,7 @@
     (0..count).map(fellow).collect()
 }
 
-fn region(fellow: &Fellow) -> &str {
+fn region(fellow: &Peer) -> &str {
     match fellow.domain.as_str() {
         "d0" | "d3" => "east",
         "d1" | "d4" => "west",
