--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -11,7 +11,7 @@
 use crate::direct::mesh::{Beat, Heard, Leads, Listed, News, RegisterNews};
 use crate::direct::parts::Limit;
 use crate::direct::table::Version;
-use crate::direct::view::FellowNews;
+use crate::direct::view::PeerUpdate;
 use crate::direct::view::{Report, View};
 use crate::types::{DatabaseId, GroupId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -209,7 +209,7 @@
     }
 
     /// The VMs, or what changed of them, unless whoever asks knows them.
-    fn fellows_news(&self, known: u64) -> Option<FellowNews> {
+    fn fellows_news(&self, known: u64) -> Option<PeerUpdate> {
         self.setup.shared.look().peers.update_for(known)
     }
 
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -8,7 +8,7 @@
 use crate::direct::lead::{Epoch, Lead};
 use crate::direct::parts::{Gathered, Part};
 use crate::direct::table;
-use crate::direct::view::{FellowNews, Report};
+use crate::direct::view::{PeerUpdate, Report};
 use crate::types::{Cores, DatabaseId, Domain, GroupId, Life, Version, VmId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -136,7 +136,7 @@
     /// The log positions of primaries, as of their last answers to this VM.
     pub fresh: Vec<Progress>,
     /// The VMs of that reading, if they differ from those that the asking VM knows.
-    pub peers: Option<FellowNews>,
+    pub peers: Option<PeerUpdate>,
     /// The version of the answering VM's configuration in force.
     pub newest: Version,
     /// The entries of that configuration that the asking VM lacks, if they are few or a part was asked for.
--- a/src/direct/view.rs
+++ b/src/direct/view.rs
@@ -147,13 +147,13 @@
 
 /// The list of VMs, or the changes to a list that the receiver has.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FellowNews {
+pub struct PeerUpdate {
     /// The digest of the list that it changes; `None` if this is a complete list.
     pub base: Option<u64>,
     /// VMs of that list that were removed or have changed.
-    pub gone: Vec<SocketAddr>,
+    pub removed: Vec<SocketAddr>,
     /// VMs that were added or have changed.
-    pub came: Vec<Peer>,
+    pub added: Vec<Peer>,
 }
 
 /// The addresses of VMs that differ between two lists, or are in one of them only.
@@ -206,40 +206,40 @@
     }
 
     /// The update for a VM that has the list with the digest `known`; `None` if it is up to date.
-    pub fn update_for(&self, known: u64) -> Option<FellowNews> {
+    pub fn update_for(&self, known: u64) -> Option<PeerUpdate> {
         if known == self.digest && known != 0 {
             return None;
         }
         let Some(changed) = self.history.since(known) else {
-            return Some(FellowNews {
+            return Some(PeerUpdate {
                 base: None,
-                gone: Vec::new(),
-                came: self.list.to_vec(),
+                removed: Vec::new(),
+                added: self.list.to_vec(),
             });
         };
-        let came = self
+        let added = self
             .list
             .iter()
             .filter(|peer| changed.contains(&peer.address));
-        Some(FellowNews {
+        Some(PeerUpdate {
             base: Some(known),
-            came: came.cloned().collect(),
-            gone: changed.into_iter().collect(),
+            added: added.cloned().collect(),
+            removed: changed.into_iter().collect(),
         })
     }
 
     /// Applies an update from another VM; ignores it if it changes another list than this one.
-    pub fn apply(&mut self, update: FellowNews, now: Time) {
+    pub fn apply(&mut self, update: PeerUpdate, now: Time) {
         let Some(base) = update.base else {
-            self.replace(update.came, now);
+            self.replace(update.added, now);
             return;
         };
         if base != self.digest {
             return;
         }
-        let stays = |peer: &&Peer| !update.gone.contains(&peer.address);
+        let stays = |peer: &&Peer| !update.removed.contains(&peer.address);
         let mut list: Vec<Peer> = self.list.iter().filter(stays).cloned().collect();
-        list.extend(update.came);
+        list.extend(update.added);
         self.replace(list, now);
     }
 }
--- a/tests/direct_history.rs
+++ b/tests/direct_history.rs
@@ -101,9 +101,9 @@
     let known = here.digest();
     here.replace(fellows(Some(7)), NOW);
     let news = here.update_for(known).unwrap();
-    assert_eq!((news.came.len(), news.gone.len()), (0, 1));
+    assert_eq!((news.added.len(), news.removed.len()), (0, 1));
     assert_eq!(here.update_for(here.digest()), None);
-    assert_eq!(here.update_for(12_345).unwrap().came.len(), 250);
+    assert_eq!(here.update_for(12_345).unwrap().added.len(), 250);
 }
 
 /// The same for databases.
