--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -188,7 +188,7 @@
         let mut until = began + within;
         while self.now() < until.min(end) {
             let before = self.state.borrow().gathering.length();
-            let question = Question::Beat(self.beat_for(true));
+            let question = Question::Heartbeat(self.beat_for(true));
             let told = self.hear(address, question, ANSWER).await;
             if !lacks(self) {
                 let took_ms = self.now().since(began).0 / 1_000;
--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -144,7 +144,7 @@
             PATIENCE
         };
         let asked = self.now();
-        let question = Question::Beat(self.beat());
+        let question = Question::Heartbeat(self.beat());
         let answer = (self.setup.call)(post.address, question, patience).await;
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -315,7 +315,7 @@
     pub(super) async fn ask_peers(&self) -> (usize, usize) {
         let asked = self.now();
         let calls = self.peers().into_iter().map(async |address| {
-            let question = Question::Beat(self.beat());
+            let question = Question::Heartbeat(self.beat());
             (
                 address,
                 (self.setup.call)(address, question, PATIENCE).await,
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -172,7 +172,7 @@
 
     /// Asks a seed for the version of this VM's row, and to have it written under that version.
     async fn join_by(&self, seed: SocketAddr) -> bool {
-        let question = Question::Beat(self.beat());
+        let question = Question::Heartbeat(self.beat());
         let told = self.hear(seed, question, SEED).await;
         let listed = told.and_then(|told| told.listed);
         match listed {
@@ -184,7 +184,7 @@
     /// Has another VM write this VM's row, which has the version `expect`.
     async fn enroll_by(&self, address: SocketAddr, expect: Version) -> bool {
         let question = Question::Enroll {
-            beat: self.beat(),
+            heartbeat: self.beat(),
             relay: self.setup.relay,
             domain: self.setup.domain.clone(),
             cores: self.setup.cores,
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -185,13 +185,13 @@
         let control = self.clone();
         Box::pin(async move {
             match question {
-                Question::Beat(beat) => Answer::News(Box::new(control.answer_beat(beat))),
+                Question::Heartbeat(beat) => Answer::News(Box::new(control.answer_beat(beat))),
                 Question::Read(beat) => {
                     control.read_for_others().await;
                     Answer::News(Box::new(control.answer_beat(beat)))
                 }
                 Question::Enroll {
-                    beat,
+                    heartbeat: beat,
                     relay,
                     domain,
                     cores,
--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -8,7 +8,7 @@
 use crate::direct::control::{Control, watch};
 use crate::direct::fresh::Progress;
 use crate::direct::lead::Lead;
-use crate::direct::mesh::{Beat, Heard, Leads, Listed, News, RegisterNews};
+use crate::direct::mesh::{Heard, Heartbeat, Leads, Listed, News, RegisterNews};
 use crate::direct::parts::Limit;
 use crate::direct::table::Version;
 use crate::direct::view::PeerUpdate;
@@ -74,15 +74,15 @@
 
 impl Control {
     /// This VM's heartbeat.
-    pub(super) fn beat(&self) -> Beat {
+    pub(super) fn beat(&self) -> Heartbeat {
         self.beat_for(false)
     }
 
     /// The same, for a VM that may tell a long configuration in full or not.
-    pub(super) fn beat_for(&self, whole: bool) -> Beat {
+    pub(super) fn beat_for(&self, whole: bool) -> Heartbeat {
         let now = self.now();
         let view = self.setup.shared.look();
-        Beat {
+        Heartbeat {
             vm: self.setup.vm.clone(),
             life: self.setup.life,
             address: self.setup.address,
@@ -100,7 +100,7 @@
     }
 
     /// Answers a heartbeat; the steward remembers what it told.
-    pub(super) fn answer_beat(&self, beat: Beat) -> News {
+    pub(super) fn answer_beat(&self, beat: Heartbeat) -> News {
         let now = self.now();
         let id = MemberId::new(&beat.vm, beat.address.ip());
         let steward = self.is_steward();
@@ -151,7 +151,7 @@
 
     /// Whether one more VM may be told what is long. Those beyond the bound are told that there is
     /// something newer, and ask again: their heartbeats are answered in time meanwhile.
-    fn may_tell_long(&self, beat: &Beat, now: Time) -> bool {
+    fn may_tell_long(&self, beat: &Heartbeat, now: Time) -> bool {
         let newer = self.config_version() > beat.config;
         let mut state = self.state.borrow_mut();
         let register = &state.register;
@@ -237,7 +237,7 @@
         hears
     }
 
-    fn note_beat(&self, id: &MemberId, beat: &Beat, now: Time) {
+    fn note_beat(&self, id: &MemberId, beat: &Heartbeat, now: Time) {
         let mut state = self.state.borrow_mut();
         let failing = beat
             .reports
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -18,13 +18,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Question {
     /// A heartbeat to the steward, or to any VM while none is known.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Asks a VM that reads the store for others for its content, as read a moment ago at most.
-    Read(Beat),
+    Read(Heartbeat),
     /// Asks to write the asking VM's row together with others, and for a reading made after that.
     Enroll {
         /// The asking VM's state.
-        beat: Beat,
+        heartbeat: Heartbeat,
         /// The address at which it relays other VMs' statements, if it does.
         relay: Option<SocketAddr>,
         /// Its failure domain.
@@ -70,7 +70,7 @@
 
 /// The state that a VM sends with a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The asking VM.
     pub vm: VmId,
     /// Its life.
@@ -97,7 +97,7 @@
 /// The answer to a [`Question`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// To `Beat`, `Read` and `Enroll`.
+    /// To `Heartbeat`, `Read` and `Enroll`.
     News(Box<News>),
     /// To `Drop`: this life of the VM has released the epoch.
     Dropped(Life),
--- a/tests/direct_fleet.rs
+++ b/tests/direct_fleet.rs
@@ -5,7 +5,7 @@
 use lentilspoke::clock::Span;
 use lentilspoke::direct::control::reader;
 use lentilspoke::direct::control::rows::{Duty, Member, duty_row};
-use lentilspoke::direct::mesh::{Beat, Question};
+use lentilspoke::direct::mesh::{Heartbeat, Question};
 use lentilspoke::direct::table;
 use lentilspoke::direct::view::Peer;
 use lentilspoke::standin::direct::fault::Fault;
@@ -212,7 +212,7 @@
         let name = vm("vm9");
         let (former, version) = row_of(&scene, &name);
         let asked = Question::Enroll {
-            beat: Beat {
+            heartbeat: Heartbeat {
                 vm: name.clone(),
                 life: former.life,
                 address: former.address,
