--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -154,7 +154,7 @@
             return true;
         };
         match answer {
-            Some(Answer::News(news)) if news.steward => {
+            Some(Answer::Update(news)) if news.steward => {
                 known.hearing.answered(asked);
                 state.told = Some(now);
                 if let Some(version) = news.duty.as_ref().and_then(|duty| duty.version) {
@@ -170,7 +170,7 @@
                 self.take_news(*news, post.address, asked);
                 true
             }
-            Some(Answer::News(news)) => {
+            Some(Answer::Update(news)) => {
                 known.hearing.missed += 1;
                 drop(state);
                 self.follow_heard(news.duty.as_ref(), now);
@@ -325,7 +325,7 @@
         let token = self.state.borrow().post.as_ref().map(|post| post.token);
         let (mut answered, mut hear) = (0, 0);
         for (address, answer) in answers {
-            let Some(Answer::News(news)) = answer else {
+            let Some(Answer::Update(news)) = answer else {
                 continue;
             };
             answered += 1;
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -285,7 +285,7 @@
     ) -> Option<Told> {
         let asked = self.now();
         let answer = (self.setup.call)(address, question, within).await;
-        let Some(Answer::News(news)) = answer else {
+        let Some(Answer::Update(news)) = answer else {
             return None;
         };
         let told = Told {
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -185,10 +185,10 @@
         let control = self.clone();
         Box::pin(async move {
             match question {
-                Question::Heartbeat(beat) => Answer::News(Box::new(control.answer_beat(beat))),
+                Question::Heartbeat(beat) => Answer::Update(Box::new(control.answer_beat(beat))),
                 Question::Read(beat) => {
                     control.read_for_others().await;
-                    Answer::News(Box::new(control.answer_beat(beat)))
+                    Answer::Update(Box::new(control.answer_beat(beat)))
                 }
                 Question::Enroll {
                     heartbeat: beat,
@@ -209,7 +209,7 @@
                     let applicant = Applicant { id, member, expect };
                     // What became of it is told by the reading that follows.
                     let _ = control.enroll(applicant).await;
-                    Answer::News(Box::new(control.answer_beat(beat)))
+                    Answer::Update(Box::new(control.answer_beat(beat)))
                 }
                 Question::Drop {
                     group,
--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -8,7 +8,7 @@
 use crate::direct::control::{Control, watch};
 use crate::direct::fresh::Progress;
 use crate::direct::lead::Lead;
-use crate::direct::mesh::{Heard, Heartbeat, Leads, Listed, News, RegisterNews};
+use crate::direct::mesh::{Heard, Heartbeat, Leads, Listed, RegisterUpdate, Update};
 use crate::direct::parts::Limit;
 use crate::direct::table::Version;
 use crate::direct::view::PeerUpdate;
@@ -100,7 +100,7 @@
     }
 
     /// Answers a heartbeat; the steward remembers what it told.
-    pub(super) fn answer_beat(&self, beat: Heartbeat) -> News {
+    pub(super) fn answer_beat(&self, beat: Heartbeat) -> Update {
         let now = self.now();
         let id = MemberId::new(&beat.vm, beat.address.ip());
         let steward = self.is_steward();
@@ -132,7 +132,7 @@
                 .part(&config, beat.config, gathered, limit)
         });
         let (era, since) = self.store.era();
-        News {
+        Update {
             life: self.setup.life,
             era: since.map(|since| (era, now.since(since))),
             steward,
@@ -213,12 +213,12 @@
         self.setup.shared.look().peers.update_for(known)
     }
 
-    fn register_news(&self, known: u64, whole: bool, now: Time) -> Option<RegisterNews> {
+    fn register_news(&self, known: u64, whole: bool, now: Time) -> Option<RegisterUpdate> {
         let state = self.state.borrow();
         let register = &state.register;
         let asked = register.asked()?;
         let differs = register.digest() != known;
-        differs.then(|| RegisterNews {
+        differs.then(|| RegisterUpdate {
             age: now.since(asked),
             digest: register.digest(),
             content: register.content_for(known, whole),
@@ -262,7 +262,7 @@
     }
 
     /// Takes over what the VM that listens at `from` told, which was asked at `asked`.
-    pub(super) fn take_news(&self, news: News, from: SocketAddr, asked: Time) {
+    pub(super) fn take_news(&self, news: Update, from: SocketAddr, asked: Time) {
         if let Some((era, age)) = news.era {
             self.store.hear_era(era, asked - age);
         }
@@ -313,7 +313,7 @@
 
     /// Takes over the register, or what changed of it. One that is only said to differ is read from the
     /// store.
-    fn take_register(&self, news: RegisterNews, asked: Time) {
+    fn take_register(&self, news: RegisterUpdate, asked: Time) {
         let at = asked - news.age;
         let known = self.state.borrow().register.asked();
         if known.is_some_and(|known| known > at) {
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -98,7 +98,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
     /// To `Heartbeat`, `Read` and `Enroll`.
-    News(Box<News>),
+    Update(Box<Update>),
     /// To `Drop`: this life of the VM has released the epoch.
     Dropped(Life),
     /// To `Vouch`: the epochs that this life of the VM has not released and does not know to be replaced.
@@ -116,7 +116,7 @@
 
 /// The content of the answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The life of the VM that answers.
     pub life: Life,
     /// The store's era as the answering VM knows it, and for how long it has known it.
@@ -142,12 +142,12 @@
     /// The entries of that configuration that the asking VM lacks, if they are few or a part was asked for.
     pub config: Option<Part>,
     /// The register, if it differs from the one that the asking VM has.
-    pub register: Option<RegisterNews>,
+    pub register: Option<RegisterUpdate>,
 }
 
 /// The register of databases, or its changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RegisterNews {
+pub struct RegisterUpdate {
     /// How old the reading was when this answer was made.
     pub age: Span,
     /// Its digest.
