--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -243,7 +243,7 @@
         let Some(token) = token else { return };
         for (_, address) in self.others() {
             let address_here = self.setup.address;
-            let question = Question::Nudge {
+            let question = Question::Ping {
                 address: address_here,
                 token,
             };
--- a/src/direct/control/errands.rs
+++ b/src/direct/control/errands.rs
@@ -408,7 +408,7 @@
         let Some(token) = self.state.borrow().held.as_ref().map(|held| held.token) else {
             return;
         };
-        let question = Question::Nudge {
+        let question = Question::Ping {
             address: self.setup.address,
             token,
         };
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -229,7 +229,7 @@
                 Question::Store { ask, within } => {
                     Answer::Stored(control.store.call_for_another(ask, within).await)
                 }
-                Question::Nudge { address, token } => {
+                Question::Ping { address, token } => {
                     control.follow(address, token, control.now());
                     control.nudged.notify_one();
                     Answer::Noted
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -60,7 +60,7 @@
         within: Span,
     },
     /// Asks to send a heartbeat to the steward at once: it is new, or has an update.
-    Nudge {
+    Ping {
         /// The address at which the steward listens.
         address: SocketAddr,
         /// Its fencing token.
@@ -107,7 +107,7 @@
     Taken(bool),
     /// To `Store`: what the store answered the VM that was asked.
     Stored(Result<table::Told, table::Fault>),
-    /// To `Nudge`.
+    /// To `Ping`.
     Noted,
     /// Never sent, but made by the asking VM: the connection was refused, so no process listens there. A VM
     /// listens before it registers, so the registered life has ended.
