--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -222,9 +222,9 @@
                 Question::HandOver { token, version } => {
                     Answer::Taken(control.take_offer(token, version).await)
                 }
-                Question::Vouch => {
+                Question::Confirm => {
                     let vouched = control.setup.shared.look().book.vouches(control.now());
-                    Answer::Vouched(control.setup.life, vouched)
+                    Answer::Confirmed(control.setup.life, vouched)
                 }
                 Question::Store { ask, within } => {
                     Answer::Stored(control.store.call_for_another(ask, within).await)
--- a/src/direct/control/vouch.rs
+++ b/src/direct/control/vouch.rs
@@ -120,10 +120,10 @@
         let calls = fellows
             .into_iter()
             .take(MOST_ASKED)
-            .map(|(_, address)| (self.setup.call)(address, Question::Vouch, CALL));
+            .map(|(_, address)| (self.setup.call)(address, Question::Confirm, CALL));
         let answers = futures_util::future::join_all(calls).await;
         let words = answers.into_iter().filter_map(|answer| match answer {
-            Some(Answer::Vouched(life, words)) if life != self.setup.life => Some(words),
+            Some(Answer::Confirmed(life, words)) if life != self.setup.life => Some(words),
             _ => None,
         });
         words.collect()
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -51,7 +51,7 @@
         version: table::Version,
     },
     /// Asks which epochs the VM confirms, to extend leases while the store or the steward does not answer.
-    Vouch,
+    Confirm,
     /// Asks to call the store on behalf of a VM that the store refuses.
     Store {
         /// The call.
@@ -101,8 +101,8 @@
     Update(Box<Update>),
     /// To `Drop`: this life of the VM has released the epoch.
     Dropped(Life),
-    /// To `Vouch`: the epochs that this life of the VM has not released and does not know to be replaced.
-    Vouched(Life, Vec<(GroupId, Epoch)>),
+    /// To `Confirm`: the epochs that this life of the VM has not released and does not know to be replaced.
+    Confirmed(Life, Vec<(GroupId, Epoch)>),
     /// To `HandOver`: whether the duty was taken.
     Taken(bool),
     /// To `Store`: what the store answered the VM that was asked.
--- a/tests/direct_mesh.rs
+++ b/tests/direct_mesh.rs
@@ -140,7 +140,7 @@
     let answerer: mesh::Answerer = Rc::new(move |question| {
         let gate = gate.clone();
         Box::pin(async move {
-            if question == Question::Vouch {
+            if question == Question::Confirm {
                 gate.notified().await;
             }
             Answer::Noted
@@ -152,7 +152,7 @@
     assert_eq!(asked, Some(Answer::Noted));
     for _ in 0..3 {
         assert_eq!(
-            call(forwarder.address, Question::Vouch, SHORT_TIMEOUT).await,
+            call(forwarder.address, Question::Confirm, SHORT_TIMEOUT).await,
             None
         );
         release.notify_one();
