--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -136,7 +136,7 @@
             life: self.setup.life,
             era: since.map(|since| (era, now.since(since))),
             steward,
-            hears_most,
+            has_majority: hears_most,
             duty: self.duty_heard(now),
             member: reading.is_some(),
             listed,
@@ -292,7 +292,7 @@
             let now = self.now();
             self.setup.shared.quietly().peers.apply(fellows, now);
         }
-        if news.hears_most {
+        if news.has_majority {
             self.setup.shared.quietly().tenure.confirm(asked);
         }
         if let Some(leads) = news.leads {
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -124,7 +124,7 @@
     /// Whether it is the steward.
     pub steward: bool,
     /// Whether it is the steward, and receives heartbeats from a majority of the registered VMs.
-    pub hears_most: bool,
+    pub has_majority: bool,
     /// The steward that it follows, if it knows one.
     pub duty: Option<Heard>,
     /// Whether the reading shows the asking VM's row. If not, no leads are sent, and it has to register.
