--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -193,7 +193,7 @@
 
     pub(super) fn follow_heard(
         &self,
-        heard: Option<&crate::direct::mesh::Heard>,
+        heard: Option<&crate::direct::mesh::Steward>,
         now: crate::clock::Time,
     ) {
         let fresh = heard.filter(|heard| heard.age < LOOK_EVERY);
--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -8,7 +8,7 @@
 use crate::direct::control::{Control, watch};
 use crate::direct::fresh::Progress;
 use crate::direct::lead::Lead;
-use crate::direct::mesh::{Heard, Heartbeat, Leads, Listed, RegisterUpdate, Update};
+use crate::direct::mesh::{Heartbeat, Leads, Listed, RegisterUpdate, Steward, Update};
 use crate::direct::parts::Limit;
 use crate::direct::table::Version;
 use crate::direct::view::PeerUpdate;
@@ -186,10 +186,10 @@
         told
     }
 
-    fn duty_heard(&self, now: Time) -> Option<Heard> {
+    fn duty_heard(&self, now: Time) -> Option<Steward> {
         let state = self.state.borrow();
         if let Some(held) = &state.held {
-            return Some(Heard {
+            return Some(Steward {
                 address: self.setup.address,
                 token: held.token,
                 version: Some(held.version),
@@ -200,7 +200,7 @@
             .post
             .as_ref()
             .filter(|post| post.hearing.ended.is_none())?;
-        Some(Heard {
+        Some(Steward {
             address: post.address,
             token: post.token,
             version: None,
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -126,7 +126,7 @@
     /// Whether it is the steward, and receives heartbeats from a majority of the registered VMs.
     pub has_majority: bool,
     /// The steward that it follows, if it knows one.
-    pub duty: Option<Heard>,
+    pub duty: Option<Steward>,
     /// Whether the reading shows the asking VM's row. If not, no leads are sent, and it has to register.
     pub member: bool,
     /// The asking VM's row in the newest reading, if there is one.
@@ -192,7 +192,7 @@
 
 /// A steward, as another VM knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct Steward {
     /// The address at which it listens for other VMs.
     pub address: SocketAddr,
     /// Its fencing token.
