--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -91,7 +91,7 @@
                 .as_ref()
                 .map_or_else(Default::default, |c| c.version),
             gathered: self.state.borrow().gathering.gathered(),
-            whole,
+            accepts_long: whole,
             register: self.state.borrow().register.digest(),
             peers: view.peers.digest(),
             leads: view.book.digest(),
@@ -108,7 +108,7 @@
             self.note_beat(&id, &beat, now);
         }
         let hears_most = steward && self.hears_most(now);
-        let whole = beat.whole && self.may_tell_long(&beat, now);
+        let whole = beat.accepts_long && self.may_tell_long(&beat, now);
         let state = self.state.borrow();
         let read = state.reading.as_ref();
         let listed = read.map(|reading| Listed {
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -83,7 +83,7 @@
     pub gathered: Option<Gathered>,
     /// Whether the answer may be long: a part of a newer configuration, or the whole register. Set when the
     /// asked VM is near by.
-    pub whole: bool,
+    pub accepts_long: bool,
     /// The digest of the register that it has.
     pub register: u64,
     /// The digest of its list of VMs.
--- a/tests/direct_fleet.rs
+++ b/tests/direct_fleet.rs
@@ -218,7 +218,7 @@
                 address: former.address,
                 config: Version::default(),
                 gathered: None,
-                whole: false,
+                accepts_long: false,
                 register: 0,
                 peers: 0,
                 leads: 0,
