--- a/src/direct/control/change.rs
+++ b/src/direct/control/change.rs
@@ -265,7 +265,7 @@
             let question = Question::Drop {
                 group: work.group.clone(),
                 epoch: work.epoch,
-                patience,
+                timeout: patience,
             };
             let left = until.since(self.now());
             match (self.setup.call)(address, question, left.min(patience + CALL)).await {
--- a/src/direct/control/detour.rs
+++ b/src/direct/control/detour.rs
@@ -96,7 +96,7 @@
         for address in self.helpers() {
             let question = Question::Store {
                 ask: ask.clone(),
-                within: WITHIN,
+                timeout: WITHIN,
             };
             let answer = (self.setup.call)(address, question, WITHIN + MARGIN).await;
             match answer {
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -214,7 +214,7 @@
                 Question::Drop {
                     group,
                     epoch,
-                    patience,
+                    timeout: patience,
                 } => {
                     control.drop_epoch(group, epoch, patience).await;
                     Answer::Dropped(control.setup.life)
@@ -226,9 +226,10 @@
                     let vouched = control.setup.shared.look().book.vouches(control.now());
                     Answer::Confirmed(control.setup.life, vouched)
                 }
-                Question::Store { ask, within } => {
-                    Answer::Stored(control.store.call_for_another(ask, within).await)
-                }
+                Question::Store {
+                    ask,
+                    timeout: within,
+                } => Answer::Stored(control.store.call_for_another(ask, within).await),
                 Question::Ping { address, token } => {
                     control.follow(address, token, control.now());
                     control.nudged.notify_one();
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -41,7 +41,7 @@
         /// The epoch; all before it are released too.
         epoch: Epoch,
         /// How long to wait for the end of work in progress.
-        patience: Span,
+        timeout: Span,
     },
     /// Sent by a steward that stops, to hand over its duty.
     HandOver {
@@ -57,7 +57,7 @@
         /// The call.
         ask: table::Ask,
         /// The timeout of the call.
-        within: Span,
+        timeout: Span,
     },
     /// Asks to send a heartbeat to the steward at once: it is new, or has an update.
     Ping {
