--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -79,7 +79,7 @@
 
 impl UnderWay {
     fn start(shared: &Rc<Shared>, group: &GroupId, epoch: Epoch) -> Self {
-        shared.quietly().work.start(group, epoch);
+        shared.modify_silently().work.start(group, epoch);
         Self {
             shared: shared.clone(),
             group: group.clone(),
@@ -91,12 +91,12 @@
 impl Drop for UnderWay {
     fn drop(&mut self) {
         let last = {
-            let mut view = self.shared.quietly();
+            let mut view = self.shared.modify_silently();
             view.work.end(&self.group, self.epoch);
             !view.work.is_under_way(&self.group, self.epoch)
         };
         if last {
-            self.shared.change(|_| ());
+            self.shared.modify(|_| ());
         }
     }
 }
--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -246,7 +246,7 @@
     /// How long the open transaction may stay idle.
     fn idle_span(&self) -> Option<Span> {
         self.transaction.as_ref()?;
-        let view = self.front.shared.look();
+        let view = self.front.shared.get();
         Some(view.config.as_ref()?.idle)
     }
 
--- a/src/direct/caller/admission.rs
+++ b/src/direct/caller/admission.rs
@@ -19,7 +19,7 @@
         let configured = async {
             loop {
                 let changed = shared.changed();
-                if shared.look().config.is_some() {
+                if shared.get().config.is_some() {
                     return;
                 }
                 changed.await;
--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -162,7 +162,7 @@
         let began = self.now();
         let end = began + LONGEST;
         let ancestors = {
-            let view = self.setup.shared.look();
+            let view = self.setup.shared.get();
             reader::ancestors(view.peers.list(), self.setup.address)
         };
         for ancestor in ancestors {
@@ -219,7 +219,7 @@
 
     /// Whether some VMs read the store for the others.
     pub(super) fn have_readers(&self) -> bool {
-        self.setup.shared.look().peers.list().len() > reader::FEW
+        self.setup.shared.get().peers.list().len() > reader::FEW
     }
 
     fn lacks_config(&self) -> bool {
--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -78,7 +78,7 @@
 
     /// From when on this VM may take the duty.
     pub(super) fn takes_at(&self, now: Time) -> Option<Time> {
-        if self.setup.shared.look().stopping || !self.is_member() {
+        if self.setup.shared.get().stopping || !self.is_member() {
             return None;
         }
         let state = self.state.borrow();
@@ -88,7 +88,7 @@
         let others = members.filter(|(_, (m, _))| !m.evicted && Some(m.address) != holder);
         // Those that have most processor, as all others beat to whoever holds the duty; and of these the
         // ones that read for others, as they know the row's version.
-        let readers = reader::all(self.setup.shared.look().peers.list());
+        let readers = reader::all(self.setup.shared.get().peers.list());
         let place = |id, cores, address| (Reverse(cores), !readers.contains(address), id);
         let own = place(&self.id, self.setup.cores, &self.setup.address);
         let rank = others
@@ -183,7 +183,7 @@
 
     /// This VM holds the duty from now on.
     pub(super) fn become_steward(self: &Rc<Self>, held: Held) {
-        let stopping = self.setup.shared.look().stopping;
+        let stopping = self.setup.shared.get().stopping;
         if stopping || self.state.borrow().stopped {
             return;
         }
@@ -224,7 +224,7 @@
     /// Has every VM send a heartbeat now, or in a moment if all were asked just before.
     pub(super) fn nudge_all(self: &Rc<Self>) {
         let now = self.now();
-        let vms = self.setup.shared.look().peers.list().len();
+        let vms = self.setup.shared.get().peers.list().len();
         let Some(at) = self.state.borrow_mut().nudge.ask(now, vms) else {
             return;
         };
@@ -261,7 +261,7 @@
     /// up to 780 calls of 195 VMs, worked out. **Why it suffices.** Some that read for others are in each failure
     /// domain; where the store turns a third of the VMs away, one of twelve is answered.
     fn successors(&self) -> Vec<(MemberId, SocketAddr)> {
-        let readers = reader::all(self.setup.shared.look().peers.list());
+        let readers = reader::all(self.setup.shared.get().peers.list());
         let mut others = self.others();
         others.retain(|(_, address)| readers.contains(address));
         others
@@ -448,7 +448,7 @@
     /// renewal, which changes the version; another version than the offered one is taken only
     /// once no order can be under way by it.
     pub(super) async fn take_offer(self: &Rc<Self>, token: u64, version: Version) -> bool {
-        let refuses = self.is_steward() || self.setup.shared.look().stopping;
+        let refuses = self.is_steward() || self.setup.shared.get().stopping;
         if refuses || self.read_rows().await.is_err() || !self.is_member() {
             return false;
         }
--- a/src/direct/control/enroll.rs
+++ b/src/direct/control/enroll.rs
@@ -116,7 +116,7 @@
             return Ok(());
         }
         let lacks_register = self.state.borrow().register.asked().is_none();
-        let lacks_config = self.setup.shared.look().config.is_none();
+        let lacks_config = self.setup.shared.get().config.is_none();
         let register = async {
             match lacks_register {
                 true => self.read_register().await,
--- a/src/direct/control/errands.rs
+++ b/src/direct/control/errands.rs
@@ -134,7 +134,7 @@
         let (Some(reading), Some(held)) = (&state.reading, &state.held) else {
             return (Vec::new(), None);
         };
-        let config = self.setup.shared.look().config.clone();
+        let config = self.setup.shared.get().config.clone();
         let told = state.heard.iter().map(|(id, heard)| {
             let told = Told {
                 life: heard.life,
@@ -163,7 +163,7 @@
 
     /// What this VM itself saw counts like what the others told.
     fn note_own(&self, now: Time) {
-        let reports = self.setup.shared.look().reports.all(now);
+        let reports = self.setup.shared.get().reports.all(now);
         let own = Beaten {
             life: self.setup.life,
             at: now,
@@ -286,7 +286,7 @@
         let reading = state.reading.as_ref();
         let former = reading.and_then(|reading| reading.former.leads.get(group));
         let version = former.map_or(Version::NONE, |(_, version)| *version);
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         let known = view.book.known(group).map(|(lead, _)| lead);
         let known = known.into_iter().chain(former.map(|(lead, _)| lead));
         let known = known.max_by_key(|lead| (lead.epoch, lead.changing));
@@ -297,7 +297,7 @@
 
     /// A database as the register shows it.
     pub(super) fn registered(&self, id: &DatabaseId) -> Option<Database> {
-        self.setup.shared.look().databases.get(id).cloned()
+        self.setup.shared.get().databases.get(id).cloned()
     }
 
     /// Asks a database how it stands, by the session that is kept open to it.
@@ -322,11 +322,11 @@
     /// connection left for whoever asks how far they are. **Without it** nothing is promoted until
     /// the load falls, which it does not before something is promoted.
     async fn keep_links(&self) {
-        if self.setup.shared.look().databases.len() > MOST_LINKS {
+        if self.setup.shared.get().databases.len() > MOST_LINKS {
             return;
         }
         let databases: Vec<_> = {
-            let view = self.setup.shared.look();
+            let view = self.setup.shared.get();
             let mut links = self.links.borrow_mut();
             links.retain(|id, _| view.databases.contains_key(id));
             let config = view.config.as_ref();
@@ -372,7 +372,7 @@
     /// Tells a database that another one leads, by the term of that one.
     async fn step_down(&self, group: &GroupId, old: &DatabaseId) {
         let (leader, database) = {
-            let view = self.setup.shared.look();
+            let view = self.setup.shared.get();
             let known = view.book.known(group).map(|(lead, _)| lead.clone());
             let lead = known.filter(|lead| !lead.changing && lead.primary != *old);
             let leader = lead.and_then(|lead| view.databases.get(&lead.primary).cloned());
--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -45,11 +45,11 @@
 
 /// Beats until the process ends.
 pub(super) async fn run(control: Rc<Control>) {
-    let alarm = control.setup.shared.look().reports.alarm();
+    let alarm = control.setup.shared.get().reports.alarm();
     let mut backoff = Backoff::default();
     while !control.state.borrow().stopped {
         let turned = control.turn().await;
-        control.setup.shared.quietly().blind = turned.is_err();
+        control.setup.shared.modify_silently().blind = turned.is_err();
         let wait = match turned {
             Ok(wait) => {
                 backoff.reset();
@@ -98,7 +98,7 @@
             self.wake.notify_one();
             let now = self.now();
             if self.hears_most(now) {
-                self.setup.shared.quietly().tenure.confirm(now);
+                self.setup.shared.modify_silently().tenure.confirm(now);
             }
             return Ok(EVERY);
         }
@@ -240,7 +240,7 @@
     /// be turned away by the store, while this VM is not.
     fn is_stale(&self) -> bool {
         let now = self.now();
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         let old = |group| {
             let known = view.book.known(group);
             known.is_some_and(|(lead, asked)| !lead.changing && asked + STALE < now)
@@ -288,7 +288,7 @@
 
     /// Whether this VM has no configuration or no register yet.
     pub(super) fn knows_nothing(&self) -> bool {
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         view.config.is_none() || view.databases.is_empty()
     }
 
@@ -340,14 +340,14 @@
 
     /// Some other VMs, without the steward.
     fn peers(&self) -> Vec<SocketAddr> {
-        let fellows = self.setup.shared.look().peers.list().clone();
+        let fellows = self.setup.shared.get().peers.list().clone();
         let addresses = fellows.iter().map(|fellow| fellow.address);
         self.some_of(addresses.collect())
     }
 
     /// Some of those that read for others, without the steward.
     pub(super) fn other_readers(&self) -> Vec<SocketAddr> {
-        let readers = reader::all(self.setup.shared.look().peers.list());
+        let readers = reader::all(self.setup.shared.get().peers.list());
         self.some_of(readers.into_iter().collect())
     }
 
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -58,7 +58,7 @@
 impl Control {
     /// Whether this VM reads the store for itself, and for others.
     pub(super) fn reads(&self) -> bool {
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         reader::reads(view.peers.list(), self.setup.address)
     }
 
@@ -211,7 +211,7 @@
     /// each second, 25 would ask each reader for 400 KB, again before the answers to the last time are out.
     pub(super) async fn ask_readers(&self, whole: bool) -> Source {
         let (near, far) = {
-            let view = self.setup.shared.look();
+            let view = self.setup.shared.get();
             let (fellows, own) = (view.peers.list(), self.setup.address);
             (reader::near(fellows, own), reader::far(fellows, own))
         };
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -223,7 +223,7 @@
                     Answer::Taken(control.take_offer(token, version).await)
                 }
                 Question::Confirm => {
-                    let vouched = control.setup.shared.look().book.vouches(control.now());
+                    let vouched = control.setup.shared.get().book.vouches(control.now());
                     Answer::Confirmed(control.setup.life, vouched)
                 }
                 Question::Store {
@@ -243,20 +243,20 @@
     /// `patience` is.
     async fn drop_epoch(&self, group: GroupId, epoch: Epoch, patience: Span) {
         let shared = &self.setup.shared;
-        shared.change(|view| view.book.close_epoch(&group, epoch));
+        shared.modify(|view| view.book.close_epoch(&group, epoch));
         let deadline = self.now() + patience;
-        while self.now() < deadline && shared.look().work.is_under_way(&group, epoch) {
+        while self.now() < deadline && shared.get().work.is_under_way(&group, epoch) {
             tokio::time::sleep(WORK_ENDS).await;
         }
-        let cut = shared.look().work.is_under_way(&group, epoch);
-        shared.change(|view| view.book.drop_epoch(&group, epoch));
+        let cut = shared.get().work.is_under_way(&group, epoch);
+        shared.modify(|view| view.book.drop_epoch(&group, epoch));
         log::info!(group:%, epoch, patience_ms = patience.0 / 1_000, cut; "an epoch is given up");
     }
 
     /// Whether callers may be sent here: it knows a configuration, and who leads.
     pub fn is_ready(&self) -> bool {
         let now = self.now();
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         let fresh = |group: &GroupId| {
             let known = view.book.known(group);
             known.is_some_and(|(_, asked)| now < asked + LEASE)
@@ -270,15 +270,15 @@
     /// Between two statements there is no work for a moment. Were the leases dropped then, every
     /// caller that the balancer still sends here would wait for a primary in vain.
     pub async fn stop(self: &Rc<Self>, served: impl Future<Output = ()>) {
-        self.setup.shared.change(|view| view.stopping = true);
+        self.setup.shared.modify(|view| view.stopping = true);
         tokio::join!(self.hand_over("this VM stops"), served);
-        while self.setup.shared.look().work.is_any() {
+        while self.setup.shared.get().work.is_any() {
             tokio::time::sleep(WORK_ENDS).await;
         }
         self.resign("this VM stops");
         self.state.borrow_mut().stopped = true;
         // Before the row goes: without it nobody asks this VM to give an epoch up.
-        self.setup.shared.change(|view| view.book.drop_all());
+        self.setup.shared.modify(|view| view.book.drop_all());
         self.wake.notify_one();
         self.nudged.notify_one();
         if let Err(reason) = self.unregister().await {
@@ -296,7 +296,7 @@
             steward: held.is_some(),
             token: held.max(post.map(|post| post.token)).unwrap_or_default(),
             heard: post.map(|post| now.since(post.hearing.since)),
-            members: self.setup.shared.look().peers.list().len(),
+            members: self.setup.shared.get().peers.list().len(),
             register_age: state.register.asked().map(|asked| now.since(asked)),
             config: state.newest.max(self.config_version()),
         }
@@ -311,7 +311,7 @@
     fn is_large(&self) -> bool {
         let state = self.state.borrow();
         let read = state.reading.as_ref().map_or(0, |r| r.members.len());
-        let known = self.setup.shared.look().peers.list().len();
+        let known = self.setup.shared.get().peers.list().len();
         state.many_rows || read.max(known) > LARGE
     }
 
--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -81,7 +81,7 @@
     /// The same, for a VM that may tell a long configuration in full or not.
     pub(super) fn beat_for(&self, whole: bool) -> Heartbeat {
         let now = self.now();
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         Heartbeat {
             vm: self.setup.vm.clone(),
             life: self.setup.life,
@@ -119,7 +119,7 @@
             age: now.since(reading.asked),
         });
         let reading = read.filter(|reading| reading.is_lease_for(&id, beat.life));
-        let config = self.setup.shared.look().config.clone();
+        let config = self.setup.shared.get().config.clone();
         let newest = config.as_ref().map_or_else(Default::default, |c| c.version);
         let limit = match whole {
             true => Limit::Portion(PART),
@@ -173,7 +173,7 @@
 
     /// How far primaries have come, as far as that was not told before.
     fn fresh_news(&self, now: Time) -> Vec<Progress> {
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         let most = MOST_FRESH / view.peers.list().len().max(1);
         let mut told = view.fresh.told(now);
         told.retain(|progress| progress.age < NEWS);
@@ -210,7 +210,7 @@
 
     /// The VMs, or what changed of them, unless whoever asks knows them.
     fn fellows_news(&self, known: u64) -> Option<PeerUpdate> {
-        self.setup.shared.look().peers.update_for(known)
+        self.setup.shared.get().peers.update_for(known)
     }
 
     fn register_news(&self, known: u64, whole: bool, now: Time) -> Option<RegisterUpdate> {
@@ -267,7 +267,7 @@
             self.store.hear_era(era, asked - age);
         }
         if let Some(part) = news.config {
-            let known = self.setup.shared.look().config.clone();
+            let known = self.setup.shared.get().config.clone();
             let taken = self
                 .state
                 .borrow_mut()
@@ -283,17 +283,21 @@
         }
         for progress in &news.fresh {
             let now = self.now();
-            let mut view = self.setup.shared.quietly();
+            let mut view = self.setup.shared.modify_silently();
             view.fresh.hear(progress, asked);
             view.reached
                 .note(&progress.group, progress.epoch, progress.position, now);
         }
         if let Some(fellows) = news.peers {
             let now = self.now();
-            self.setup.shared.quietly().peers.apply(fellows, now);
+            self.setup
+                .shared
+                .modify_silently()
+                .peers
+                .apply(fellows, now);
         }
         if news.has_majority {
-            self.setup.shared.quietly().tenure.confirm(asked);
+            self.setup.shared.modify_silently().tenure.confirm(asked);
         }
         if let Some(leads) = news.leads {
             let read = asked - leads.age;
@@ -305,7 +309,7 @@
     /// A reading asked at `asked` shows this VM as registered.
     pub(super) fn prolong_tenure(&self, asked: Time) {
         let now = self.now();
-        let begins = self.setup.shared.quietly().tenure.read(asked, now);
+        let begins = self.setup.shared.modify_silently().tenure.read(asked, now);
         if begins {
             log::info!(vm:% = self.id; "this VM may hand out what it keeps, from now on");
         }
@@ -348,7 +352,7 @@
         for (group, lead) in leads.rows.into_iter().flatten() {
             self.learn_lead(&group, lead, at);
         }
-        let shown = self.setup.shared.look().book.shown(leads.digest);
+        let shown = self.setup.shared.get().book.shown(leads.digest);
         for (group, lead) in shown.unwrap_or_default() {
             self.learn_lead(&group, lead, at);
         }
@@ -361,16 +365,16 @@
         }
         let shared = &self.setup.shared;
         let known = shared
-            .look()
+            .get()
             .book
             .known(group)
             .map(|(known, _)| known.clone());
-        let lapsed = shared.look().book.until(group) <= Some(self.now());
+        let lapsed = shared.get().book.until(group) <= Some(self.now());
         if known.as_ref() == Some(&lead) && !lapsed {
             // Only the lease grows longer: nobody waits for that.
-            return shared.quietly().book.learn(group, lead, asked);
+            return shared.modify_silently().book.learn(group, lead, asked);
         }
-        shared.change(|view| view.book.learn(group, lead.clone(), asked));
+        shared.modify(|view| view.book.learn(group, lead.clone(), asked));
         if known.as_ref() == Some(&lead) {
             return;
         }
@@ -399,7 +403,7 @@
             databases = databases.len(), age_ms = age.0 / 1_000;
             "the register changed"
         );
-        self.setup.shared.change(|view| {
+        self.setup.shared.modify(|view| {
             let same = |id: &DatabaseId| !changes.reborn.contains(id);
             view.reports
                 .retain(|id| databases.contains_key(id) && same(id));
--- a/src/direct/control/order.rs
+++ b/src/direct/control/order.rs
@@ -186,7 +186,7 @@
 
     /// The databases that may lead now.
     fn candidates(&self, work: &Work, not: &[DatabaseId]) -> Vec<Database> {
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         let stays = |d: &&Database| {
             // The old primary is one only if it was lost. A steward before may have ordered another
             // database to lead, which takes effect whatever the old one says now.
@@ -205,7 +205,7 @@
     }
 
     fn domain(&self, work: &Work) -> Option<Domain> {
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         view.databases.get(&work.old).map(|d| d.domain.clone())
     }
 
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -16,7 +16,7 @@
         let reading = self.store.reading().await?;
         let lease = reading.is_lease_for(&self.id, self.setup.life);
         self.learn(reading.clone());
-        if lease || self.setup.shared.look().stopping {
+        if lease || self.setup.shared.get().stopping {
             return Ok(());
         }
         self.register_self(reading.members.get(&self.id)).await
@@ -40,7 +40,11 @@
     /// Learns which VMs there are.
     pub(super) fn learn_fellows(&self, fellows: Vec<Peer>) {
         let now = self.now();
-        self.setup.shared.quietly().peers.replace(fellows, now);
+        self.setup
+            .shared
+            .modify_silently()
+            .peers
+            .replace(fellows, now);
     }
 
     /// Learns who holds the duty: it may have gone to another VM, or come to this one by a write
--- a/src/direct/control/vouch.rs
+++ b/src/direct/control/vouch.rs
@@ -54,7 +54,7 @@
 impl Control {
     /// When the first reading gets old of the groups whose leases may go on.
     fn ages_at(&self) -> Option<Time> {
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         let open = view.book.vouches(self.now());
         let asked = |(group, _): &(GroupId, Epoch)| Some(view.book.known(group)?.1 + OLD);
         open.iter().filter_map(asked).min()
@@ -64,7 +64,7 @@
     /// round before.
     async fn round(&self, last: &mut BTreeMap<GroupId, (Epoch, Standing)>) -> Span {
         let asked = self.now();
-        let wanted = self.setup.shared.look().book.vouches(asked);
+        let wanted = self.setup.shared.get().book.vouches(asked);
         let words = self.ask_fellows().await;
         let mut all = !wanted.is_empty();
         for (group, epoch) in &wanted {
@@ -73,11 +73,11 @@
             let enough = stand >= QUORUM;
             if enough {
                 let shared = &self.setup.shared;
-                let lapsed = shared.look().book.until(group) <= Some(self.now());
-                shared.quietly().book.vouch(group, *epoch, asked);
+                let lapsed = shared.get().book.until(group) <= Some(self.now());
+                shared.modify_silently().book.vouch(group, *epoch, asked);
                 if lapsed {
                     // Whatever waits for a lease may go on.
-                    shared.change(|_| ());
+                    shared.modify(|_| ());
                 }
             }
             all &= enough;
@@ -94,7 +94,7 @@
             if wanted.iter().any(|(wanted, _)| wanted == group) {
                 return true;
             }
-            let lapsed = self.setup.shared.look().book.until(group) <= Some(now);
+            let lapsed = self.setup.shared.get().book.until(group) <= Some(now);
             if lapsed && standing == Standing::Vouched {
                 log::warn!(group:%, epoch; "a lease has lapsed");
             }
@@ -106,7 +106,7 @@
     /// matter which ones they are, and a round of all VMs is 1,400 questions among 195.
     async fn ask_fellows(&self) -> Vec<Vec<(GroupId, Epoch)>> {
         let mut fellows: Vec<(bool, SocketAddr)> = {
-            let view = self.setup.shared.look();
+            let view = self.setup.shared.get();
             let fellows = view.peers.list().iter();
             let place = |f: &Peer| (f.domain != self.setup.domain, f.address);
             fellows.map(place).collect()
@@ -138,7 +138,7 @@
     ) {
         let now = self.now();
         let (holds, until) = {
-            let view = self.setup.shared.look();
+            let view = self.setup.shared.get();
             (view.book.holds(group, epoch, now), view.book.until(group))
         };
         let standing = match (holds, stand >= QUORUM) {
--- a/src/direct/control/watch.rs
+++ b/src/direct/control/watch.rs
@@ -92,7 +92,7 @@
     }
 
     pub(super) fn config_version(&self) -> ConfigVersion {
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         let config = view.config.as_ref();
         config.map_or_else(Default::default, |config| config.version)
     }
@@ -153,7 +153,7 @@
 /// gone back to: callers have seen the newer one's effects.
 pub(super) fn apply(control: &Control, config: Config, source: &str) {
     let shared = &control.setup.shared;
-    let known = shared.look().config.clone();
+    let known = shared.get().config.clone();
     let before = known.as_ref().map(|known| known.version);
     if before.is_some_and(|before| before >= config.version) {
         return;
--- a/src/direct/front.rs
+++ b/src/direct/front.rs
@@ -164,6 +164,6 @@
 
     /// The configuration in force.
     pub fn config(&self) -> Option<Rc<Config>> {
-        self.shared.look().config.clone()
+        self.shared.get().config.clone()
     }
 }
--- a/src/direct/line.rs
+++ b/src/direct/line.rs
@@ -45,7 +45,7 @@
 
 fn snapshot(front: &Front, route: Option<&Route>) -> Snapshot {
     let now = front.now();
-    let view = front.shared.look();
+    let view = front.shared.get();
     let version = view.config.as_ref().map(|config| config.version.0);
     let Some(group) = route.map(|route| &route.group) else {
         return Snapshot {
--- a/src/direct/quota/spend.rs
+++ b/src/direct/quota/spend.rs
@@ -93,7 +93,7 @@
 
     /// Obtains a token for one operation of an organisation; `None` if it has no limit.
     pub async fn spend(&self, organisation: &OrganisationId) -> Result<Option<Token>, Refusal> {
-        let Some(allowance) = allowance(&self.shared.look(), organisation) else {
+        let Some(allowance) = allowance(&self.shared.get(), organisation) else {
             return Ok(None);
         };
         if let Some(token) = self.take(organisation) {
@@ -149,7 +149,7 @@
         let now = self.lines.now();
         let organisation = &spend.organisation;
         let (tenure, allowance) = {
-            let view = self.shared.look();
+            let view = self.shared.get();
             (view.tenure, allowance(&view, organisation))
         };
         let (Some(since), Some(allowance)) = (tenure.since(now), allowance) else {
@@ -187,13 +187,13 @@
     /// Drops the buckets of organisations that have other allocators in a new list of VMs. If this VM becomes
     /// their allocator again, it starts with an empty bucket.
     fn drop_reassigned(&self) {
-        let peers = self.shared.look().peers.digest();
+        let peers = self.shared.get().peers.digest();
         if self.checked.replace(peers) == peers {
             return;
         }
         let organisations: Vec<OrganisationId> = self.buckets.borrow().keys().cloned().collect();
         for organisation in organisations {
-            let allowance = allowance(&self.shared.look(), &organisation);
+            let allowance = allowance(&self.shared.get(), &organisation);
             let stays = allowance
                 .is_some_and(|allowance| self.is_among(&self.allocators(&organisation, allowance)));
             if !stays {
@@ -205,7 +205,7 @@
     /// When this VM, a new allocator, may start to grant: it is either an allocator in its own right, or the
     /// successor of an evicted VM.
     fn entry(&self, organisation: &OrganisationId, allowance: Allowance) -> Entry {
-        let view = self.shared.look();
+        let view = self.shared.get();
         let (peers, since) = (view.peers.list(), view.peers.since());
         let region = |peer| self.region(peer);
         let allocators =
@@ -265,7 +265,7 @@
 
     /// The allocators, those near this VM first.
     fn near_first(&self, allocators: &[SocketAddr]) -> Vec<SocketAddr> {
-        let view = self.shared.look();
+        let view = self.shared.get();
         let list = view.peers.list();
         let is_near = |allocator: &SocketAddr| {
             let mut peers = list.iter();
@@ -279,7 +279,7 @@
 
     fn allocators(&self, organisation: &OrganisationId, allowance: Allowance) -> Rc<[SocketAddr]> {
         let limit = limit(allowance);
-        let view = self.shared.look();
+        let view = self.shared.get();
         let mut known = self.allocators.borrow_mut();
         let peers = view.peers.digest();
         if known.peers != peers {
--- a/src/direct/relay/serve.rs
+++ b/src/direct/relay/serve.rs
@@ -125,7 +125,7 @@
     }
 
     fn is_stopping(&self) -> bool {
-        self.targets.shared.look().stopping
+        self.targets.shared.get().stopping
     }
 
     fn now(&self) -> Time {
@@ -198,7 +198,7 @@
         if self.open.is_none() {
             return IDLE_TIMEOUT;
         }
-        let view = self.relay.targets.shared.look();
+        let view = self.relay.targets.shared.get();
         let idle = view
             .config
             .as_ref()
--- a/src/direct/run.rs
+++ b/src/direct/run.rs
@@ -252,7 +252,7 @@
         let Some((lease, target)) = self.targets.primary(group) else {
             self.meter().lease_lapsed(group);
             let text = "no primary is known";
-            if !self.targets.shared.look().expects_primary(group) {
+            if !self.targets.shared.get().expects_primary(group) {
                 return Step::Answer(self.busy(session, job, NO_PRIMARY_RETRY, text));
             }
             let started = self.targets.now();
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -155,19 +155,19 @@
 
     /// Whether something new may start on a group's primary of `epoch`.
     pub fn may_start(&self, group: &GroupId, epoch: Epoch) -> bool {
-        let lease = self.shared.look().book.lease(group, self.now());
+        let lease = self.shared.get().book.lease(group, self.now());
         lease.is_some_and(|lease| lease.epoch == epoch)
     }
 
     /// Whether what started on a group's primary of `epoch` may go on, or be passed on.
     pub fn holds(&self, group: &GroupId, epoch: Epoch) -> bool {
-        self.shared.look().book.holds(group, epoch, self.now())
+        self.shared.get().book.holds(group, epoch, self.now())
     }
 
     /// A group's primary, and the lease on it.
     pub fn primary(&self, group: &GroupId) -> Option<(Lease, Target)> {
         let (lease, database) = {
-            let view = self.shared.look();
+            let view = self.shared.get();
             let (lease, database) = view.primary(group, self.now())?;
             (lease, Rc::new(database.clone()))
         };
@@ -203,7 +203,7 @@
 
     /// A database that is registered.
     pub fn find(&self, id: &DatabaseId) -> Option<Target> {
-        let database = self.shared.look().databases.get(id).cloned()?;
+        let database = self.shared.get().databases.get(id).cloned()?;
         Some(self.target(Rc::new(database)))
     }
 
@@ -219,7 +219,7 @@
 
     /// Who connects to a database: found anew when the VMs or its connections have changed.
     fn access(&self, database: &Database) -> Known {
-        let view = self.shared.look();
+        let view = self.shared.get();
         let config = view.config.as_ref();
         let group = config.and_then(|config| config.groups.get(&database.group));
         let connections = group.map_or(u32::MAX, |group| group.connections);
@@ -251,7 +251,7 @@
 
     /// The least position that holds all commits acknowledged before `since`.
     pub fn position_at(&self, group: &GroupId, since: Time) -> Option<Position> {
-        let mut view = self.shared.quietly();
+        let mut view = self.shared.modify_silently();
         let epoch = view.book.known(group)?.0.epoch;
         view.fresh.forget_before(group, epoch);
         view.fresh.oldest_allowed(group, since)
@@ -261,7 +261,7 @@
     /// had answered.
     pub fn learn(&self, group: &GroupId, epoch: Epoch, asked: Time, position: Position) {
         let now = self.now();
-        let mut view = self.shared.quietly();
+        let mut view = self.shared.modify_silently();
         view.fresh.learn(group, epoch, asked, position);
         view.reached.note(group, epoch, position, now);
     }
@@ -276,7 +276,7 @@
         position: Position,
     ) -> bool {
         let database = &target.database;
-        let view = self.shared.look();
+        let view = self.shared.get();
         let lost = view
             .reached
             .is_lost(&database.group, epoch, position, asked);
@@ -316,7 +316,7 @@
     }
 
     fn members(&self, group: &GroupId) -> Vec<Rc<Database>> {
-        let view = self.shared.look();
+        let view = self.shared.get();
         let members = view.members(group).filter(|database| !database.leaving);
         members.cloned().map(Rc::new).collect()
     }
@@ -328,7 +328,7 @@
         after: Position,
         members: &[Rc<Database>],
     ) -> Vec<(DatabaseId, bool, f64)> {
-        let view = self.shared.look();
+        let view = self.shared.get();
         let lead = view.book.known(group).map(|(lead, _)| &lead.primary);
         let is_near = |database: &Database| self.place.is_near(&database.domain);
         let candidate = |database: &Rc<Database>| Candidate {
@@ -355,7 +355,7 @@
 
     /// Whether a database failed, has not answered since, and was tried lately.
     fn is_left_out(&self, database: &DatabaseId, now: Time) -> bool {
-        let report = self.shared.look().reports.report(database, now);
+        let report = self.shared.get().reports.report(database, now);
         if report.failing.is_none() {
             return false;
         }
@@ -384,12 +384,15 @@
     /// suffices.** Only those that talk to the database have an opinion of it.
     pub fn answers(&self, database: &Database) {
         let now = self.now();
-        self.shared.quietly().reports.answered(&database.id, now);
+        self.shared
+            .modify_silently()
+            .reports
+            .answered(&database.id, now);
     }
 
     /// Whether a database has failed and answered nothing to this VM since.
     pub fn is_failing(&self, database: &Database) -> bool {
-        let report = self.shared.look().reports.report(&database.id, self.now());
+        let report = self.shared.get().reports.report(&database.id, self.now());
         report.failing.is_some()
     }
 
@@ -448,7 +451,10 @@
     /// A database could not be reached, broke off or stays silent.
     pub fn failed(&self, database: &Database) {
         let now = self.now();
-        self.shared.quietly().reports.failed(&database.id, now);
+        self.shared
+            .modify_silently()
+            .reports
+            .failed(&database.id, now);
         self.doubt(database);
     }
 
@@ -475,7 +481,7 @@
             return opened.pool.clone();
         }
         // Also for one that started again: its connections, queue and position are of its life before.
-        let view = self.shared.look();
+        let view = self.shared.get();
         pools.retain(|id, _| view.databases.contains_key(id));
         let pool = Pool::new(database.slots);
         let opened = Opened {
--- a/src/direct/view.rs
+++ b/src/direct/view.rs
@@ -90,17 +90,17 @@
 
 impl Shared {
     /// Borrows the view. Must not be held across an await.
-    pub fn look(&self) -> Ref<'_, View> {
+    pub fn get(&self) -> Ref<'_, View> {
         self.view.borrow()
     }
 
     /// Borrows the view mutably, without waking waiting tasks. Must not be held across an await.
-    pub fn quietly(&self) -> RefMut<'_, View> {
+    pub fn modify_silently(&self) -> RefMut<'_, View> {
         self.view.borrow_mut()
     }
 
     /// Changes the view, and wakes all tasks that wait for a change.
-    pub fn change<T>(&self, change: impl FnOnce(&mut View) -> T) -> T {
+    pub fn modify<T>(&self, change: impl FnOnce(&mut View) -> T) -> T {
         let result = change(&mut self.view.borrow_mut());
         self.changed.notify_waiters();
         result
@@ -108,7 +108,7 @@
 
     /// Puts a configuration in force.
     pub fn configure(&self, config: Config) {
-        self.change(|view| view.config = Some(Rc::new(config)));
+        self.modify(|view| view.config = Some(Rc::new(config)));
         self.configured.send_replace(());
     }
 
--- a/src/net/direct/admin.rs
+++ b/src/net/direct/admin.rs
@@ -63,11 +63,11 @@
 
 impl Vm {
     fn is_ready(&self) -> bool {
-        self.control.is_ready() && !self.shared.look().stopping
+        self.control.is_ready() && !self.shared.get().stopping
     }
 
     fn dump(&self) -> Reply {
-        let view = self.shared.look();
+        let view = self.shared.get();
         let known = |group: &GroupId| {
             let (lead, _) = view.book.known(group)?;
             Some((group.clone(), lead.clone()))
@@ -88,7 +88,7 @@
 
     fn metrics(&self) -> String {
         let now = self.front.now();
-        let view = self.shared.look();
+        let view = self.shared.get();
         let known = self.control.knowledge();
         let leads: Vec<LeadLevel> = view
             .book
--- a/src/standin/direct/program.rs
+++ b/src/standin/direct/program.rs
@@ -72,7 +72,7 @@
     let Ok(grace) = machine.stop.await else {
         return;
     };
-    shared.change(|view| view.stopping = true);
+    shared.modify(|view| view.stopping = true);
     let grace = Span(grace.0.saturating_sub(LEFT_OVER.0));
     let served = async {
         tokio::join!(front.stop(grace), relay.stop(grace));
--- a/tests/direct_lines.rs
+++ b/tests/direct_lines.rs
@@ -146,7 +146,7 @@
         let world = World::new();
         world.refused_caller("nowhere").await;
         let mut caller = world.caller("newest").await;
-        world.shared.change(|view| {
+        world.shared.modify(|view| {
             let mut config = scripted::config();
             config.version.0 = 2;
             config.routes.remove("newest");
--- a/tests/direct_serve.rs
+++ b/tests/direct_serve.rs
@@ -218,7 +218,7 @@
         world.lead(1, "a", true);
         world
             .shared
-            .change(|view| view.book.drop_epoch(&"ledger".parse().unwrap(), 1));
+            .modify(|view| view.book.drop_epoch(&"ledger".parse().unwrap(), 1));
         tokio::time::sleep(Span::from_millis(100).into()).await;
         world.lead(2, "b", false);
         assert_snapshot!(writer.answer().await, @"error unknown the primary was replaced meanwhile | state idle -");
@@ -243,7 +243,7 @@
 fn a_lease_on_a_database_that_is_gone_is_waited_out() {
     play(async {
         let world = World::new();
-        world.shared.change(|view| {
+        world.shared.modify(|view| {
             view.databases.remove(&"a".parse().unwrap());
         });
         let mut caller = world.caller("newest").await;
@@ -360,7 +360,7 @@
 fn before_the_first_configuration_callers_may_come_back() {
     play(async {
         let world = World::new();
-        world.shared.change(|view| view.config = None);
+        world.shared.modify(|view| view.config = None);
         let told = world.refusal("newest").await;
         assert!(
             told.starts_with("error busy no configuration is known here yet; retry_ms="),
@@ -377,7 +377,7 @@
         let world = World::new();
         let mut caller = world.caller("newest").await;
         caller.play(&["begin", "write x 1"]).await;
-        world.shared.change(|view| {
+        world.shared.modify(|view| {
             let mut config = scripted::config();
             config.routes.clear();
             view.config = Some(Rc::new(config));
@@ -397,7 +397,7 @@
 fn a_primary_that_leaves_gets_no_new_work_after_some_seconds() {
     play(async {
         let world = World::new();
-        world.shared.change(|view| {
+        world.shared.modify(|view| {
             view.databases
                 .get_mut(&"a".parse().unwrap())
                 .unwrap()
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -124,7 +124,7 @@
             seen,
             started,
         };
-        world.shared.change(|view| {
+        world.shared.modify(|view| {
             view.config = Some(Rc::new(config()));
             let databases = [database(PRIMARY, 1), database(REPLICA, 2)];
             view.databases = databases.map(|one| (one.id.clone(), one)).into();
@@ -154,7 +154,7 @@
         };
         let now = self.now();
         self.shared
-            .change(|view| view.book.learn(&group(), lead, now));
+            .modify(|view| view.book.learn(&group(), lead, now));
     }
 
     /// What the databases were sent since this was asked last.
