--- a/src/direct/control/errands.rs
+++ b/src/direct/control/errands.rs
@@ -287,10 +287,10 @@
         let former = reading.and_then(|reading| reading.former.leads.get(group));
         let version = former.map_or(Version::NONE, |(_, version)| *version);
         let view = self.setup.shared.get();
-        let known = view.book.known(group).map(|(lead, _)| lead);
+        let known = view.leases.known(group).map(|(lead, _)| lead);
         let known = known.into_iter().chain(former.map(|(lead, _)| lead));
         let known = known.max_by_key(|lead| (lead.epoch, lead.changing));
-        let held = view.book.lease(group, now).map(|lease| lease.epoch);
+        let held = view.leases.lease(group, now).map(|lease| lease.epoch);
         let era = reading.map_or(Era::default(), |reading| reading.era);
         (resume::first(era, known.cloned(), held, named), version)
     }
@@ -373,7 +373,7 @@
     async fn step_down(&self, group: &GroupId, old: &DatabaseId) {
         let (leader, database) = {
             let view = self.setup.shared.get();
-            let known = view.book.known(group).map(|(lead, _)| lead.clone());
+            let known = view.leases.known(group).map(|(lead, _)| lead.clone());
             let lead = known.filter(|lead| !lead.changing && lead.primary != *old);
             let leader = lead.and_then(|lead| view.databases.get(&lead.primary).cloned());
             (leader, view.databases.get(old).cloned())
--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -242,10 +242,10 @@
         let now = self.now();
         let view = self.setup.shared.get();
         let old = |group| {
-            let known = view.book.known(group);
+            let known = view.leases.known(group);
             known.is_some_and(|(lead, asked)| !lead.changing && asked + STALE < now)
         };
-        view.book.groups().any(old)
+        view.leases.groups().any(old)
     }
 
     /// Is told by VMs near by who leads, or reads the rows and, if it is due, the register for itself;
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -223,7 +223,7 @@
                     Answer::Taken(control.take_offer(token, version).await)
                 }
                 Question::Confirm => {
-                    let vouched = control.setup.shared.get().book.vouches(control.now());
+                    let vouched = control.setup.shared.get().leases.vouches(control.now());
                     Answer::Confirmed(control.setup.life, vouched)
                 }
                 Question::Store {
@@ -243,13 +243,13 @@
     /// `patience` is.
     async fn drop_epoch(&self, group: GroupId, epoch: Epoch, patience: Span) {
         let shared = &self.setup.shared;
-        shared.modify(|view| view.book.close_epoch(&group, epoch));
+        shared.modify(|view| view.leases.close_epoch(&group, epoch));
         let deadline = self.now() + patience;
         while self.now() < deadline && shared.get().work.is_under_way(&group, epoch) {
             tokio::time::sleep(WORK_ENDS).await;
         }
         let cut = shared.get().work.is_under_way(&group, epoch);
-        shared.modify(|view| view.book.drop_epoch(&group, epoch));
+        shared.modify(|view| view.leases.drop_epoch(&group, epoch));
         log::info!(group:%, epoch, patience_ms = patience.0 / 1_000, cut; "an epoch is given up");
     }
 
@@ -258,10 +258,10 @@
         let now = self.now();
         let view = self.setup.shared.get();
         let fresh = |group: &GroupId| {
-            let known = view.book.known(group);
+            let known = view.leases.known(group);
             known.is_some_and(|(_, asked)| now < asked + LEASE)
         };
-        view.config.is_some() && !view.stopping && view.book.groups().any(fresh)
+        view.config.is_some() && !view.stopping && view.leases.groups().any(fresh)
     }
 
     /// Ends it: hands the duty over, waits until the callers are `served` and the last work on a
@@ -278,7 +278,7 @@
         self.resign("this VM stops");
         self.state.borrow_mut().stopped = true;
         // Before the row goes: without it nobody asks this VM to give an epoch up.
-        self.setup.shared.modify(|view| view.book.drop_all());
+        self.setup.shared.modify(|view| view.leases.drop_all());
         self.wake.notify_one();
         self.nudged.notify_one();
         if let Err(reason) = self.unregister().await {
--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -62,7 +62,7 @@
     let failing: BTreeSet<&GroupId> = failing.filter_map(|(id, _)| group(id)).collect();
     reports.retain(|(id, report)| {
         let leads = |group| {
-            view.book
+            view.leases
                 .known(group)
                 .is_some_and(|(lead, _)| lead.primary == *id)
         };
@@ -94,7 +94,7 @@
             accepts_long: whole,
             register: self.state.borrow().register.digest(),
             peers: view.peers.digest(),
-            leads: view.book.digest(),
+            leads: view.leases.digest(),
             reports: telling(&view, now),
         }
     }
@@ -352,7 +352,7 @@
         for (group, lead) in leads.rows.into_iter().flatten() {
             self.learn_lead(&group, lead, at);
         }
-        let shown = self.setup.shared.get().book.shown(leads.digest);
+        let shown = self.setup.shared.get().leases.shown(leads.digest);
         for (group, lead) in shown.unwrap_or_default() {
             self.learn_lead(&group, lead, at);
         }
@@ -366,15 +366,15 @@
         let shared = &self.setup.shared;
         let known = shared
             .get()
-            .book
+            .leases
             .known(group)
             .map(|(known, _)| known.clone());
-        let lapsed = shared.get().book.until(group) <= Some(self.now());
+        let lapsed = shared.get().leases.until(group) <= Some(self.now());
         if known.as_ref() == Some(&lead) && !lapsed {
             // Only the lease grows longer: nobody waits for that.
-            return shared.modify_silently().book.learn(group, lead, asked);
+            return shared.modify_silently().leases.learn(group, lead, asked);
         }
-        shared.modify(|view| view.book.learn(group, lead.clone(), asked));
+        shared.modify(|view| view.leases.learn(group, lead.clone(), asked));
         if known.as_ref() == Some(&lead) {
             return;
         }
--- a/src/direct/control/vouch.rs
+++ b/src/direct/control/vouch.rs
@@ -55,8 +55,8 @@
     /// When the first reading gets old of the groups whose leases may go on.
     fn ages_at(&self) -> Option<Time> {
         let view = self.setup.shared.get();
-        let open = view.book.vouches(self.now());
-        let asked = |(group, _): &(GroupId, Epoch)| Some(view.book.known(group)?.1 + OLD);
+        let open = view.leases.vouches(self.now());
+        let asked = |(group, _): &(GroupId, Epoch)| Some(view.leases.known(group)?.1 + OLD);
         open.iter().filter_map(asked).min()
     }
 
@@ -64,7 +64,7 @@
     /// round before.
     async fn round(&self, last: &mut BTreeMap<GroupId, (Epoch, Standing)>) -> Span {
         let asked = self.now();
-        let wanted = self.setup.shared.get().book.vouches(asked);
+        let wanted = self.setup.shared.get().leases.vouches(asked);
         let words = self.ask_fellows().await;
         let mut all = !wanted.is_empty();
         for (group, epoch) in &wanted {
@@ -73,8 +73,8 @@
             let enough = stand >= QUORUM;
             if enough {
                 let shared = &self.setup.shared;
-                let lapsed = shared.get().book.until(group) <= Some(self.now());
-                shared.modify_silently().book.vouch(group, *epoch, asked);
+                let lapsed = shared.get().leases.until(group) <= Some(self.now());
+                shared.modify_silently().leases.vouch(group, *epoch, asked);
                 if lapsed {
                     // Whatever waits for a lease may go on.
                     shared.modify(|_| ());
@@ -94,7 +94,7 @@
             if wanted.iter().any(|(wanted, _)| wanted == group) {
                 return true;
             }
-            let lapsed = self.setup.shared.get().book.until(group) <= Some(now);
+            let lapsed = self.setup.shared.get().leases.until(group) <= Some(now);
             if lapsed && standing == Standing::Vouched {
                 log::warn!(group:%, epoch; "a lease has lapsed");
             }
@@ -139,7 +139,10 @@
         let now = self.now();
         let (holds, until) = {
             let view = self.setup.shared.get();
-            (view.book.holds(group, epoch, now), view.book.until(group))
+            (
+                view.leases.holds(group, epoch, now),
+                view.leases.until(group),
+            )
         };
         let standing = match (holds, stand >= QUORUM) {
             (false, _) => Standing::Lapsed,
--- a/src/direct/line.rs
+++ b/src/direct/line.rs
@@ -53,8 +53,8 @@
             ..Snapshot::default()
         };
     };
-    let lead = view.book.known(group);
-    let lease = view.book.lease(group, now);
+    let lead = view.leases.known(group);
+    let lease = view.leases.lease(group, now);
     let newest = view.fresh.newest(group);
     Snapshot {
         version,
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -155,13 +155,13 @@
 
     /// Whether something new may start on a group's primary of `epoch`.
     pub fn may_start(&self, group: &GroupId, epoch: Epoch) -> bool {
-        let lease = self.shared.get().book.lease(group, self.now());
+        let lease = self.shared.get().leases.lease(group, self.now());
         lease.is_some_and(|lease| lease.epoch == epoch)
     }
 
     /// Whether what started on a group's primary of `epoch` may go on, or be passed on.
     pub fn holds(&self, group: &GroupId, epoch: Epoch) -> bool {
-        self.shared.get().book.holds(group, epoch, self.now())
+        self.shared.get().leases.holds(group, epoch, self.now())
     }
 
     /// A group's primary, and the lease on it.
@@ -252,7 +252,7 @@
     /// The least position that holds all commits acknowledged before `since`.
     pub fn position_at(&self, group: &GroupId, since: Time) -> Option<Position> {
         let mut view = self.shared.modify_silently();
-        let epoch = view.book.known(group)?.0.epoch;
+        let epoch = view.leases.known(group)?.0.epoch;
         view.fresh.forget_before(group, epoch);
         view.fresh.oldest_allowed(group, since)
     }
@@ -329,7 +329,7 @@
         members: &[Rc<Database>],
     ) -> Vec<(DatabaseId, bool, f64)> {
         let view = self.shared.get();
-        let lead = view.book.known(group).map(|(lead, _)| &lead.primary);
+        let lead = view.leases.known(group).map(|(lead, _)| &lead.primary);
         let is_near = |database: &Database| self.place.is_near(&database.domain);
         let candidate = |database: &Rc<Database>| Candidate {
             database: database.id.clone(),
--- a/src/direct/view.rs
+++ b/src/direct/view.rs
@@ -25,7 +25,7 @@
     /// The registered databases.
     pub databases: BTreeMap<DatabaseId, Database>,
     /// Who leads each group, and this VM's leases.
-    pub book: Book,
+    pub leases: Book,
     /// The registered VMs, including this one.
     pub peers: Peers,
     /// How long this VM may grant tokens as an allocator.
@@ -56,7 +56,7 @@
     /// commits, and writes there would be lost with the next promotion. The lease names the birth of the
     /// database that was promoted; until the register shows the new birth, [`Reached`] detects the lost log.
     pub fn primary(&self, group: &GroupId, now: Time) -> Option<(Lease, &Database)> {
-        let lease = self.book.lease(group, now)?;
+        let lease = self.leases.lease(group, now)?;
         let database = self.databases.get(&lease.primary)?;
         (lease.born == database.born).then_some((lease, database))
     }
@@ -67,7 +67,7 @@
     /// the store may be unreachable for seconds. Without this check, either each replacement is an error to
     /// all callers of the group, or callers of a VM that can't serve them wait in vain at each try.
     pub fn expects_primary(&self, group: &GroupId) -> bool {
-        !self.blind || self.book.is_changing(group)
+        !self.blind || self.leases.is_changing(group)
     }
 
     /// The registered databases of a group.
--- a/src/net/direct/admin.rs
+++ b/src/net/direct/admin.rs
@@ -51,8 +51,8 @@
 }
 
 fn lead(view: &View, group: &GroupId, now: Time) -> Option<LeadLevel> {
-    let (lead, asked) = view.book.known(group)?;
-    let lease = view.book.lease(group, now);
+    let (lead, asked) = view.leases.known(group)?;
+    let lease = view.leases.lease(group, now);
     Some(LeadLevel {
         group: group.clone(),
         epoch: lead.epoch,
@@ -69,7 +69,7 @@
     fn dump(&self) -> Reply {
         let view = self.shared.get();
         let known = |group: &GroupId| {
-            let (lead, _) = view.book.known(group)?;
+            let (lead, _) = view.leases.known(group)?;
             Some((group.clone(), lead.clone()))
         };
         let state = State {
@@ -78,7 +78,7 @@
             callers: self.callers.get(),
             version: view.config.as_ref().map(|config| config.version),
             databases: view.databases.values().cloned().collect(),
-            leads: view.book.groups().filter_map(known).collect(),
+            leads: view.leases.groups().filter_map(known).collect(),
         };
         match serde_json::to_string_pretty(&state) {
             Ok(text) => Reply::new(StatusCode::OK, text),
@@ -91,7 +91,7 @@
         let view = self.shared.get();
         let known = self.control.knowledge();
         let leads: Vec<LeadLevel> = view
-            .book
+            .leases
             .groups()
             .filter_map(|g| lead(&view, g, now))
             .collect();
--- a/tests/direct_news.rs
+++ b/tests/direct_news.rs
@@ -58,7 +58,7 @@
         ..View::default()
     };
     let group: GroupId = "g".parse().unwrap();
-    view.book.learn(&group, lead(1, "a", false), at(1_000));
+    view.leases.learn(&group, lead(1, "a", false), at(1_000));
     for name in ["a", "b", "c"] {
         view.reports.answered(&id(name), at(2_000));
     }
@@ -71,7 +71,7 @@
     view.reports.failed(&id("b"), at(2_050));
     assert_eq!(told(&view), "a b c");
     view.reports.answered(&id("b"), at(2_060));
-    view.book.learn(&group, lead(2, "c", false), at(2_000));
+    view.leases.learn(&group, lead(2, "c", false), at(2_000));
     assert_eq!(told(&view), "c");
     view.databases.clear();
     view.reports.failed(&id("b"), at(2_070));
--- a/tests/direct_serve.rs
+++ b/tests/direct_serve.rs
@@ -218,7 +218,7 @@
         world.lead(1, "a", true);
         world
             .shared
-            .modify(|view| view.book.drop_epoch(&"ledger".parse().unwrap(), 1));
+            .modify(|view| view.leases.drop_epoch(&"ledger".parse().unwrap(), 1));
         tokio::time::sleep(Span::from_millis(100).into()).await;
         world.lead(2, "b", false);
         assert_snapshot!(writer.answer().await, @"error unknown the primary was replaced meanwhile | state idle -");
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -154,7 +154,7 @@
         };
         let now = self.now();
         self.shared
-            .modify(|view| view.book.learn(&group(), lead, now));
+            .modify(|view| view.leases.learn(&group(), lead, now));
     }
 
     /// What the databases were sent since this was asked last.
