--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -49,7 +49,7 @@
     let mut backoff = Backoff::default();
     while !control.state.borrow().stopped {
         let turned = control.turn().await;
-        control.setup.shared.modify_silently().blind = turned.is_err();
+        control.setup.shared.modify_silently().refresh_failed = turned.is_err();
         let wait = match turned {
             Ok(wait) => {
                 backoff.reset();
--- a/src/direct/view.rs
+++ b/src/direct/view.rs
@@ -39,7 +39,7 @@
     /// Statements and transactions on primaries that have not ended.
     pub work: Work,
     /// Whether the last attempt to read who leads failed: neither the steward nor the store answered.
-    pub blind: bool,
+    pub refresh_failed: bool,
     /// Whether a planned stop has begun.
     pub stopping: bool,
 }
@@ -67,7 +67,7 @@
     /// the store may be unreachable for seconds. Without this check, either each replacement is an error to
     /// all callers of the group, or callers of a VM that can't serve them wait in vain at each try.
     pub fn expects_primary(&self, group: &GroupId) -> bool {
-        !self.blind || self.leases.is_changing(group)
+        !self.refresh_failed || self.leases.is_changing(group)
     }
 
     /// The registered databases of a group.
