--- a/src/direct/control/news.rs
+++ b/src/direct/control/news.rs
@@ -285,7 +285,7 @@
             let now = self.now();
             let mut view = self.setup.shared.modify_silently();
             view.fresh.hear(progress, asked);
-            view.reached
+            view.watermarks
                 .note(&progress.group, progress.epoch, progress.position, now);
         }
         if let Some(fellows) = news.peers {
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -263,7 +263,7 @@
         let now = self.now();
         let mut view = self.shared.modify_silently();
         view.fresh.learn(group, epoch, asked, position);
-        view.reached.note(group, epoch, position, now);
+        view.watermarks.note(group, epoch, position, now);
     }
 
     /// Whether an answer of the primary of `epoch` to a statement sent at `asked` shows that it has
@@ -278,7 +278,7 @@
         let database = &target.database;
         let view = self.shared.get();
         let lost = view
-            .reached
+            .watermarks
             .is_lost(&database.group, epoch, position, asked);
         drop(view);
         if lost {
--- a/src/direct/view.rs
+++ b/src/direct/view.rs
@@ -6,8 +6,8 @@
 use crate::direct::history::History;
 use crate::direct::lead::{Book, Epoch, Lease};
 use crate::direct::meter::Meter;
-use crate::direct::reached::Reached;
 use crate::direct::tenure::Tenure;
+use crate::direct::watermark::Watermarks;
 use crate::types::{Cores, DatabaseId, Domain, GroupId};
 use serde::{Deserialize, Serialize};
 use std::cell::{Ref, RefCell, RefMut};
@@ -33,7 +33,7 @@
     /// How far the logs of primaries had come at known times.
     pub fresh: Fresh,
     /// The highest known log position of each primary.
-    pub reached: Reached,
+    pub watermarks: Watermarks,
     /// When databases last answered this VM or failed.
     pub reports: Reports,
     /// Statements and transactions on primaries that have not ended.
@@ -54,7 +54,7 @@
     ///
     /// A primary may lose all its data and start again under its id. Reads there would miss acknowledged
     /// commits, and writes there would be lost with the next promotion. The lease names the birth of the
-    /// database that was promoted; until the register shows the new birth, [`Reached`] detects the lost log.
+    /// database that was promoted; until the register shows the new birth, [`Watermarks`] detects the lost log.
     pub fn primary(&self, group: &GroupId, now: Time) -> Option<(Lease, &Database)> {
         let lease = self.leases.lease(group, now)?;
         let database = self.databases.get(&lease.primary)?;
--- a/src/direct/reached.rs
+++ b/src/direct/watermark.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct Watermark {
     epoch: Epoch,
     position: Position,
     since: Time,
@@ -20,12 +20,12 @@
 
 /// The highest position of each group's primary, and since when it is known here.
 #[derive(Debug, Clone, Default)]
-pub struct Reached(BTreeMap<GroupId, Known>);
+pub struct Watermarks(BTreeMap<GroupId, Watermark>);
 
-impl Reached {
+impl Watermarks {
     /// Records that the primary of `epoch` is known, as of `now`, to have reached `position`.
     pub fn note(&mut self, group: &GroupId, epoch: Epoch, position: Position, now: Time) {
-        let new = Known {
+        let new = Watermark {
             epoch,
             position,
             since: now,
--- a/tests/direct_reborn.rs
+++ b/tests/direct_reborn.rs
@@ -3,7 +3,7 @@
 mod scene;
 
 use lentilspoke::clock::Time;
-use lentilspoke::direct::reached::Reached;
+use lentilspoke::direct::watermark::Watermarks;
 use lentilspoke::standin::direct::fault::Fault;
 use lentilspoke::standin::direct::setup::Setup;
 use lentilspoke::types::{GroupId, Position};
@@ -46,10 +46,10 @@
     let group: GroupId = "g".parse().unwrap();
     let position = |text: &str| -> Position { text.parse().unwrap() };
     let at = |millis: u64| Time(millis * 1_000);
-    let mut reached = Reached::default();
-    reached.note(&group, 3, position("2/40"), at(100));
-    reached.note(&group, 3, position("2/30"), at(200));
-    let lost = |epoch, text, asked| reached.is_lost(&group, epoch, position(text), at(asked));
+    let mut watermarks = Watermarks::default();
+    watermarks.note(&group, 3, position("2/40"), at(100));
+    watermarks.note(&group, 3, position("2/30"), at(200));
+    let lost = |epoch, text, asked| watermarks.is_lost(&group, epoch, position(text), at(asked));
     assert!(lost(3, "2/39", 100) && lost(3, "1/90", 300));
     assert!(!lost(3, "2/39", 99), "asked before");
     assert!(!lost(3, "2/40", 300), "nothing was committed since");
