--- a/src/direct/adapter.rs
+++ b/src/direct/adapter.rs
@@ -3,7 +3,7 @@
 use crate::clock::{Span, Time};
 use crate::direct::config::{Config, Database};
 use crate::direct::statement::{Answer, Message, Order, Query, Standing};
-use crate::direct::table::{Ask, Fault, RowId, Told};
+use crate::direct::table::{Command, Fault, Response, RowId};
 use crate::types::{DatabaseId, GroupId, OrganisationId, Position, VmId};
 use bytes::BytesMut;
 use futures_util::future::LocalBoxFuture;
@@ -103,7 +103,7 @@
 pub type Later<T> = LocalBoxFuture<'static, T>;
 /// Calls the store. An answer that has not begun to arrive after the span, or stops arriving, counts as lost;
 /// one that arrives may take longer, depending on its length and the link.
-pub type CallStore = Rc<dyn Fn(Ask, Span) -> Later<Result<Told, Fault>>>;
+pub type CallStore = Rc<dyn Fn(Command, Span) -> Later<Result<Response, Fault>>>;
 /// Orders a promotion.
 pub type Promote = Rc<dyn Fn(Promotion) -> Later<Promoted>>;
 /// Connects to an address within the span.
--- a/src/direct/control/detour.rs
+++ b/src/direct/control/detour.rs
@@ -15,7 +15,7 @@
 use crate::direct::control::rows::{Reading, TABLE};
 use crate::direct::control::store::FIRST_ROWS;
 use crate::direct::mesh::{Answer, Question};
-use crate::direct::table::{Ask, Told};
+use crate::direct::table::{Command, Response};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -38,7 +38,7 @@
 const LONGEST: Span = Span::from_secs(8);
 
 /// Makes a call by way of other VMs; none if none of them was answered.
-pub type Detour = Rc<dyn Fn(Ask) -> Later<Option<Told>>>;
+pub type Detour = Rc<dyn Fn(Command) -> Later<Option<Response>>>;
 
 /// Which way calls go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -85,8 +85,8 @@
 
 impl Control {
     /// Has other VMs make a call in turn, until the store answers one of them.
-    async fn ask_others(&self, ask: Ask) -> Option<Told> {
-        if let Ask::Read(table) = &ask
+    async fn ask_others(&self, ask: Command) -> Option<Response> {
+        if let Command::Read(table) = &ask
             && self.is_long(table)
         {
             // VMs that read for others tell it in parts, or what changed of it.
--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -7,7 +7,7 @@
 use crate::direct::control::rows::{
     self, Member, MemberId, Reading, TABLE, encode, era_row, member_row, quiet_row,
 };
-use crate::direct::table::{self, Ask, Change, Era, Fault, Row, Told, Version};
+use crate::direct::table::{self, Change, Command, Era, Fault, Response, Row, Version};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -207,7 +207,7 @@
     /// Reads a table.
     pub async fn read(&self, table: &str) -> Result<(Vec<Row>, Version), Fault> {
         self.count(|counts| counts.reads += 1);
-        let ask = Ask::Read(table.into());
+        let ask = Command::Read(table.into());
         rows_of(self.call(ask, self.read_patience()).await?)
     }
 
@@ -227,7 +227,10 @@
 
     async fn read_within(&self, table: &str, patience: Span) -> Result<(Vec<Row>, Version), Fault> {
         self.count(|counts| counts.reads += 1);
-        rows_of(self.call_here(Ask::Read(table.into()), patience).await?)
+        rows_of(
+            self.call_here(Command::Read(table.into()), patience)
+                .await?,
+        )
     }
 
     /// Reads some rows of a table from a key on.
@@ -238,7 +241,7 @@
         most: u32,
     ) -> Result<(Vec<Row>, Version), Fault> {
         self.count(|counts| counts.reads += 1);
-        let ask = Ask::Range {
+        let ask = Command::Range {
             table: table.into(),
             from: from.into(),
             most,
@@ -294,8 +297,8 @@
             remove: Vec::new(),
         };
         let patience = self.patience.get().span();
-        let told = self.call(Ask::Write(change), patience).await;
-        let written = matches!(told, Ok(Told::Written(_)));
+        let told = self.call(Command::Write(change), patience).await;
+        let written = matches!(told, Ok(Response::Written(_)));
         log::info!(era:% = version.era, written; "the row of the store's era was missing");
         Err(unsettled())
     }
@@ -343,11 +346,11 @@
     }
 
     /// Notes the era of an answer. One of an earlier era tells nothing of the store as it is.
-    fn accept(&self, told: Result<Told, Fault>) -> Result<Told, Fault> {
+    fn accept(&self, told: Result<Response, Fault>) -> Result<Response, Fault> {
         let era = match &told {
-            Ok(Told::Rows { version, .. } | Told::Written(version)) => Some(version.era),
-            Ok(Told::Conflict(rows)) => rows.first().map(|row| row.version.era),
-            Ok(Told::Forgotten) | Err(_) => None,
+            Ok(Response::Rows { version, .. } | Response::Written(version)) => Some(version.era),
+            Ok(Response::Conflict(rows)) => rows.first().map(|row| row.version.era),
+            Ok(Response::Forgotten) | Err(_) => None,
         };
         let Some(era) = era else { return told };
         let mut eras = self.eras.get();
@@ -393,16 +396,16 @@
         wait: Span,
     ) -> Result<Option<(Vec<Row>, Version)>, Fault> {
         self.count(|counts| counts.follows += 1);
-        let ask = Ask::Follow {
+        let ask = Command::Follow {
             table: table.into(),
             after,
             wait,
         };
         match self.call(ask, wait + POLL_MARGIN).await? {
             // The numbers after this one are given out again, to other content.
-            Told::Rows { version, .. } if version.era != after.era => Ok(None),
-            Told::Rows { rows, version } => Ok(Some((rows, version))),
-            Told::Forgotten => Ok(None),
+            Response::Rows { version, .. } if version.era != after.era => Ok(None),
+            Response::Rows { rows, version } => Ok(Some((rows, version))),
+            Response::Forgotten => Ok(None),
             _ => Err(unexpected()),
         }
     }
@@ -416,7 +419,7 @@
         self.count(|counts| counts.writes += 1);
         let mut patience = self.patience.get();
         let asked = (self.adapter.clock)();
-        let told = self.call(Ask::Write(change), patience.span()).await;
+        let told = self.call(Command::Write(change), patience.span()).await;
         match &told {
             Ok(_) => patience.written((self.adapter.clock)().since(asked)),
             Err(fault) => {
@@ -430,11 +433,11 @@
         self.patience.set(patience);
         match told? {
             // The row of the former era was there once more, as no other had taken its place.
-            Told::Written(version) if version.era > settled.era && !settled.is_none() => Err(
+            Response::Written(version) if version.era > settled.era && !settled.is_none() => Err(
                 Fault::Unknown("it was done in a later era of the store".into()),
             ),
-            Told::Written(version) => Ok(Ok(version)),
-            Told::Conflict(rows) => {
+            Response::Written(version) => Ok(Ok(version)),
+            Response::Conflict(rows) => {
                 if table::version_in(&rows, &era_row()) != settled {
                     return Err(unsettled());
                 }
@@ -444,12 +447,14 @@
         }
     }
 
-    async fn call(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
+    async fn call(&self, ask: Command, span: Span) -> Result<Response, Fault> {
         let asked = (self.adapter.clock)();
         let told = match ask {
             // Whoever waits for a change may as well hear of it from the steward.
-            Ask::Follow { .. } => self.call_here(ask, span).await,
-            Ask::Read(_) | Ask::Range { .. } | Ask::Write(_) => self.call_somehow(ask, span).await,
+            Command::Follow { .. } => self.call_here(ask, span).await,
+            Command::Read(_) | Command::Range { .. } | Command::Write(_) => {
+                self.call_somehow(ask, span).await
+            }
         };
         let now = (self.adapter.clock)();
         if told.is_err() {
@@ -466,7 +471,7 @@
 
     /// Makes a call by the own way, and by way of other VMs if that fails; the other way round
     /// while the own way is avoided.
-    async fn call_somehow(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
+    async fn call_somehow(&self, ask: Command, span: Span) -> Result<Response, Fault> {
         let mut route = self.route.get();
         if route.avoids_own((self.adapter.clock)()) {
             if let Some(told) = self.call_by_others(&ask).await {
@@ -493,13 +498,13 @@
         self.accept(Ok(other))
     }
 
-    async fn call_by_others(&self, ask: &Ask) -> Option<Told> {
+    async fn call_by_others(&self, ask: &Command) -> Option<Response> {
         let detour = self.detour.get()?;
         detour(ask.clone()).await
     }
 
     /// Makes a call by the own way.
-    async fn call_here(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
+    async fn call_here(&self, ask: Command, span: Span) -> Result<Response, Fault> {
         let told = (self.adapter.store)(ask, span).await;
         let now = (self.adapter.clock)();
         self.failed.set(told.is_err().then_some(now));
@@ -508,7 +513,11 @@
 
     /// Makes a call for another VM, by the own way only. While that fails here too, the call is
     /// refused at once: in an outage of the store each VM would make the others' calls as well.
-    pub(super) async fn call_for_another(&self, ask: Ask, within: Span) -> Result<Told, Fault> {
+    pub(super) async fn call_for_another(
+        &self,
+        ask: Command,
+        within: Span,
+    ) -> Result<Response, Fault> {
         let now = (self.adapter.clock)();
         if self.failed.get().is_some_and(|at| now < at + FAILED) {
             return Err(Fault::Refused("it does not answer here either".into()));
@@ -524,9 +533,9 @@
     }
 }
 
-fn rows_of(told: Told) -> Result<(Vec<Row>, Version), Fault> {
+fn rows_of(told: Response) -> Result<(Vec<Row>, Version), Fault> {
     match told {
-        Told::Rows { rows, version } => Ok((rows, version)),
+        Response::Rows { rows, version } => Ok((rows, version)),
         _ => Err(unexpected()),
     }
 }
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -55,7 +55,7 @@
     /// Asks to call the store on behalf of a VM that the store refuses.
     Store {
         /// The call.
-        ask: table::Ask,
+        ask: table::Command,
         /// The timeout of the call.
         timeout: Span,
     },
@@ -106,7 +106,7 @@
     /// To `HandOver`: whether the duty was taken.
     Taken(bool),
     /// To `Store`: what the store answered the VM that was asked.
-    Stored(Result<table::Told, table::Fault>),
+    Stored(Result<table::Response, table::Fault>),
     /// To `Ping`.
     Noted,
     /// Never sent, but made by the asking VM: the connection was refused, so no process listens there. A VM
--- a/src/direct/meter.rs
+++ b/src/direct/meter.rs
@@ -7,7 +7,7 @@
 use crate::clock::Span;
 use crate::direct::config::Kind;
 use crate::direct::statement::Code;
-use crate::direct::table::{Ask, Fault, Row, Told};
+use crate::direct::table::{Command, Fault, Response, Row};
 use crate::direct::trace::Sampler;
 use crate::types::{DatabaseId, GroupId};
 use levels::Gauges;
@@ -148,17 +148,17 @@
     }
 }
 
-fn call_labels(ask: &Ask, answer: &Result<Told, Fault>) -> OfCall {
+fn call_labels(ask: &Command, answer: &Result<Response, Fault>) -> OfCall {
     let call = match ask {
-        Ask::Read(_) => "read",
-        Ask::Range { .. } => "range",
-        Ask::Follow { .. } => "follow",
-        Ask::Write(_) => "write",
+        Command::Read(_) => "read",
+        Command::Range { .. } => "range",
+        Command::Follow { .. } => "follow",
+        Command::Write(_) => "write",
     };
     let outcome = match answer {
-        Ok(Told::Rows { .. } | Told::Written(_)) => "done",
-        Ok(Told::Conflict(_)) => "conflict",
-        Ok(Told::Forgotten) => "forgotten",
+        Ok(Response::Rows { .. } | Response::Written(_)) => "done",
+        Ok(Response::Conflict(_)) => "conflict",
+        Ok(Response::Forgotten) => "forgotten",
         Err(Fault::Refused(_)) => "refused",
         Err(Fault::Unknown(_)) => "unknown",
     };
@@ -386,13 +386,15 @@
     }
 
     /// Counts a call to the store that has ended, and the bytes that it read.
-    pub fn store_call(&self, ask: &Ask, answer: &Result<Told, Fault>) {
+    pub fn store_call(&self, ask: &Command, answer: &Result<Response, Fault>) {
         let labels = call_labels(ask, answer);
         self.store_calls.get_or_create(&labels).inc();
-        let (Ask::Read(table) | Ask::Range { table, .. } | Ask::Follow { table, .. }) = ask else {
+        let (Command::Read(table) | Command::Range { table, .. } | Command::Follow { table, .. }) =
+            ask
+        else {
             return;
         };
-        if let Ok(Told::Rows { rows, .. }) = answer {
+        if let Ok(Response::Rows { rows, .. }) = answer {
             let table = Text::Name(table.clone());
             let bytes = rows.iter().map(Row::size).sum::<usize>();
             let read = self.store_bytes.get_or_create(&OfTable { table });
--- a/src/direct/table.rs
+++ b/src/direct/table.rs
@@ -116,7 +116,7 @@
 
 /// A call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum Command {
     /// All rows of a table.
     Read(Box<str>),
     /// Some rows of a table, in order of their keys.
@@ -154,7 +154,7 @@
 
 /// The store's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum Response {
     /// Rows, as of the store's version.
     Rows {
         /// The rows that were requested or have changed.
--- a/src/standin/direct/store.rs
+++ b/src/standin/direct/store.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Span;
 use crate::direct::adapter::{CallStore, Later};
-use crate::direct::table::{Ask, Change, Era, Fault, Row, RowId, Told, Version};
+use crate::direct::table::{Change, Command, Era, Fault, Response, Row, RowId, Version};
 use crate::standin::direct::network::{Hold, Network, Node, Sender};
 use crate::types::VmId;
 use bytes::Bytes;
@@ -279,7 +279,7 @@
         Rc::new(move |ask, span| store.call(vm.clone(), ask, span))
     }
 
-    fn call(self: &Rc<Self>, vm: VmId, ask: Ask, span: Span) -> Later<Result<Told, Fault>> {
+    fn call(self: &Rc<Self>, vm: VmId, ask: Command, span: Span) -> Later<Result<Response, Fault>> {
         let (store, network) = (self.clone(), self.network.clone());
         Box::pin(async move {
             let (answer, answered) = oneshot::channel();
@@ -298,9 +298,9 @@
     async fn serve(
         self: Rc<Self>,
         vm: VmId,
-        ask: Ask,
+        ask: Command,
         sender: Sender,
-        answer: oneshot::Sender<Result<Told, Fault>>,
+        answer: oneshot::Sender<Result<Response, Fault>>,
     ) {
         let from = Node::Vm(vm.clone());
         if !self.network.travel(&from, &Node::Store, &sender).await {
@@ -308,7 +308,7 @@
         }
         self.calls.set(self.calls.get() + 1);
         tokio::time::sleep(WORK + self.slow.get().into()).await;
-        if matches!(ask, Ask::Write(_)) {
+        if matches!(ask, Command::Write(_)) {
             self.wait_in_line().await;
         }
         let told = match self.health_for(&vm) {
@@ -344,14 +344,14 @@
         }
     }
 
-    async fn run(self: &Rc<Self>, vm: &VmId, ask: Ask) -> Option<Result<Told, Fault>> {
+    async fn run(self: &Rc<Self>, vm: &VmId, ask: Command) -> Option<Result<Response, Fault>> {
         match ask {
-            Ask::Read(table) => Some(Ok(self.read(vm, &table, "", usize::MAX))),
-            Ask::Range { table, from, most } => {
+            Command::Read(table) => Some(Ok(self.read(vm, &table, "", usize::MAX))),
+            Command::Range { table, from, most } => {
                 Some(Ok(self.read(vm, &table, &from, most as usize)))
             }
-            Ask::Follow { table, after, wait } => self.follow(vm, &table, after, wait).await,
-            Ask::Write(change) => match self.losing.get() {
+            Command::Follow { table, after, wait } => self.follow(vm, &table, after, wait).await,
+            Command::Write(change) => match self.losing.get() {
                 Losing::None => Some(Ok(self.write(Some(vm), &change))),
                 Losing::Now => {
                     self.write(Some(vm), &change);
@@ -370,7 +370,7 @@
     }
 
     /// The rows of a table from a key on, `most` of them at most.
-    fn read(&self, vm: &VmId, table: &str, from: &str, most: usize) -> Told {
+    fn read(&self, vm: &VmId, table: &str, from: &str, most: usize) -> Response {
         let rows = self.rows.borrow();
         let first = RowId::new(table, from);
         let rows = rows.range(first..);
@@ -385,7 +385,7 @@
         let mut read = self.read.borrow_mut();
         let of_table = read.entry(table.into()).or_default();
         *of_table.entry(vm.clone()).or_default() += bytes;
-        Told::Rows {
+        Response::Rows {
             rows,
             version: self.version(),
         }
@@ -397,7 +397,7 @@
         table: &str,
         after: Version,
         wait: Span,
-    ) -> Option<Result<Told, Fault>> {
+    ) -> Option<Result<Response, Fault>> {
         let deadline = Instant::now() + wait.into();
         loop {
             let changed = self.changed.notified();
@@ -405,12 +405,12 @@
                 return None;
             }
             if after.number < self.forgotten.get() || after.number > self.number.get() {
-                return Some(Ok(Told::Forgotten));
+                return Some(Ok(Response::Forgotten));
             }
             let rows = self.rows_since(table, after.number);
             let version = self.version();
             if !rows.is_empty() || Instant::now() >= deadline {
-                return Some(Ok(Told::Rows { rows, version }));
+                return Some(Ok(Response::Rows { rows, version }));
             }
             let _ = tokio::time::timeout_at(deadline, changed).await;
         }
@@ -432,7 +432,7 @@
         told.collect()
     }
 
-    fn write(&self, by: Option<&VmId>, change: &Change) -> Told {
+    fn write(&self, by: Option<&VmId>, change: &Change) -> Response {
         let mut rows = self.rows.borrow_mut();
         let number_of = |rows: &BTreeMap<RowId, (Bytes, u64)>, id: &RowId| {
             rows.get(id).map_or(0, |(_, version)| *version)
@@ -447,7 +447,7 @@
                     version: self.tagged(*version),
                 })
             });
-            return Told::Conflict(now.collect());
+            return Response::Conflict(now.collect());
         }
         let before = self.number.get();
         let number = before + 1;
@@ -475,13 +475,13 @@
         let at = Instant::now();
         self.log.borrow_mut().push(Written { at, by, rows });
         self.changed.notify_waiters();
-        Told::Written(version)
+        Response::Written(version)
     }
 }
 
 /// How many bytes an answer is, with values in base64.
-fn length(told: &Told) -> u64 {
-    let (Told::Rows { rows, .. } | Told::Conflict(rows)) = told else {
+fn length(told: &Response) -> u64 {
+    let (Response::Rows { rows, .. } | Response::Conflict(rows)) = told else {
         return 0;
     };
     rows.iter().map(|row| row.size() as u64 * 4 / 3).sum()
@@ -528,6 +528,6 @@
 }
 
 /// Keeps a call open without an answer until nobody waits for it.
-async fn hang(mut answer: oneshot::Sender<Result<Told, Fault>>) {
+async fn hang(mut answer: oneshot::Sender<Result<Response, Fault>>) {
     answer.closed().await;
 }
--- a/tests/adapter/store.rs
+++ b/tests/adapter/store.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use lentilspoke::clock::Span;
 use lentilspoke::direct::adapter::{CallStore, Outside};
-use lentilspoke::direct::table::{Ask, Change, Era, Fault, RowId, Told, Version};
+use lentilspoke::direct::table::{Change, Command, Era, Fault, Response, RowId, Version};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -28,16 +28,16 @@
     Version::new(Era(0), number)
 }
 
-fn change() -> Ask {
-    Ask::Write(Change {
+fn change() -> Command {
+    Command::Write(Change {
         expect: vec![(RowId::new("duty", "steward"), version(412))],
         writes: vec![(RowId::new("duty", "steward"), Bytes::from_static(b"node-1"))],
         remove: vec![RowId::new("vms", "a")],
     })
 }
 
-fn read() -> Ask {
-    Ask::Read("my table".into())
+fn read() -> Command {
+    Command::Read("my table".into())
 }
 
 /// A VM that starts reads a few rows of a long table: one page, from its own row on.
@@ -47,7 +47,7 @@
     let script = Script::new([Step::Answer(200, page), Step::Answer(200, page)]);
     let store = store(&script);
     for from in ["", "vm.a@1"] {
-        let range = Ask::Range {
+        let range = Command::Range {
             table: "my table".into(),
             from: from.into(),
             most: 64,
@@ -61,16 +61,16 @@
     "#);
 }
 
-async fn play(ask: fn() -> Ask, step: Step) -> Result<Told, Fault> {
+async fn play(ask: fn() -> Command, step: Step) -> Result<Response, Fault> {
     let script = Script::new([step]);
     store(&script)(ask(), WITHIN).await
 }
 
-fn is_refused(told: &Result<Told, Fault>) -> bool {
+fn is_refused(told: &Result<Response, Fault>) -> bool {
     matches!(told, Err(Fault::Refused(_)))
 }
 
-fn is_unknown(told: &Result<Told, Fault>) -> bool {
+fn is_unknown(told: &Result<Response, Fault>) -> bool {
     matches!(told, Err(Fault::Unknown(_)))
 }
 
@@ -82,7 +82,7 @@
         Step::Answer(200, r#"{"row_version":531,"now_ms":1}"#),
     ]);
     let store = store(&script);
-    let follow = Ask::Follow {
+    let follow = Command::Follow {
         table: "op".into(),
         after: version(530),
         wait: Span::from_secs(60),
@@ -91,7 +91,7 @@
     store(follow, WITHIN).await.unwrap();
     assert_eq!(
         store(change(), WITHIN).await,
-        Ok(Told::Written(version(531)))
+        Ok(Response::Written(version(531)))
     );
     assert_eq!(
         script.opened.get(),
@@ -127,7 +127,7 @@
             {"table":"t","part":"","key":"d","value":"NA==","row_version":6}],"has_more":false,"row_version":6}"#,
         ),
     ]);
-    let Ok(Told::Rows { rows, version }) = store(&script)(read(), WITHIN).await else {
+    let Ok(Response::Rows { rows, version }) = store(&script)(read(), WITHIN).await else {
         panic!("rows were told");
     };
     assert_eq!(version, self::version(5));
@@ -146,19 +146,19 @@
 
 #[actix_rt::test]
 async fn removed_rows_and_lost_history_are_told() {
-    let follow = || Ask::Follow {
+    let follow = || Command::Follow {
         table: "op".into(),
         after: version(1),
         wait: Span::from_secs(1),
     };
     let gone = r#"{"rows":[{"table":"t","part":"","key":"a","tombstone":true,"row_version":7}],"row_version":7}"#;
-    let Ok(Told::Rows { rows, .. }) = play(follow, Step::Answer(200, gone)).await else {
+    let Ok(Response::Rows { rows, .. }) = play(follow, Step::Answer(200, gone)).await else {
         panic!("rows were told");
     };
     assert_eq!((rows[0].value.clone(), rows[0].version), (None, version(7)));
     assert_eq!(
         play(follow, Step::Answer(410, "")).await,
-        Ok(Told::Forgotten)
+        Ok(Response::Forgotten)
     );
 }
 
@@ -167,7 +167,7 @@
 #[actix_rt::test]
 async fn a_conflict_is_told() {
     let rows = r#"{"rows":[{"table":"duty","part":"","key":"steward","value":"eA==","row_version":413}],"row_version":500}"#;
-    let Ok(Told::Conflict(rows)) = play(change, Step::Answer(412, rows)).await else {
+    let Ok(Response::Conflict(rows)) = play(change, Step::Answer(412, rows)).await else {
         panic!("a conflict was told");
     };
     assert_eq!(rows[0].version, version(413));
@@ -208,7 +208,7 @@
     tokio::time::pause();
     let slow = Step::Slow(EMPTY, Duration::from_millis(700));
     let told = play(read, slow).await;
-    assert!(matches!(told, Ok(Told::Rows { .. })), "{told:?}");
+    assert!(matches!(told, Ok(Response::Rows { .. })), "{told:?}");
 }
 
 /// Guards against a call that waits on for an answer of which nothing comes any more, or that never ends.
@@ -258,7 +258,7 @@
     tokio::time::pause();
     let script = Script::new([Step::Silent, Step::Answer(200, EMPTY)]);
     let store = store(&script);
-    let follow = Ask::Follow {
+    let follow = Command::Follow {
         table: "op".into(),
         after: version(1),
         wait: Span::from_secs(20),
--- a/tests/direct_standin.rs
+++ b/tests/direct_standin.rs
@@ -4,7 +4,7 @@
 use lentilspoke::clock::Span;
 use lentilspoke::direct::adapter::{Promoted, Promotion};
 use lentilspoke::direct::statement::{Answer, Code, End, Order, State};
-use lentilspoke::direct::table::{Ask, Change, Era, Fault, RowId, Told, Version};
+use lentilspoke::direct::table::{Change, Command, Era, Fault, Response, RowId, Version};
 use lentilspoke::standin::direct::fault;
 use lentilspoke::standin::direct::host::{self, play};
 use lentilspoke::standin::direct::log::Log;
@@ -38,9 +38,9 @@
     (world, machine.recv().await.unwrap())
 }
 
-fn write(key: &str, value: &'static str, version: u64) -> Ask {
+fn write(key: &str, value: &'static str, version: u64) -> Command {
     let row = RowId::new("t", key);
-    Ask::Write(Change {
+    Command::Write(Change {
         expect: vec![(row.clone(), Version::new(Era(0), version))],
         writes: vec![(row, Bytes::from_static(value.as_bytes()))],
         remove: Vec::new(),
@@ -110,12 +110,12 @@
     play(async {
         let (world, machine) = idle_world().await;
         let store = &machine.adapter.store;
-        let Ok(Told::Written(version)) = store(write("a", "1", 0), SECOND).await else {
+        let Ok(Response::Written(version)) = store(write("a", "1", 0), SECOND).await else {
             panic!("not written");
         };
         let told = store(write("a", "2", 0), SECOND).await.unwrap();
-        assert!(matches!(told, Told::Conflict(rows) if rows[0].version == version));
-        let follow = |after, wait| Ask::Follow {
+        assert!(matches!(told, Response::Conflict(rows) if rows[0].version == version));
+        let follow = |after, wait| Command::Follow {
             table: "t".into(),
             after,
             wait,
@@ -126,13 +126,13 @@
         )
         .await
         .unwrap();
-        assert!(matches!(told, Told::Rows { rows, .. } if rows.len() == 1));
+        assert!(matches!(told, Response::Rows { rows, .. } if rows.len() == 1));
         let told = store(follow(version, Span(1)), SECOND).await.unwrap();
-        assert!(matches!(told, Told::Rows { rows, .. } if rows.is_empty()));
+        assert!(matches!(told, Response::Rows { rows, .. } if rows.is_empty()));
         world.store.put(RowId::new("t", "b"), None);
         world.store.forget();
         let told = store(follow(version, SECOND), SECOND).await.unwrap();
-        assert_eq!(told, Told::Forgotten);
+        assert_eq!(told, Response::Forgotten);
     })
     .unwrap();
 }
--- a/tests/meter.rs
+++ b/tests/meter.rs
@@ -4,7 +4,7 @@
 use lentilspoke::direct::config::Kind;
 use lentilspoke::direct::meter::{LeadLevel, Levels, Meter};
 use lentilspoke::direct::statement::Code;
-use lentilspoke::direct::table::{Ask, Era, Fault, Row, RowId, Told, Version};
+use lentilspoke::direct::table::{Command, Era, Fault, Response, Row, RowId, Version};
 
 /// Each metric appears once, under its name and labels.
 #[test]
@@ -24,10 +24,10 @@
     meter.database_refused(&gone, Code::Busy);
     meter.forget(&gone);
     meter.store_call(
-        &Ask::Read("lead".into()),
+        &Command::Read("lead".into()),
         &Err(Fault::Refused("down".into())),
     );
-    let rows = Told::Rows {
+    let rows = Response::Rows {
         rows: vec![Row {
             id: RowId::new("lead", "a"),
             value: None,
@@ -35,7 +35,7 @@
         }],
         version: Version::new(Era(0), 1),
     };
-    meter.store_call(&Ask::Read("lead".into()), &Ok(rows));
+    meter.store_call(&Command::Read("lead".into()), &Ok(rows));
     meter.config_try("readers", false);
     meter.lease_lapsed(&group);
     meter.promoted(&group, Span::from_millis(400));
@@ -71,7 +71,7 @@
         meter.answered(&database, Span::from_millis(20));
     }
     meter.store_call(
-        &Ask::Read("lead".into()),
+        &Command::Read("lead".into()),
         &Err(Fault::Refused("down".into())),
     );
     meter.config_try("store", true);
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -7,7 +7,7 @@
 use lentilspoke::direct::config::Kind;
 use lentilspoke::direct::meter::{LeadLevel, Levels, Meter};
 use lentilspoke::direct::statement::Code;
-use lentilspoke::direct::table::{Ask, Era, Fault, Row, RowId, Told, Version};
+use lentilspoke::direct::table::{Command, Era, Fault, Response, Row, RowId, Version};
 use lentilspoke::net::dialect::REQUESTS_DDL;
 use lentilspoke::net::metrics::{self, Gauges};
 use lentilspoke::settings::{Limits, Settings};
@@ -115,10 +115,10 @@
     meter.answered(&database, Span::ZERO);
     meter.database_refused(&database, Code::Busy);
     meter.store_call(
-        &Ask::Read("lead".into()),
+        &Command::Read("lead".into()),
         &Err(Fault::Refused("down".into())),
     );
-    let rows = Told::Rows {
+    let rows = Response::Rows {
         rows: vec![Row {
             id: RowId::new("lead", "a"),
             value: None,
@@ -126,7 +126,7 @@
         }],
         version: Version::new(Era(0), 1),
     };
-    meter.store_call(&Ask::Read("lead".into()), &Ok(rows));
+    meter.store_call(&Command::Read("lead".into()), &Ok(rows));
     meter.config_try("store", true);
     meter.lease_lapsed(&group);
     meter.promoted(&group, Span::ZERO);
