--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -244,7 +244,7 @@
         let ask = Command::Range {
             table: table.into(),
             from: from.into(),
-            most,
+            limit: most,
         };
         rows_of(self.call(ask, self.read_patience()).await?)
     }
--- a/src/direct/table.rs
+++ b/src/direct/table.rs
@@ -126,7 +126,7 @@
         /// The first key; empty for the first one of the table.
         from: Box<str>,
         /// The most rows to return.
-        most: u32,
+        limit: u32,
     },
     /// The changes to a table after a version, as soon as there are any, or none once `wait` has passed.
     Follow {
--- a/src/standin/direct/store.rs
+++ b/src/standin/direct/store.rs
@@ -347,9 +347,11 @@
     async fn run(self: &Rc<Self>, vm: &VmId, ask: Command) -> Option<Result<Response, Fault>> {
         match ask {
             Command::Read(table) => Some(Ok(self.read(vm, &table, "", usize::MAX))),
-            Command::Range { table, from, most } => {
-                Some(Ok(self.read(vm, &table, &from, most as usize)))
-            }
+            Command::Range {
+                table,
+                from,
+                limit: most,
+            } => Some(Ok(self.read(vm, &table, &from, most as usize))),
             Command::Follow { table, after, wait } => self.follow(vm, &table, after, wait).await,
             Command::Write(change) => match self.losing.get() {
                 Losing::None => Some(Ok(self.write(Some(vm), &change))),
--- a/tests/adapter/store.rs
+++ b/tests/adapter/store.rs
@@ -50,7 +50,7 @@
         let range = Command::Range {
             table: "my table".into(),
             from: from.into(),
-            most: 64,
+            limit: 64,
         };
         store(range, WITHIN).await.unwrap();
     }
