--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -8,7 +8,7 @@
 use crate::direct::owner::Way;
 use crate::direct::pool::Lent;
 use crate::direct::relay::line::Line;
-use crate::direct::relay::{Ask, Opening, Reply, Request, Start, Told};
+use crate::direct::relay::{Execute, Opening, Reply, Request, Response, Start};
 use crate::direct::session::Session;
 use crate::direct::statement::{Answer, Code, End, Order, State};
 use crate::direct::targets::{Target, Targets};
@@ -278,11 +278,17 @@
                 Part::Single | Part::Next => None,
             },
             after: self.plan.after,
-            ask: ask(self.targets, self.session, self.job, now),
+            statement: ask(self.targets, self.session, self.job, now),
         }
     }
 
-    fn passed(&self, line: Line, under_way: Option<UnderWay>, asked: Time, told: Told) -> Passed {
+    fn passed(
+        &self,
+        line: Line,
+        under_way: Option<UnderWay>,
+        asked: Time,
+        told: Response,
+    ) -> Passed {
         let (targets, target) = (self.targets, &self.plan.target);
         let lines = &targets.lines;
         match told.reply {
@@ -344,18 +350,18 @@
 }
 
 /// A statement as an owner is asked for it.
-pub fn ask(targets: &Targets, session: &Session, job: &Job<'_>, now: Time) -> Ask {
+pub fn ask(targets: &Targets, session: &Session, job: &Job<'_>, now: Time) -> Execute {
     let mut query = BytesMut::new();
     (targets.adapter.wire.write_query)(&mut query, job.query, None, None);
     let left = job.deadline().since(now);
-    Ask {
+    Execute {
         query: query.freeze(),
         shape: job.shape.map(|shape| (**shape).clone()),
         values: session.values.clone(),
         organisation: job.organisation.cloned(),
         urgency: job.urgency(),
-        patience: job.queue_until().since(now),
-        within: Span(left.0.saturating_sub(OWNER_MARGIN.0)),
+        queue_timeout: job.queue_until().since(now),
+        timeout: Span(left.0.saturating_sub(OWNER_MARGIN.0)),
     }
 }
 
--- a/src/direct/relay/line.rs
+++ b/src/direct/relay/line.rs
@@ -3,7 +3,7 @@
 use crate::clock::{Span, Time};
 use crate::direct::adapter::Adapter;
 use crate::direct::outcome::Why;
-use crate::direct::relay::{Channel, Request, Told};
+use crate::direct::relay::{Channel, Request, Response};
 use futures_util::FutureExt;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -53,7 +53,7 @@
     }
 
     /// Sends a request and reads the reply. If the reply is not read completely, the stream can't be reused.
-    pub async fn ask(&mut self, request: &Request) -> io::Result<Told> {
+    pub async fn ask(&mut self, request: &Request) -> io::Result<Response> {
         self.settled = false;
         self.channel.send(request).await?;
         let Some(response) = self.channel.receive().await? else {
@@ -159,7 +159,12 @@
 
     /// Sends a request to an owner, and avoids the owner for a while if the reply fails or takes longer than
     /// `within`.
-    pub async fn ask(&self, line: &mut Line, request: &Request, within: Span) -> Result<Told, Why> {
+    pub async fn ask(
+        &self,
+        line: &mut Line,
+        request: &Request,
+        within: Span,
+    ) -> Result<Response, Why> {
         match tokio::time::timeout(within.into(), line.ask(request)).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => {
--- a/src/direct/relay/mod.rs
+++ b/src/direct/relay/mod.rs
@@ -38,7 +38,7 @@
     /// Run a single statement, or one that opens a transaction.
     Start(Start),
     /// Run the next statement of the open transaction.
-    Next(Ask),
+    Next(Execute),
     /// Roll back the open transaction.
     End,
     /// Grant tokens of an organisation's allowance.
@@ -66,7 +66,7 @@
     /// A position that the database's log must have reached.
     pub after: Option<Position>,
     /// The statement.
-    pub ask: Ask,
+    pub statement: Execute,
 }
 
 /// How a transaction is opened.
@@ -78,7 +78,7 @@
 
 /// A statement. Its timeouts count from its arrival, so that clocks of other VMs don't matter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Execute {
     /// The caller's message, unchanged.
     pub query: Bytes,
     /// The prepared statement that it runs.
@@ -90,14 +90,14 @@
     /// Its priority among waiting statements.
     pub urgency: Urgency,
     /// How long it may wait for a busy database.
-    pub patience: Span,
+    pub queue_timeout: Span,
     /// How long it may take in all.
-    pub within: Span,
+    pub timeout: Span,
 }
 
 /// The owner's answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Response {
     /// The outcome.
     pub reply: Reply,
     /// How long a further statement would wait for the database.
@@ -106,7 +106,7 @@
     pub position: Option<Position>,
 }
 
-impl Told {
+impl Response {
     /// A reply without information on a database.
     fn bare(reply: Reply) -> Self {
         Self {
--- a/src/direct/relay/serve.rs
+++ b/src/direct/relay/serve.rs
@@ -6,7 +6,7 @@
 use crate::direct::front::Stopping;
 use crate::direct::gate::Urgency;
 use crate::direct::pool::Lent;
-use crate::direct::relay::{Ask, Channel, Reply, Request, Start, Told};
+use crate::direct::relay::{Channel, Execute, Reply, Request, Response, Start};
 use crate::direct::session::Shape;
 use crate::direct::statement::{Answer, Code, Message, Order, Query, State};
 use crate::direct::targets::{Target, Targets};
@@ -181,7 +181,7 @@
     /// would get an unknown outcome. This way the asking VM takes the message as the reply to a request that
     /// was sent before, and does not use an idle stream on which something has arrived.
     async fn close(&mut self) -> io::Result<()> {
-        self.send(&Told::bare(Reply::Away)).await?;
+        self.send(&Response::bare(Reply::Away)).await?;
         let drained = async {
             let Channel { stream, input, .. } = &mut self.channel;
             while stream.read_buf(input).await? > 0 {
@@ -206,50 +206,54 @@
         idle + IDLE_MARGIN
     }
 
-    async fn send(&mut self, response: &Told) -> io::Result<()> {
+    async fn send(&mut self, response: &Response) -> io::Result<()> {
         let sent = self.channel.send(response);
         let sent = tokio::time::timeout(SEND_TIMEOUT.into(), sent).await;
         sent.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    async fn answer(&mut self, request: Request) -> Told {
+    async fn answer(&mut self, request: Request) -> Response {
         match request {
             Request::Start(start) => self.start(start).await,
             Request::Next(ask) => self.next(ask).await,
             Request::End => {
                 self.roll_back();
-                Told::bare(Reply::NotRun(Code::RolledBack))
+                Response::bare(Reply::NotRun(Code::RolledBack))
             }
             Request::Spend(spend) => {
                 let grant = self.relay.targets.quotas.grant(&spend);
-                Told::bare(Reply::Granted(grant))
+                Response::bare(Reply::Granted(grant))
             }
         }
     }
 
     /// A reply with the state of the database.
-    fn response(&self, reply: Reply, target: &Target, urgency: Urgency) -> Told {
-        Told {
+    fn response(&self, reply: Reply, target: &Target, urgency: Urgency) -> Response {
+        Response {
             reply,
             wait: target.pool.gate.wait(urgency),
             position: target.pool.position(self.relay.now()),
         }
     }
 
-    async fn start(&mut self, start: Start) -> Told {
+    async fn start(&mut self, start: Start) -> Response {
         self.roll_back();
         if self.relay.is_stopping() {
-            return Told::bare(Reply::Away);
+            return Response::bare(Reply::Away);
         }
         let targets = self.relay.targets.clone();
         let Some(target) = targets.find(&start.database) else {
-            return Told::bare(Reply::Unknown);
+            return Response::bare(Reply::Unknown);
         };
         if self.is_behind(&target, start.after) {
-            return self.response(Reply::NotRun(Code::Behind), &target, start.ask.urgency);
+            return self.response(
+                Reply::NotRun(Code::Behind),
+                &target,
+                start.statement.urgency,
+            );
         }
-        let Some((query, shape)) = self.read(&start.ask) else {
-            return Told::bare(Reply::NotRun(Code::Malformed));
+        let Some((query, shape)) = self.read(&start.statement) else {
+            return Response::bare(Reply::NotRun(Code::Malformed));
         };
         let begin = start.begin.map(|opening| Order::Begin {
             read: opening.read,
@@ -259,7 +263,7 @@
         let statement = Statement {
             begin: begin.as_ref(),
             after: start.after,
-            ..self.statement(&start.ask, &query, shape.as_ref(), &trace)
+            ..self.statement(&start.statement, &query, shape.as_ref(), &trace)
         };
         let active = self.relay.begin();
         let ran = exchange::start(&targets, &target, &statement, || Some(active), || true).await;
@@ -277,23 +281,23 @@
                     in_transaction,
                     answer,
                     asked,
-                    start.ask.urgency,
+                    start.statement.urgency,
                 )
             }
             Ran::NotRun(code) => Reply::NotRun(code),
             Ran::Unreached => Reply::Unreached,
             Ran::Lost(why) => Reply::Lost(why),
         };
-        self.response(reply, &target, start.ask.urgency)
+        self.response(reply, &target, start.statement.urgency)
     }
 
-    async fn next(&mut self, ask: Ask) -> Told {
+    async fn next(&mut self, ask: Execute) -> Response {
         let Some(mut open) = self.open.take() else {
             // The transaction was idle for too long, or this VM is stopping.
-            return Told::bare(Reply::NotRun(Code::RolledBack));
+            return Response::bare(Reply::NotRun(Code::RolledBack));
         };
         let Some((query, shape)) = self.read(&ask) else {
-            return Told::bare(Reply::NotRun(Code::Malformed));
+            return Response::bare(Reply::NotRun(Code::Malformed));
         };
         let targets = self.relay.targets.clone();
         // The asking VM writes the log line of the request.
@@ -348,7 +352,7 @@
     }
 
     /// Decodes the caller's statement and its prepared statement.
-    fn read(&self, ask: &Ask) -> Option<(Query, Option<Rc<Shape>>)> {
+    fn read(&self, ask: &Execute) -> Option<(Query, Option<Rc<Shape>>)> {
         let mut message = BytesMut::from(&ask.query[..]);
         let read = (self.relay.targets.adapter.wire.read_message)(&mut message);
         let Ok(Some(Message::Query(query))) = read else {
@@ -359,7 +363,7 @@
 
     fn statement<'a>(
         &self,
-        ask: &'a Ask,
+        ask: &'a Execute,
         query: &'a Query,
         shape: Option<&'a Rc<Shape>>,
         trace: &'a Trace,
@@ -373,8 +377,8 @@
             begin: None,
             after: None,
             urgency: ask.urgency,
-            queue_until: now + ask.patience,
-            deadline: now + ask.within,
+            queue_until: now + ask.queue_timeout,
+            deadline: now + ask.timeout,
             trace,
         }
     }
--- a/tests/direct_relay.rs
+++ b/tests/direct_relay.rs
@@ -9,7 +9,7 @@
 use lentilspoke::direct::gate::Urgency;
 use lentilspoke::direct::relay::line::Lines;
 use lentilspoke::direct::relay::serve::Relay;
-use lentilspoke::direct::relay::{Ask, Reply, Request, Start};
+use lentilspoke::direct::relay::{Execute, Reply, Request, Start};
 use lentilspoke::direct::session::Values;
 use lentilspoke::direct::table::RowId;
 use lentilspoke::direct::targets::Targets;
@@ -217,20 +217,20 @@
     actix_rt::spawn(relay.serve_stream(Box::new(far)));
     let lines = Lines::new(adapter);
     let mut line = lines.take("10.1.0.1:7000".parse().unwrap()).await.unwrap();
-    let ask = Ask {
+    let ask = Execute {
         query: Bytes::from_static(b"QUERY q1 READ i1\r\n"),
         shape: None,
         values: Values::default(),
         organisation: None,
         urgency: Urgency::MAX,
-        patience: Span::from_secs(1),
-        within: Span::from_secs(1),
+        queue_timeout: Span::from_secs(1),
+        timeout: Span::from_secs(1),
     };
     let request = Request::Start(Start {
         database: db("db0a"),
         begin: None,
         after: None,
-        ask,
+        statement: ask,
     });
     let told = lines.ask(&mut line, &request, Span::from_secs(10)).await;
     assert_eq!(told.unwrap().reply, Reply::Unknown);
