--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -298,7 +298,7 @@
                 let held = self.held(Seat::Through(line), under_way, opened);
                 Passed::Attempt(self.judge(held, asked, answer))
             }
-            Reply::Away => {
+            Reply::Stopping => {
                 lines.avoid_stopping(line.owner());
                 Passed::Away
             }
--- a/src/direct/quota/spend.rs
+++ b/src/direct/quota/spend.rs
@@ -255,7 +255,7 @@
                 self.lines.give_back(line);
                 Some(grant)
             }
-            Reply::Away => {
+            Reply::Stopping => {
                 self.lines.avoid_stopping(allocator);
                 None
             }
--- a/src/direct/relay/mod.rs
+++ b/src/direct/relay/mod.rs
@@ -129,7 +129,7 @@
     /// It did not run: the owner does not know the database.
     Unknown,
     /// It did not run: the owner is stopping.
-    Away,
+    Stopping,
     /// It may have run.
     Lost(Why),
     /// To a request for tokens.
--- a/src/direct/relay/serve.rs
+++ b/src/direct/relay/serve.rs
@@ -181,7 +181,7 @@
     /// would get an unknown outcome. This way the asking VM takes the message as the reply to a request that
     /// was sent before, and does not use an idle stream on which something has arrived.
     async fn close(&mut self) -> io::Result<()> {
-        self.send(&Response::bare(Reply::Away)).await?;
+        self.send(&Response::bare(Reply::Stopping)).await?;
         let drained = async {
             let Channel { stream, input, .. } = &mut self.channel;
             while stream.read_buf(input).await? > 0 {
@@ -239,7 +239,7 @@
     async fn start(&mut self, start: Start) -> Response {
         self.roll_back();
         if self.relay.is_stopping() {
-            return Response::bare(Reply::Away);
+            return Response::bare(Reply::Stopping);
         }
         let targets = self.relay.targets.clone();
         let Some(target) = targets.find(&start.database) else {
--- a/src/direct/transaction.rs
+++ b/src/direct/transaction.rs
@@ -194,7 +194,9 @@
             job.trace.ended("queue");
             Err(Failed::Busy)
         }
-        Reply::NotRun(_) | Reply::Unreached | Reply::Unknown | Reply::Away => Err(Failed::Broken),
+        Reply::NotRun(_) | Reply::Unreached | Reply::Unknown | Reply::Stopping => {
+            Err(Failed::Broken)
+        }
         Reply::Granted(_) => Err(Failed::Lost(Why::Broken)),
         Reply::Lost(why) => {
             job.trace.ended("lost");
