--- a/src/direct/adapter.rs
+++ b/src/direct/adapter.rs
@@ -113,7 +113,7 @@
 
 /// The environment from which a platform's adapter is built: the platform's addresses, and system functions.
 #[derive(Clone)]
-pub struct Outside {
+pub struct Environment {
     /// The store's address.
     pub store: SocketAddr,
     /// The address for promotion orders.
@@ -126,14 +126,14 @@
     pub clock: Clock,
 }
 
-impl fmt::Debug for Outside {
+impl fmt::Debug for Environment {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Outside").finish_non_exhaustive()
+        f.debug_struct("Environment").finish_non_exhaustive()
     }
 }
 
 /// Builds a platform's adapter.
-pub type Build = fn(Outside) -> Adapter;
+pub type Build = fn(Environment) -> Adapter;
 
 /// The adapter to a platform: everything that depends on it.
 #[derive(Clone)]
--- a/src/net/direct.rs
+++ b/src/net/direct.rs
@@ -4,7 +4,7 @@
 mod reload;
 
 use crate::clock::Span;
-use crate::direct::adapter::{Adapter, Build, Outside, Stream};
+use crate::direct::adapter::{Adapter, Build, Environment, Stream};
 use crate::direct::control::{Control, Setup};
 use crate::direct::front::{self, Front};
 use crate::direct::relay::serve::Relay;
@@ -70,7 +70,7 @@
     let stop = util::asked_to_stop()?;
     let listeners = Listeners::open(&place)?;
     println!("ready {}", place.settings.callers);
-    let adapter = build(Outside {
+    let adapter = build(Environment {
         store: place.settings.platform[0],
         orders: place.direct.orders,
         connect: system::connect(false),
--- a/tests/adapter/cloud.rs
+++ b/tests/adapter/cloud.rs
@@ -3,7 +3,7 @@
 use crate::platform;
 use crate::script::{Script, Step, clock};
 use lentilspoke::clock::Span;
-use lentilspoke::direct::adapter::{Outside, Promoted, Promotion};
+use lentilspoke::direct::adapter::{Environment, Promoted, Promotion};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 async fn play(script: &Rc<Script>, pause: Option<Duration>) -> Run {
     let (clock, leap) = clock();
     let address = "10.0.9.1:1".parse().unwrap();
-    let adapter = platform::adapter(Outside {
+    let adapter = platform::adapter(Environment {
         store: address,
         orders: address,
         connect: Rc::new(|_, _| panic!("an order takes a connection that can be reset")),
--- a/tests/adapter/store.rs
+++ b/tests/adapter/store.rs
@@ -4,7 +4,7 @@
 use crate::script::{Script, Step, clock};
 use bytes::Bytes;
 use lentilspoke::clock::Span;
-use lentilspoke::direct::adapter::{CallStore, Outside};
+use lentilspoke::direct::adapter::{CallStore, Environment};
 use lentilspoke::direct::table::{Change, Command, Era, Fault, Response, RowId, Version};
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 fn store(script: &Rc<Script>) -> CallStore {
     let address = "10.0.9.1:1".parse().unwrap();
-    platform::adapter(Outside {
+    platform::adapter(Environment {
         store: address,
         orders: address,
         connect: script.connect(),
