--- a/src/direct/adapter.rs
+++ b/src/direct/adapter.rs
@@ -100,14 +100,14 @@
 }
 
 /// A future on this thread.
-pub type Later<T> = LocalBoxFuture<'static, T>;
+pub type LocalFuture<T> = LocalBoxFuture<'static, T>;
 /// Calls the store. An answer that has not begun to arrive after the span, or stops arriving, counts as lost;
 /// one that arrives may take longer, depending on its length and the link.
-pub type CallStore = Rc<dyn Fn(Command, Span) -> Later<Result<Response, Fault>>>;
+pub type CallStore = Rc<dyn Fn(Command, Span) -> LocalFuture<Result<Response, Fault>>>;
 /// Orders a promotion.
-pub type Promote = Rc<dyn Fn(Promotion) -> Later<Promoted>>;
+pub type Promote = Rc<dyn Fn(Promotion) -> LocalFuture<Promoted>>;
 /// Connects to an address within the span.
-pub type Connect = Rc<dyn Fn(SocketAddr, Span) -> Later<std::io::Result<Box<dyn Stream>>>>;
+pub type Connect = Rc<dyn Fn(SocketAddr, Span) -> LocalFuture<std::io::Result<Box<dyn Stream>>>>;
 /// Reads the clock, which also advances while the VM is paused.
 pub type Clock = Rc<dyn Fn() -> Time>;
 
--- a/src/direct/control/detour.rs
+++ b/src/direct/control/detour.rs
@@ -10,7 +10,7 @@
 //! a try that is not answered at all costs [`super::store`]'s whole patience.
 
 use crate::clock::{Span, Time};
-use crate::direct::adapter::Later;
+use crate::direct::adapter::LocalFuture;
 use crate::direct::control::Control;
 use crate::direct::control::rows::{Reading, TABLE};
 use crate::direct::control::store::FIRST_ROWS;
@@ -38,7 +38,7 @@
 const LONGEST: Span = Span::from_secs(8);
 
 /// Makes a call by way of other VMs; none if none of them was answered.
-pub type Detour = Rc<dyn Fn(Command) -> Later<Option<Response>>>;
+pub type Detour = Rc<dyn Fn(Command) -> LocalFuture<Option<Response>>>;
 
 /// Which way calls go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -42,7 +42,7 @@
 
 use crate::clock::{Span, Time};
 use crate::core::detect::Damper;
-use crate::direct::adapter::{Adapter, Later};
+use crate::direct::adapter::{Adapter, LocalFuture};
 use crate::direct::control::enroll::Applicant;
 use crate::direct::control::probe::Link;
 use crate::direct::control::rows::{Member, MemberId};
@@ -181,7 +181,7 @@
     }
 
     /// Answers a question of another VM.
-    pub fn answer(self: &Rc<Self>, question: Question) -> Later<Answer> {
+    pub fn answer(self: &Rc<Self>, question: Question) -> LocalFuture<Answer> {
         let control = self.clone();
         Box::pin(async move {
             match question {
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -2,7 +2,7 @@
 //! ages from the time of its call, so that it need not trust another VM's clock.
 
 use crate::clock::Span;
-use crate::direct::adapter::Later;
+use crate::direct::adapter::LocalFuture;
 use crate::direct::config::Database;
 use crate::direct::fresh::Progress;
 use crate::direct::lead::{Epoch, Lead};
@@ -204,4 +204,4 @@
 }
 
 /// Asks the VM at an address; returns `None` if it does not answer within the span.
-pub type Call = Rc<dyn Fn(SocketAddr, Question, Span) -> Later<Option<Answer>>>;
+pub type Call = Rc<dyn Fn(SocketAddr, Question, Span) -> LocalFuture<Option<Answer>>>;
--- a/src/net/mesh.rs
+++ b/src/net/mesh.rs
@@ -1,7 +1,7 @@
 //! Questions between VMs, as calls over kept channels.
 
 use crate::clock::Span;
-use crate::direct::adapter::Later;
+use crate::direct::adapter::LocalFuture;
 use crate::direct::mesh::{Answer, Call, Question};
 use crate::net::rpc;
 use std::cell::{Cell, RefCell};
@@ -25,7 +25,7 @@
 const WAITING: usize = 4_096;
 
 /// Answers questions.
-pub type Answerer = Rc<dyn Fn(Question) -> Later<Answer>>;
+pub type Answerer = Rc<dyn Fn(Question) -> LocalFuture<Answer>>;
 
 /// How long an answer that is late is still listened for, beyond what its caller waited. It tells a
 /// VM that is slow from a connection that nothing comes through any more.
--- a/src/standin/direct/machine.rs
+++ b/src/standin/direct/machine.rs
@@ -1,7 +1,7 @@
 //! What a VM's program is given.
 
 use crate::clock::Span;
-use crate::direct::adapter::{Adapter, Later};
+use crate::direct::adapter::{Adapter, LocalFuture};
 use crate::direct::mesh::{Answer, Call, Question};
 use crate::standin::direct::link::Stream;
 use crate::types::{Cores, Domain, Life, VmId};
@@ -58,4 +58,4 @@
 }
 
 /// What runs on each VM.
-pub type Program = Rc<dyn Fn(Machine) -> Later<()>>;
+pub type Program = Rc<dyn Fn(Machine) -> LocalFuture<()>>;
--- a/src/standin/direct/network.rs
+++ b/src/standin/direct/network.rs
@@ -1,6 +1,6 @@
 //! Who reaches whom, and how long bytes are under way.
 
-use crate::direct::adapter::Later;
+use crate::direct::adapter::LocalFuture;
 use crate::standin::direct::link::{self, Link, Stream};
 use crate::types::{DatabaseId, Invalid, VmId};
 use std::cell::{Cell, RefCell};
@@ -137,7 +137,7 @@
     changed: Notify,
     domain_delay: Duration,
     region_delay: Duration,
-    outside: mpsc::UnboundedSender<Later<()>>,
+    outside: mpsc::UnboundedSender<LocalFuture<()>>,
 }
 
 impl fmt::Debug for Network {
@@ -149,7 +149,7 @@
 impl Network {
     /// A network whose tasks run in the `LocalSet` that this is called in.
     pub fn new(domain_delay: Duration, region_delay: Duration) -> Rc<Self> {
-        let (outside, mut tasks) = mpsc::unbounded_channel::<Later<()>>();
+        let (outside, mut tasks) = mpsc::unbounded_channel::<LocalFuture<()>>();
         tokio::task::spawn_local(async move {
             while let Some(task) = tasks.recv().await {
                 tokio::task::spawn_local(task);
--- a/src/standin/direct/program.rs
+++ b/src/standin/direct/program.rs
@@ -1,7 +1,7 @@
 //! What runs on each VM: the front and the control path, as the real process puts them together.
 
 use crate::clock::Span;
-use crate::direct::adapter::Later;
+use crate::direct::adapter::LocalFuture;
 use crate::direct::control::{Control, Setup};
 use crate::direct::front::{Front, Place};
 use crate::direct::relay::serve::Relay;
@@ -19,7 +19,7 @@
 
 /// The program.
 pub fn program() -> Program {
-    Rc::new(|machine| Box::pin(run(machine)) as Later<()>)
+    Rc::new(|machine| Box::pin(run(machine)) as LocalFuture<()>)
 }
 
 async fn run(machine: Machine) {
--- a/src/standin/direct/store.rs
+++ b/src/standin/direct/store.rs
@@ -2,7 +2,7 @@
 //! written as [`crate::direct::table`] says, and its troubles.
 
 use crate::clock::Span;
-use crate::direct::adapter::{CallStore, Later};
+use crate::direct::adapter::{CallStore, LocalFuture};
 use crate::direct::table::{Change, Command, Era, Fault, Response, Row, RowId, Version};
 use crate::standin::direct::network::{Hold, Network, Node, Sender};
 use crate::types::VmId;
@@ -279,7 +279,12 @@
         Rc::new(move |ask, span| store.call(vm.clone(), ask, span))
     }
 
-    fn call(self: &Rc<Self>, vm: VmId, ask: Command, span: Span) -> Later<Result<Response, Fault>> {
+    fn call(
+        self: &Rc<Self>,
+        vm: VmId,
+        ask: Command,
+        span: Span,
+    ) -> LocalFuture<Result<Response, Fault>> {
         let (store, network) = (self.clone(), self.network.clone());
         Box::pin(async move {
             let (answer, answered) = oneshot::channel();
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -194,7 +194,7 @@
 
 fn adapter(started: Instant, script: Rc<RefCell<Script>>, seen: Rc<RefCell<String>>) -> Adapter {
     let numbers = Rc::new(Cell::new(0));
-    let promote = |_| -> lentilspoke::direct::adapter::Later<_> {
+    let promote = |_| -> lentilspoke::direct::adapter::LocalFuture<_> {
         Box::pin(async { lentilspoke::direct::adapter::Promoted::Refused })
     };
     Adapter {
