--- a/src/direct/identity.rs
+++ b/src/direct/identity.rs
@@ -38,19 +38,19 @@
 /// The error for a text that is not a key's hash. It omits the text, which may be a key.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a key's hash: write its first {KEPT} bytes of SHA-256 in hexadecimal digits")]
-pub struct NoHash;
+pub struct InvalidHash;
 
 impl TryFrom<String> for Key {
-    type Error = NoHash;
+    type Error = InvalidHash;
 
-    fn try_from(text: String) -> Result<Self, NoHash> {
+    fn try_from(text: String) -> Result<Self, InvalidHash> {
         let mut kept = [0; KEPT];
         if text.len() != 2 * KEPT || !text.is_ascii() {
-            return Err(NoHash);
+            return Err(InvalidHash);
         }
         for (index, byte) in kept.iter_mut().enumerate() {
             let digits = &text[2 * index..2 * index + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| NoHash)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| InvalidHash)?;
         }
         Ok(Self(kept))
     }
