--- a/src/direct/control/register.rs
+++ b/src/direct/control/register.rs
@@ -85,7 +85,10 @@
             let came = came.cloned().collect();
             let mut gone: Vec<DatabaseId> = changed.into_iter().collect();
             gone.retain(|id| !self.databases.contains_key(id));
-            return Some(Content::Changes { gone, came });
+            return Some(Content::Changes {
+                removed: gone,
+                added: came,
+            });
         }
         let told = whole || self.databases.len() <= SHORT;
         told.then(|| Content::All(self.databases.values().cloned().collect()))
@@ -97,8 +100,8 @@
             Content::All(_) => BTreeMap::new(),
             Content::Changes { .. } => self.databases.clone(),
         };
-        let (Content::All(came) | Content::Changes { came, .. }) = &content;
-        if let Content::Changes { gone, .. } = &content {
+        let (Content::All(came) | Content::Changes { added: came, .. }) = &content;
+        if let Content::Changes { removed: gone, .. } = &content {
             found.retain(|id, _| !gone.contains(id));
         }
         found.extend(came.iter().map(|d| (d.id.clone(), d.clone())));
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -164,9 +164,9 @@
     /// The changes to the one that the asking VM has.
     Changes {
         /// Databases that were removed.
-        gone: Vec<DatabaseId>,
+        removed: Vec<DatabaseId>,
         /// Databases that were added or have changed.
-        came: Vec<Database>,
+        added: Vec<Database>,
     },
 }
 
--- a/tests/direct_history.rs
+++ b/tests/direct_history.rs
@@ -145,7 +145,7 @@
     assert!(matches!(here.content_for(1, true), Some(Content::All(all)) if all.len() == 200));
     let changes = here.content_for(known, false).unwrap();
     assert!(
-        matches!(changes, Content::Changes { came, gone } if (came.len(), gone.len()) == (1, 0))
+        matches!(changes, Content::Changes { added, removed } if (added.len(), removed.len()) == (1, 0))
     );
 }
 
