--- a/src/direct/adapter.rs
+++ b/src/direct/adapter.rs
@@ -121,7 +121,7 @@
     /// Opens connections.
     pub connect: Connect,
     /// Opens connections that are reset when closed, so that nothing arrives later.
-    pub abrupt: Connect,
+    pub connect_with_reset: Connect,
     /// The clock.
     pub clock: Clock,
 }
--- a/src/net/direct.rs
+++ b/src/net/direct.rs
@@ -74,7 +74,7 @@
         store: place.settings.platform[0],
         orders: place.direct.orders,
         connect: system::connect(false),
-        abrupt: system::connect(true),
+        connect_with_reset: system::connect(true),
         clock: system::clock(),
     });
     log::info!(callers:% = place.settings.callers, admin:% = place.settings.admin; "listening");
--- a/tests/adapter/cloud.rs
+++ b/tests/adapter/cloud.rs
@@ -23,7 +23,7 @@
         store: address,
         orders: address,
         connect: Rc::new(|_, _| panic!("an order takes a connection that can be reset")),
-        abrupt: script.connect(),
+        connect_with_reset: script.connect(),
         clock: Rc::clone(&clock),
     });
     let promotion = Promotion {
--- a/tests/adapter/store.rs
+++ b/tests/adapter/store.rs
@@ -18,7 +18,7 @@
         store: address,
         orders: address,
         connect: script.connect(),
-        abrupt: script.connect(),
+        connect_with_reset: script.connect(),
         clock: clock().0,
     })
     .store
