--- a/src/direct/quota/bucket.rs
+++ b/src/direct/quota/bucket.rs
@@ -70,7 +70,7 @@
     /// How many operations may be run.
     pub count: u32,
     /// How long after the request the tokens may be spent.
-    pub within: Span,
+    pub validity: Span,
     /// When to ask again if no token was granted.
     pub retry: Span,
 }
@@ -80,7 +80,7 @@
     pub fn nothing(retry: Span) -> Self {
         Self {
             count: 0,
-            within: Span::ZERO,
+            validity: Span::ZERO,
             retry,
         }
     }
@@ -148,7 +148,7 @@
         }
         Grant {
             count: u32::try_from(count).unwrap_or(u32::MAX),
-            within: TOKEN_VALIDITY,
+            validity: TOKEN_VALIDITY,
             retry: Span::ZERO,
         }
     }
--- a/src/direct/quota/cache.rs
+++ b/src/direct/quota/cache.rs
@@ -53,7 +53,7 @@
     /// Adds the tokens of a grant that was requested at `asked`.
     pub fn add(&mut self, grant: Grant, asked: Time) {
         if grant.count > 0 {
-            let until = asked + grant.within;
+            let until = asked + grant.validity;
             self.held.push_back((Token { until }, grant.count));
         }
     }
--- a/tests/direct_quota.rs
+++ b/tests/direct_quota.rs
@@ -120,7 +120,7 @@
 fn outstanding_tokens_count_against_the_burst() {
     let mut bucket = Bucket::new(Share::of(allowance(10, 40), 1), at(0));
     let first = bucket.grant(1, 20, at(10_000));
-    assert_eq!((first.count, first.within), (10, TOKEN_VALIDITY));
+    assert_eq!((first.count, first.validity), (10, TOKEN_VALIDITY));
     assert_eq!(bucket.grant(99, 0, at(11_900)).count, 31);
     // The capacity that expired tokens free fills by the rate.
     assert_eq!(bucket.grant(99, 0, at(12_000)).count, 1);
