--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -190,7 +190,7 @@
     pub rows: Option<Vec<(GroupId, Lead)>>,
 }
 
-/// A steward, as another VM knows it.
+/// A steward (a VM elected to coordinate promotions), as another VM knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Steward {
     /// The address at which it listens for other VMs.
--- a/src/direct/tenure.rs
+++ b/src/direct/tenure.rs
@@ -29,7 +29,7 @@
     Whole,
 }
 
-/// Since when, and until when, a VM may grant from its shares.
+/// The period in which a VM may grant from its shares, and until when it may grant them whole.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tenure {
     since: Time,
--- a/src/direct/view.rs
+++ b/src/direct/view.rs
@@ -54,7 +54,7 @@
     ///
     /// A primary may lose all its data and start again under its id. Reads there would miss acknowledged
     /// commits, and writes there would be lost with the next promotion. The lease names the birth of the
-    /// database that was promoted; until the register shows the new birth, [`Watermarks`] detects the lost log.
+    /// database that was promoted; until the register shows the new one, [`Watermarks`] detects the lost log.
     pub fn primary(&self, group: &GroupId, now: Time) -> Option<(Lease, &Database)> {
         let lease = self.leases.lease(group, now)?;
         let database = self.databases.get(&lease.primary)?;
--- a/tests/direct_quota.rs
+++ b/tests/direct_quota.rs
@@ -164,8 +164,8 @@
     Freeze(usize),
 }
 
-#[derive(Debug, Clone)]
 /// Events, each after a pause in milliseconds.
+#[derive(Debug, Clone)]
 struct Schedule(Vec<(u8, Event)>);
 
 const VMS: usize = 6;
