--- a/src/direct/control/detour.rs
+++ b/src/direct/control/detour.rs
@@ -95,7 +95,7 @@
         let mut refusals = 0;
         for address in self.helpers() {
             let question = Question::Store {
-                ask: ask.clone(),
+                command: ask.clone(),
                 timeout: WITHIN,
             };
             let answer = (self.setup.call)(address, question, WITHIN + MARGIN).await;
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -227,7 +227,7 @@
                     Answer::Confirmed(control.setup.life, vouched)
                 }
                 Question::Store {
-                    ask,
+                    command: ask,
                     timeout: within,
                 } => Answer::Stored(control.store.call_for_another(ask, within).await),
                 Question::Ping { address, token } => {
--- a/src/direct/mesh.rs
+++ b/src/direct/mesh.rs
@@ -54,8 +54,8 @@
     Confirm,
     /// Asks to call the store on behalf of a VM that the store refuses.
     Store {
-        /// The call.
-        ask: table::Command,
+        /// The command.
+        command: table::Command,
         /// The timeout of the call.
         timeout: Span,
     },
