--- a/src/direct/line.rs
+++ b/src/direct/line.rs
@@ -10,7 +10,7 @@
 
 /// The target of lines of served requests. It has a line budget of its own, so that they never use up that of
 /// the others.
-const SERVED: &str = "lentilspoke::direct::served";
+const SERVED_TARGET: &str = "lentilspoke::direct::served";
 
 /// A request that was answered.
 #[derive(Debug, Clone, Copy)]
@@ -81,8 +81,8 @@
             let outcome = format!("{code:?}");
             write(front, module_path!(), ended, message, &outcome);
         }
-        (Reason::Late, _) => write(front, SERVED, ended, "served late", "Done"),
-        _ => write(front, SERVED, ended, "served, an example", "Done"),
+        (Reason::Late, _) => write(front, SERVED_TARGET, ended, "served late", "Done"),
+        _ => write(front, SERVED_TARGET, ended, "served, an example", "Done"),
     }
 }
 
--- a/src/direct/meter.rs
+++ b/src/direct/meter.rs
@@ -66,17 +66,17 @@
     };
 }
 
-labels!(OfGroup: group);
-labels!(OfDatabase: database);
-labels!(OfCode: group, code);
-labels!(OfRefusal: database, code);
-labels!(OfCall: call, outcome);
-labels!(OfKind: kind);
-labels!(OfTable: table);
-labels!(OfTry: way, outcome);
-labels!(OfRole: by);
-
-type Histograms = Family<OfKind, Histogram, fn() -> Histogram>;
+labels!(GroupLabel: group);
+labels!(DatabaseLabel: database);
+labels!(CodeLabels: group, code);
+labels!(RefusalLabels: database, code);
+labels!(CallLabels: call, outcome);
+labels!(KindLabel: kind);
+labels!(TableLabel: table);
+labels!(TryLabels: way, outcome);
+labels!(RoleLabel: by);
+
+type Histograms = Family<KindLabel, Histogram, fn() -> Histogram>;
 
 /// The counters and histograms of one process.
 #[derive(Debug)]
@@ -84,22 +84,22 @@
     registry: Registry,
     /// Selects the served requests that get a log line.
     pub sampler: Sampler,
-    refused: Family<OfCode, Counter>,
+    refused: Family<CodeLabels, Counter>,
     served: Histograms,
-    reads: Family<OfRole, Counter>,
-    store_calls: Family<OfCall, Counter>,
-    store_bytes: Family<OfTable, Counter>,
-    config_tries: Family<OfTry, Counter>,
-    opened: Family<OfDatabase, Counter>,
-    not_opened: Family<OfDatabase, Counter>,
-    answered: Family<OfDatabase, Histogram, fn() -> Histogram>,
-    database_refused: Family<OfRefusal, Counter>,
+    reads: Family<RoleLabel, Counter>,
+    store_calls: Family<CallLabels, Counter>,
+    store_bytes: Family<TableLabel, Counter>,
+    config_tries: Family<TryLabels, Counter>,
+    opened: Family<DatabaseLabel, Counter>,
+    not_opened: Family<DatabaseLabel, Counter>,
+    answered: Family<DatabaseLabel, Histogram, fn() -> Histogram>,
+    database_refused: Family<RefusalLabels, Counter>,
     queue_wait: Histogram,
     allowance_asked: Counter,
     allowance_refused: Counter,
-    lapsed: Family<OfGroup, Counter>,
-    promoted: Family<OfGroup, Counter>,
-    promotion_time: Family<OfGroup, Counter>,
+    lapsed: Family<GroupLabel, Counter>,
+    promoted: Family<GroupLabel, Counter>,
+    promotion_time: Family<GroupLabel, Counter>,
     gauges: Gauges,
 }
 
@@ -148,7 +148,7 @@
     }
 }
 
-fn call_labels(ask: &Command, answer: &Result<Response, Fault>) -> OfCall {
+fn call_labels(ask: &Command, answer: &Result<Response, Fault>) -> CallLabels {
     let call = match ask {
         Command::Read(_) => "read",
         Command::Range { .. } => "range",
@@ -162,7 +162,7 @@
         Err(Fault::Refused(_)) => "refused",
         Err(Fault::Unknown(_)) => "unknown",
     };
-    OfCall {
+    CallLabels {
         call: Text::Fixed(call),
         outcome: Text::Fixed(outcome),
     }
@@ -296,7 +296,7 @@
 
     /// Counts a request that was not answered with success.
     pub fn refused(&self, group: &GroupId, code: Code) {
-        let labels = OfCode {
+        let labels = CodeLabels {
             group: group.into(),
             code: Text::Fixed(code_name(code)),
         };
@@ -310,14 +310,14 @@
             Kind::Bounded(_) => "bounded",
             Kind::Session(_) => "session",
         });
-        let histogram = self.served.get_or_create(&OfKind { kind });
+        let histogram = self.served.get_or_create(&KindLabel { kind });
         histogram.observe(seconds(took));
     }
 
     /// Counts a read that was answered by a replica, or by the primary.
     pub fn read(&self, by_replica: bool) {
         let by = Text::Fixed(if by_replica { "replica" } else { "primary" });
-        self.reads.get_or_create(&OfRole { by }).inc();
+        self.reads.get_or_create(&RoleLabel { by }).inc();
     }
 
     /// Records how long a request waited for a slot or a connection.
@@ -338,7 +338,7 @@
 
     /// Counts a connection that was opened to a database.
     pub fn connection_opened(&self, database: &DatabaseId) {
-        let labels = OfDatabase {
+        let labels = DatabaseLabel {
             database: database.into(),
         };
         self.opened.get_or_create(&labels).inc();
@@ -346,7 +346,7 @@
 
     /// Counts a connection to a database that could not be opened.
     pub fn connection_failed(&self, database: &DatabaseId) {
-        let labels = OfDatabase {
+        let labels = DatabaseLabel {
             database: database.into(),
         };
         self.not_opened.get_or_create(&labels).inc();
@@ -354,7 +354,7 @@
 
     /// Records how long after it was sent a statement was answered by a database.
     pub fn answered(&self, database: &DatabaseId, took: Span) {
-        let labels = OfDatabase {
+        let labels = DatabaseLabel {
             database: database.into(),
         };
         self.answered.get_or_create(&labels).observe(seconds(took));
@@ -362,7 +362,7 @@
 
     /// Counts a statement of this VM that a database refused to run.
     pub fn database_refused(&self, database: &DatabaseId, code: Code) {
-        let labels = OfRefusal {
+        let labels = RefusalLabels {
             database: database.into(),
             code: Text::Fixed(code_name(code)),
         };
@@ -371,14 +371,14 @@
 
     /// Removes the metrics of a database that is no longer registered; its id is never used again.
     pub fn forget(&self, database: &DatabaseId) {
-        let labels = OfDatabase {
+        let labels = DatabaseLabel {
             database: database.into(),
         };
         self.opened.remove(&labels);
         self.not_opened.remove(&labels);
         self.answered.remove(&labels);
         for code in REFUSALS {
-            self.database_refused.remove(&OfRefusal {
+            self.database_refused.remove(&RefusalLabels {
                 database: database.into(),
                 code: Text::Fixed(code_name(code)),
             });
@@ -397,14 +397,14 @@
         if let Ok(Response::Rows { rows, .. }) = answer {
             let table = Text::Name(table.clone());
             let bytes = rows.iter().map(Row::size).sum::<usize>();
-            let read = self.store_bytes.get_or_create(&OfTable { table });
+            let read = self.store_bytes.get_or_create(&TableLabel { table });
             read.inc_by(bytes as u64);
         }
     }
 
     /// Counts a try to get a newer configuration, by the way it was tried and whether it was available.
     pub fn config_try(&self, way: &'static str, had: bool) {
-        let labels = OfTry {
+        let labels = TryLabels {
             way: Text::Fixed(way),
             outcome: Text::Fixed(if had { "had" } else { "lacking" }),
         };
@@ -413,7 +413,7 @@
 
     /// Counts a request that found no lease on its group's primary.
     pub fn lease_lapsed(&self, group: &GroupId) {
-        let labels = OfGroup {
+        let labels = GroupLabel {
             group: group.into(),
         };
         self.lapsed.get_or_create(&labels).inc();
@@ -421,7 +421,7 @@
 
     /// Counts a change of a group's primary by this VM as steward, and the time since the intent.
     pub fn promoted(&self, group: &GroupId, took: Span) {
-        let labels = OfGroup {
+        let labels = GroupLabel {
             group: group.into(),
         };
         self.promoted.get_or_create(&labels).inc();
--- a/src/direct/meter/levels.rs
+++ b/src/direct/meter/levels.rs
@@ -1,6 +1,6 @@
 //! Gauges, set when the scraper reads them.
 
-use super::OfGroup;
+use super::GroupLabel;
 use crate::clock::Span;
 use crate::types::GroupId;
 use prometheus_client::metrics::family::Family;
@@ -119,9 +119,9 @@
 #[derive(Debug, Default)]
 pub struct Gauges {
     levels: Vec<(Gauge, Level)>,
-    epochs: Family<OfGroup, Gauge>,
-    lead_ages: Family<OfGroup, Gauge>,
-    lease_left: Family<OfGroup, Gauge>,
+    epochs: Family<GroupLabel, Gauge>,
+    lead_ages: Family<GroupLabel, Gauge>,
+    lease_left: Family<GroupLabel, Gauge>,
 }
 
 impl Gauges {
@@ -159,9 +159,9 @@
             gauge.set(i64::try_from(level(levels)).unwrap_or(i64::MAX));
         }
         for lead in &levels.leads {
-            set_of(&self.epochs, &lead.group, lead.epoch);
-            set_of(&self.lead_ages, &lead.group, millis(lead.age));
-            set_of(&self.lease_left, &lead.group, millis(lead.lease));
+            set_group(&self.epochs, &lead.group, lead.epoch);
+            set_group(&self.lead_ages, &lead.group, millis(lead.age));
+            set_group(&self.lease_left, &lead.group, millis(lead.lease));
         }
     }
 }
@@ -170,8 +170,8 @@
     span.0 / 1_000
 }
 
-fn set_of(gauges: &Family<OfGroup, Gauge>, group: &GroupId, value: u64) {
-    let labels = OfGroup {
+fn set_group(gauges: &Family<GroupLabel, Gauge>, group: &GroupId, value: u64) {
+    let labels = GroupLabel {
         group: group.into(),
     };
     let value = i64::try_from(value).unwrap_or(i64::MAX);
--- a/src/direct/relay/line.rs
+++ b/src/direct/relay/line.rs
@@ -34,7 +34,7 @@
     channel: Channel,
     /// Whether no reply is outstanding.
     settled: bool,
-    used: Time,
+    last_used: Time,
 }
 
 impl fmt::Debug for Line {
@@ -132,7 +132,7 @@
                 owner,
                 channel: Channel::new(stream),
                 settled: true,
-                used: self.now(),
+                last_used: self.now(),
             }),
             Err(error) => {
                 self.avoid_failed(owner, &error);
@@ -150,7 +150,7 @@
         if !line.is_clean() {
             return;
         }
-        line.used = self.now();
+        line.last_used = self.now();
         let mut endpoints = self.endpoints.borrow_mut();
         endpoints.entry(line.owner).or_default().idle.push(line);
         drop(endpoints);
@@ -217,13 +217,15 @@
     fn oldest(&self) -> Option<Time> {
         let endpoints = self.endpoints.borrow();
         let idle = endpoints.values().flat_map(|endpoint| &endpoint.idle);
-        idle.map(|line| line.used).min()
+        idle.map(|line| line.last_used).min()
     }
 
     fn close_idle(&self) {
         let now = self.now();
         self.endpoints.borrow_mut().retain(|_, endpoint| {
-            endpoint.idle.retain(|line| now < line.used + IDLE_TIMEOUT);
+            endpoint
+                .idle
+                .retain(|line| now < line.last_used + IDLE_TIMEOUT);
             !endpoint.idle.is_empty() || now < endpoint.avoided_until
         });
     }
--- a/src/direct/run.rs
+++ b/src/direct/run.rs
@@ -274,11 +274,11 @@
             after: None,
         };
         let attempt = attempt::run(&self.targets, session, job, &plan).await;
-        self.after(session, job, &plan, attempt).await
+        self.next_step(session, job, &plan, attempt).await
     }
 
     /// Decides what to do after a try at the primary.
-    async fn after(
+    async fn next_step(
         &self,
         session: &mut Session,
         job: &Job<'_>,
