--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -8,7 +8,7 @@
 use crate::direct::owner::Way;
 use crate::direct::pool::Checkout;
 use crate::direct::relay::line::Line;
-use crate::direct::relay::{Ask, Opening, Reply, Request, Start, Told};
+use crate::direct::relay::{Execute, Opening, Reply, Request, Response, Start};
 use crate::direct::session::Session;
 use crate::direct::statement::{Answer, Code, End, Order, State};
 use crate::direct::targets::{Target, Targets};
@@ -79,7 +79,7 @@
 
 impl WorkGuard {
     fn start(shared: &Rc<Shared>, group: &GroupId, epoch: Epoch) -> Self {
-        shared.quietly().work.start(group, epoch);
+        shared.modify_silently().work.start(group, epoch);
         Self {
             shared: shared.clone(),
             group: group.clone(),
@@ -91,12 +91,12 @@
 impl Drop for WorkGuard {
     fn drop(&mut self) {
         let last = {
-            let mut view = self.shared.quietly();
+            let mut view = self.shared.modify_silently();
             view.work.end(&self.group, self.epoch);
             !view.work.is_under_way(&self.group, self.epoch)
         };
         if last {
-            self.shared.change(|_| ());
+            self.shared.modify(|_| ());
         }
     }
 }
@@ -224,7 +224,7 @@
     async fn run_through(&self, owners: &[SocketAddr]) -> Option<Attempt> {
         let lines = &self.targets.lines;
         let mut last = None;
-        for owner in owners.iter().filter(|owner| !lines.doubts(**owner)) {
+        for owner in owners.iter().filter(|owner| !lines.avoids(**owner)) {
             let Ok(line) = lines.take(*owner).await else {
                 continue;
             };
@@ -279,7 +279,7 @@
                 Part::Single | Part::Next => None,
             },
             after: self.plan.after,
-            ask: ask(self.targets, self.session, self.job, now),
+            statement: ask(self.targets, self.session, self.job, now),
         }
     }
 
@@ -288,7 +288,7 @@
         line: Line,
         work_guard: Option<WorkGuard>,
         asked: Time,
-        response: Told,
+        response: Response,
     ) -> Relayed {
         let (targets, target) = (self.targets, &self.plan.target);
         let lines = &targets.lines;
@@ -299,8 +299,8 @@
                 let held = self.held(Channel::Through(line), work_guard, opened);
                 Relayed::Final(self.check(held, asked, answer))
             }
-            Reply::Away => {
-                lines.leave(line.owner());
+            Reply::Stopping => {
+                lines.avoid_stopping(line.owner());
                 Relayed::NotTaken
             }
             Reply::Unknown => {
@@ -351,18 +351,18 @@
 }
 
 /// The request by which an owner is asked to run a statement.
-pub fn ask(targets: &Targets, session: &Session, job: &Job<'_>, now: Time) -> Ask {
+pub fn ask(targets: &Targets, session: &Session, job: &Job<'_>, now: Time) -> Execute {
     let mut query = BytesMut::new();
     (targets.adapter.wire.write_query)(&mut query, job.query, None, None);
     let left = job.deadline().since(now);
-    Ask {
+    Execute {
         query: query.freeze(),
         shape: job.shape.map(|shape| (**shape).clone()),
         values: session.values.clone(),
         organisation: job.organisation.cloned(),
         urgency: job.urgency(),
-        patience: job.queue_until().since(now),
-        within: Span(left.0.saturating_sub(OWNER_MARGIN.0)),
+        queue_timeout: job.queue_until().since(now),
+        timeout: Span(left.0.saturating_sub(OWNER_MARGIN.0)),
     }
 }
 
--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -247,7 +247,7 @@
     /// How long an open transaction may stay idle.
     fn idle_timeout(&self) -> Option<Span> {
         self.transaction.as_ref()?;
-        let view = self.front.shared.look();
+        let view = self.front.shared.get();
         Some(view.config.as_ref()?.idle)
     }
 
--- a/src/direct/control/bulk.rs
+++ b/src/direct/control/bulk.rs
@@ -165,8 +165,8 @@
         let began = self.now();
         let end = began + TOTAL_TIMEOUT;
         let ancestors = {
-            let view = self.setup.shared.look();
-            reader::ancestors(view.fellows.list(), self.setup.address)
+            let view = self.setup.shared.get();
+            reader::ancestors(view.peers.list(), self.setup.address)
         };
         for ancestor in ancestors {
             if self.now() >= began + within {
@@ -192,7 +192,7 @@
         let mut until = began + within;
         while self.now() < until.min(end) {
             let before = self.state.borrow().gathering.length();
-            let question = Question::Beat(self.heartbeat_for(true));
+            let question = Question::Heartbeat(self.heartbeat_for(true));
             let answer = self.request_update(address, question, ANSWER_TIMEOUT).await;
             if !lacks(self) {
                 let took_ms = self.now().since(began).0 / 1_000;
@@ -223,7 +223,7 @@
 
     /// Returns whether some VMs read the store for the others.
     pub(super) fn has_readers(&self) -> bool {
-        self.setup.shared.look().fellows.list().len() > reader::MAX_ALL_READ
+        self.setup.shared.get().peers.list().len() > reader::MAX_ALL_READ
     }
 
     fn lacks_config(&self) -> bool {
--- a/src/direct/control/change.rs
+++ b/src/direct/control/change.rs
@@ -275,7 +275,7 @@
             let question = Question::Drop {
                 group: replacement.group.clone(),
                 epoch: replacement.epoch,
-                patience: timeout,
+                timeout,
             };
             let left = until.since(self.now());
             match (self.setup.call)(address, question, left.min(timeout + ANSWER_MARGIN)).await {
--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -9,7 +9,7 @@
 use crate::direct::control::{Control, reader, resume, tasks};
 use crate::direct::mesh::{Answer, Question};
 use crate::direct::table::{Change, Era, Fault, Row, RowId, Version};
-use crate::direct::tenure::HEARD;
+use crate::direct::tenure::HEARTBEAT_AGE;
 use crate::types::Cores;
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
@@ -80,7 +80,7 @@
 
     /// When this VM may take the duty. None if it may not at present.
     pub(super) fn takes_at(&self, now: Time) -> Option<Time> {
-        if self.setup.shared.look().stopping || !self.is_member() {
+        if self.setup.shared.get().stopping || !self.is_member() {
             return None;
         }
         let state = self.state.borrow();
@@ -90,7 +90,7 @@
         let others = members.filter(|(_, (m, _))| !m.evicted && Some(m.address) != holder);
         // VMs with the most cores come first, because all others send their heartbeats to the
         // steward; among equals those that read for others, because they know the row's version.
-        let readers = reader::all(self.setup.shared.look().fellows.list());
+        let readers = reader::all(self.setup.shared.get().peers.list());
         let place = |id, cores, address| (Reverse(cores), !readers.contains(address), id);
         let own = place(&self.id, self.setup.cores, &self.setup.address);
         let rank = others
@@ -186,7 +186,7 @@
 
     /// Starts the steward's tasks, as this VM holds the duty from now on.
     pub(super) fn become_steward(self: &Rc<Self>, held: Held) {
-        let stopping = self.setup.shared.look().stopping;
+        let stopping = self.setup.shared.get().stopping;
         if stopping || self.state.borrow().stopped {
             return;
         }
@@ -228,7 +228,7 @@
     /// Asks every VM to send a heartbeat now, or after a delay if all were asked just before.
     pub(super) fn ping_all(self: &Rc<Self>) {
         let now = self.now();
-        let vms = self.setup.shared.look().fellows.list().len();
+        let vms = self.setup.shared.get().peers.list().len();
         let Some(at) = self.state.borrow_mut().pings.request(now, vms) else {
             return;
         };
@@ -247,7 +247,7 @@
         let Some(token) = token else { return };
         for (_, address) in self.others() {
             let address_here = self.setup.address;
-            let question = Question::Nudge {
+            let question = Question::Ping {
                 address: address_here,
                 token,
             };
@@ -265,7 +265,7 @@
     /// calculation up to 780 calls of 195 VMs. Some readers are in each failure domain; where the
     /// store turns a third of the VMs away, it answers at least one of twelve.
     fn handover_candidates(&self) -> Vec<(MemberId, SocketAddr)> {
-        let readers = reader::all(self.setup.shared.look().fellows.list());
+        let readers = reader::all(self.setup.shared.get().peers.list());
         let mut others = self.others();
         others.retain(|(_, address)| readers.contains(address));
         others
@@ -386,7 +386,7 @@
                     .heartbeats
                     .get(*id)
                     .filter(|heard| heard.life == member.life);
-                !member.evicted && heard.is_some_and(|heard| now < heard.at + HEARD)
+                !member.evicted && heard.is_some_and(|heard| now < heard.at + HEARTBEAT_AGE)
             });
             let strong = heard.filter(|(_, (member, _))| member.cores >= MIN_STRONG_CORES);
             let strongest = strong.max_by_key(|(_, (member, _))| member.cores);
@@ -457,7 +457,7 @@
     /// the version, a version other than the offered one is taken over only once no order by it can
     /// be in flight.
     pub(super) async fn take_offer(self: &Rc<Self>, token: u64, version: Version) -> bool {
-        let refuses = self.is_steward() || self.setup.shared.look().stopping;
+        let refuses = self.is_steward() || self.setup.shared.get().stopping;
         if refuses || self.read_rows().await.is_err() || !self.is_member() {
             return false;
         }
--- a/src/direct/control/extension.rs
+++ b/src/direct/control/extension.rs
@@ -10,7 +10,7 @@
 use crate::direct::control::Control;
 use crate::direct::lead::{Epoch, QUORUM};
 use crate::direct::mesh::{Answer, Question};
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use crate::types::GroupId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -55,10 +55,10 @@
 impl Control {
     /// When the first reading becomes old among those of groups whose leases may be extended.
     fn next_round_at(&self) -> Option<Time> {
-        let view = self.setup.shared.look();
-        let open = view.book.extendable(self.now());
+        let view = self.setup.shared.get();
+        let open = view.leases.extendable(self.now());
         let asked =
-            |(group, _): &(GroupId, Epoch)| Some(view.book.known(group)?.1 + MIN_READING_AGE);
+            |(group, _): &(GroupId, Epoch)| Some(view.leases.known(group)?.1 + MIN_READING_AGE);
         open.iter().filter_map(asked).min()
     }
 
@@ -66,7 +66,7 @@
     /// status after the previous round.
     async fn run_round(&self, last: &mut BTreeMap<GroupId, (Epoch, Status)>) -> Span {
         let asked = self.now();
-        let wanted = self.setup.shared.look().book.extendable(asked);
+        let wanted = self.setup.shared.get().leases.extendable(asked);
         let confirmed = self.ask_confirmations().await;
         let mut all = !wanted.is_empty();
         for (group, epoch) in &wanted {
@@ -78,11 +78,11 @@
             let enough = confirmations >= QUORUM;
             if enough {
                 let shared = &self.setup.shared;
-                let lapsed = shared.look().book.until(group) <= Some(self.now());
-                shared.quietly().book.extend(group, *epoch, asked);
+                let lapsed = shared.get().leases.until(group) <= Some(self.now());
+                shared.modify_silently().leases.extend(group, *epoch, asked);
                 if lapsed {
                     // Wakes what waits for a lease.
-                    shared.change(|_| ());
+                    shared.modify(|_| ());
                 }
             }
             all &= enough;
@@ -99,7 +99,7 @@
             if wanted.iter().any(|(wanted, _)| wanted == group) {
                 return true;
             }
-            let lapsed = self.setup.shared.look().book.until(group) <= Some(now);
+            let lapsed = self.setup.shared.get().leases.until(group) <= Some(now);
             if lapsed && status == Status::Extended {
                 log::warn!(group:%, epoch; "a lease has lapsed");
             }
@@ -112,9 +112,9 @@
     /// which ones, and a round of all VMs would be 1,400 questions among 195.
     async fn ask_confirmations(&self) -> Vec<Vec<(GroupId, Epoch)>> {
         let mut peers: Vec<(bool, SocketAddr)> = {
-            let view = self.setup.shared.look();
-            let peers = view.fellows.list().iter();
-            let place = |peer: &Fellow| (peer.domain != self.setup.domain, peer.address);
+            let view = self.setup.shared.get();
+            let peers = view.peers.list().iter();
+            let place = |peer: &Peer| (peer.domain != self.setup.domain, peer.address);
             peers.map(place).collect()
         };
         peers.sort();
@@ -126,10 +126,10 @@
         let calls = peers
             .into_iter()
             .take(MAX_ASKED)
-            .map(|(_, address)| (self.setup.call)(address, Question::Vouch, ANSWER_TIMEOUT));
+            .map(|(_, address)| (self.setup.call)(address, Question::Confirm, ANSWER_TIMEOUT));
         let answers = futures_util::future::join_all(calls).await;
         let confirmed = answers.into_iter().filter_map(|answer| match answer {
-            Some(Answer::Vouched(life, confirmed)) if life != self.setup.life => Some(confirmed),
+            Some(Answer::Confirmed(life, confirmed)) if life != self.setup.life => Some(confirmed),
             _ => None,
         });
         confirmed.collect()
@@ -144,8 +144,11 @@
     ) {
         let now = self.now();
         let (holds, until) = {
-            let view = self.setup.shared.look();
-            (view.book.holds(group, epoch, now), view.book.until(group))
+            let view = self.setup.shared.get();
+            (
+                view.leases.holds(group, epoch, now),
+                view.leases.until(group),
+            )
         };
         let status = match (holds, confirmations >= QUORUM) {
             (false, _) => Status::Lapsed,
--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -46,11 +46,11 @@
 
 /// Sends heartbeats until the process ends.
 pub(super) async fn run(control: Rc<Control>) {
-    let alarm = control.setup.shared.look().reports.alarm();
+    let alarm = control.setup.shared.get().reports.alarm();
     let mut backoff = Backoff::default();
     while !control.state.borrow().stopped {
         let outcome = control.heartbeat_once().await;
-        control.setup.shared.quietly().blind = outcome.is_err();
+        control.setup.shared.modify_silently().refresh_failed = outcome.is_err();
         let wait = match outcome {
             Ok(wait) => {
                 backoff.reset();
@@ -100,7 +100,7 @@
             self.wake.notify_one();
             let now = self.now();
             if self.has_majority(now) {
-                self.setup.shared.quietly().tenure.heard(now);
+                self.setup.shared.modify_silently().tenure.confirm(now);
             }
             return Ok(HEARTBEAT_INTERVAL);
         }
@@ -149,7 +149,7 @@
             ANSWER_TIMEOUT
         };
         let asked = self.now();
-        let question = Question::Beat(self.heartbeat());
+        let question = Question::Heartbeat(self.heartbeat());
         let answer = (self.setup.call)(steward.address, question, timeout).await;
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -159,7 +159,7 @@
             return true;
         };
         match answer {
-            Some(Answer::News(news)) if news.steward => {
+            Some(Answer::Update(news)) if news.steward => {
                 followed.contact.answered(asked);
                 state.updated = Some(now);
                 if let Some(version) = news.duty.as_ref().and_then(|duty| duty.version) {
@@ -175,7 +175,7 @@
                 self.apply_update(*news, steward.address, asked);
                 true
             }
-            Some(Answer::News(news)) => {
+            Some(Answer::Update(news)) => {
                 followed.contact.missed += 1;
                 drop(state);
                 self.follow_reported(news.duty.as_ref(), now);
@@ -199,7 +199,7 @@
     /// Follows the steward that another VM reports, if that report is recent.
     pub(super) fn follow_reported(
         &self,
-        reported: Option<&crate::direct::mesh::Heard>,
+        reported: Option<&crate::direct::mesh::Steward>,
         now: crate::clock::Time,
     ) {
         let fresh = reported.filter(|reported| reported.age < READ_INTERVAL);
@@ -247,12 +247,12 @@
     /// store may refuse the steward but not this VM.
     fn is_stale(&self) -> bool {
         let now = self.now();
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         let old = |group| {
-            let known = view.book.known(group);
+            let known = view.leases.known(group);
             known.is_some_and(|(lead, asked)| !lead.changing && asked + MAX_LEAD_AGE < now)
         };
-        view.book.groups().any(old)
+        view.leases.groups().any(old)
     }
 
     /// Gets the leads from nearby VMs, or reads the rows and, if due, the register from the store;
@@ -295,7 +295,7 @@
 
     /// Whether this VM has no configuration or no register yet.
     pub(super) fn is_uninitialised(&self) -> bool {
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         view.config.is_none() || view.databases.is_empty()
     }
 
@@ -322,7 +322,7 @@
     pub(super) async fn ask_peers(&self) -> (usize, usize) {
         let asked = self.now();
         let calls = self.peers().into_iter().map(async |address| {
-            let question = Question::Beat(self.heartbeat());
+            let question = Question::Heartbeat(self.heartbeat());
             (
                 address,
                 (self.setup.call)(address, question, ANSWER_TIMEOUT).await,
@@ -337,7 +337,7 @@
             .map(|followed| followed.token);
         let (mut answered, mut in_contact) = (0, 0);
         for (address, answer) in answers {
-            let Some(Answer::News(news)) = answer else {
+            let Some(Answer::Update(news)) = answer else {
                 continue;
             };
             answered += 1;
@@ -352,14 +352,14 @@
 
     /// Some peers, without the steward.
     fn peers(&self) -> Vec<SocketAddr> {
-        let peers = self.setup.shared.look().fellows.list().clone();
+        let peers = self.setup.shared.get().peers.list().clone();
         let addresses = peers.iter().map(|peer| peer.address);
         self.some_of(addresses.collect())
     }
 
     /// Some of the VMs that read for others, without the steward.
     pub(super) fn other_readers(&self) -> Vec<SocketAddr> {
-        let readers = reader::all(self.setup.shared.look().fellows.list());
+        let readers = reader::all(self.setup.shared.get().peers.list());
         self.some_of(readers.into_iter().collect())
     }
 
--- a/src/direct/control/indirect.rs
+++ b/src/direct/control/indirect.rs
@@ -10,12 +10,12 @@
 //! one costs the whole timeout of [`super::store`].
 
 use crate::clock::{Span, Time};
-use crate::direct::adapter::Later;
+use crate::direct::adapter::LocalFuture;
 use crate::direct::control::Control;
 use crate::direct::control::rows::{Reading, TABLE};
 use crate::direct::control::store::FIRST_ROWS;
 use crate::direct::mesh::{Answer, Question};
-use crate::direct::table::{Ask, Told};
+use crate::direct::table::{Command, Response};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -39,7 +39,7 @@
 const MAX_AVOIDANCE: Span = Span::from_secs(8);
 
 /// Makes a call through other VMs; `None` if the store answered none of them.
-pub type Forwarder = Rc<dyn Fn(Ask) -> Later<Option<Told>>>;
+pub type Forwarder = Rc<dyn Fn(Command) -> LocalFuture<Option<Response>>>;
 
 /// Whether calls are first made directly or through other VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -86,8 +86,8 @@
 
 impl Control {
     /// Asks other VMs in turn to make a call, until the store answers one of them.
-    async fn forward(&self, ask: Ask) -> Option<Told> {
-        if let Ask::Read(table) = &ask
+    async fn forward(&self, ask: Command) -> Option<Response> {
+        if let Command::Read(table) = &ask
             && self.is_long(table)
         {
             // The VMs that read for others send it in parts, or its changes.
@@ -96,8 +96,8 @@
         let mut refusals = 0;
         for address in self.forwarders() {
             let question = Question::Store {
-                ask: ask.clone(),
-                within: CALL_TIMEOUT,
+                command: ask.clone(),
+                timeout: CALL_TIMEOUT,
             };
             let answer = (self.setup.call)(address, question, CALL_TIMEOUT + ANSWER_MARGIN).await;
             match answer {
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -6,7 +6,7 @@
 use crate::direct::control::{Control, reader};
 use crate::direct::mesh::{Answer, Listed, Question};
 use crate::direct::table::Version;
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use futures_util::FutureExt;
 use futures_util::future::join_all;
 use futures_util::stream::{FuturesUnordered, StreamExt};
@@ -60,8 +60,8 @@
 impl Control {
     /// Returns whether this VM reads the store for itself and for others.
     pub(super) fn reads(&self) -> bool {
-        let view = self.setup.shared.look();
-        reader::reads(view.fellows.list(), self.setup.address)
+        let view = self.setup.shared.get();
+        reader::reads(view.peers.list(), self.setup.address)
     }
 
     /// Returns whether another VM sends this one each new configuration.
@@ -127,7 +127,7 @@
         let mut fellows = rows::peers(members);
         let own = self.setup.address;
         fellows.retain(|fellow| fellow.address != own);
-        fellows.push(Fellow {
+        fellows.push(Peer {
             address: own,
             relay: self.setup.relay,
             domain: self.setup.domain.clone(),
@@ -180,7 +180,7 @@
 
     /// Asks a seed for the version of this VM's row, and then to write the row under that version.
     async fn join_by(&self, seed: SocketAddr) -> bool {
-        let question = Question::Beat(self.heartbeat());
+        let question = Question::Heartbeat(self.heartbeat());
         let answer = self.request_update(seed, question, SEED_TIMEOUT).await;
         let listed = answer.and_then(|answer| answer.listed);
         match listed {
@@ -192,7 +192,7 @@
     /// Has another VM write this VM's row on condition that its version is `expect`.
     async fn enroll_by(&self, address: SocketAddr, expect: Version) -> bool {
         let question = Question::Enroll {
-            beat: self.heartbeat(),
+            heartbeat: self.heartbeat(),
             relay: self.setup.relay,
             domain: self.setup.domain.clone(),
             cores: self.setup.cores,
@@ -220,8 +220,8 @@
     /// last answers are sent.
     pub(super) async fn ask_readers(&self, whole: bool) -> Source {
         let (near, far) = {
-            let view = self.setup.shared.look();
-            let (fellows, own) = (view.fellows.list(), self.setup.address);
+            let view = self.setup.shared.get();
+            let (fellows, own) = (view.peers.list(), self.setup.address);
             (reader::near(fellows, own), reader::far(fellows, own))
         };
         let offset = (self.random() * far.len() as f64) as usize;
@@ -303,7 +303,7 @@
     ) -> Option<Membership> {
         let asked = self.now();
         let answer = (self.setup.call)(address, question, within).await;
-        let Some(Answer::News(news)) = answer else {
+        let Some(Answer::Update(news)) = answer else {
             return None;
         };
         let membership = Membership {
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -43,7 +43,7 @@
 
 use crate::clock::{Span, Time};
 use crate::core::detect::Damper;
-use crate::direct::adapter::{Adapter, Later};
+use crate::direct::adapter::{Adapter, LocalFuture};
 use crate::direct::control::enroll::Applicant;
 use crate::direct::control::probe::Link;
 use crate::direct::control::rows::{Member, MemberId};
@@ -183,17 +183,19 @@
     }
 
     /// Answers a question of another VM.
-    pub fn answer(self: &Rc<Self>, question: Question) -> Later<Answer> {
+    pub fn answer(self: &Rc<Self>, question: Question) -> LocalFuture<Answer> {
         let control = self.clone();
         Box::pin(async move {
             match question {
-                Question::Beat(beat) => Answer::News(Box::new(control.answer_heartbeat(beat))),
+                Question::Heartbeat(beat) => {
+                    Answer::Update(Box::new(control.answer_heartbeat(beat)))
+                }
                 Question::Read(beat) => {
                     control.read_for_others().await;
-                    Answer::News(Box::new(control.answer_heartbeat(beat)))
+                    Answer::Update(Box::new(control.answer_heartbeat(beat)))
                 }
                 Question::Enroll {
-                    beat,
+                    heartbeat: beat,
                     relay,
                     domain,
                     cores,
@@ -211,12 +213,12 @@
                     let applicant = Applicant { id, member, expect };
                     // The reading that follows shows the result.
                     let _ = control.enroll(applicant).await;
-                    Answer::News(Box::new(control.answer_heartbeat(beat)))
+                    Answer::Update(Box::new(control.answer_heartbeat(beat)))
                 }
                 Question::Drop {
                     group,
                     epoch,
-                    patience,
+                    timeout: patience,
                 } => {
                     control.drop_epoch(group, epoch, patience).await;
                     Answer::Dropped(control.setup.life)
@@ -224,14 +226,15 @@
                 Question::HandOver { token, version } => {
                     Answer::Taken(control.take_offer(token, version).await)
                 }
-                Question::Vouch => {
-                    let vouched = control.setup.shared.look().book.extendable(control.now());
-                    Answer::Vouched(control.setup.life, vouched)
-                }
-                Question::Store { ask, within } => {
-                    Answer::Stored(control.store.call_for_another(ask, within).await)
+                Question::Confirm => {
+                    let vouched = control.setup.shared.get().leases.extendable(control.now());
+                    Answer::Confirmed(control.setup.life, vouched)
                 }
-                Question::Nudge { address, token } => {
+                Question::Store {
+                    command: ask,
+                    timeout: within,
+                } => Answer::Stored(control.store.call_for_another(ask, within).await),
+                Question::Ping { address, token } => {
                     control.follow(address, token, control.now());
                     control.pinged.notify_one();
                     Answer::Noted
@@ -244,25 +247,25 @@
     /// `timeout` has passed.
     async fn drop_epoch(&self, group: GroupId, epoch: Epoch, timeout: Span) {
         let shared = &self.setup.shared;
-        shared.change(|view| view.book.close_epoch(&group, epoch));
+        shared.modify(|view| view.leases.close_epoch(&group, epoch));
         let deadline = self.now() + timeout;
-        while self.now() < deadline && shared.look().work.is_under_way(&group, epoch) {
+        while self.now() < deadline && shared.get().work.is_under_way(&group, epoch) {
             tokio::time::sleep(WORK_POLL_INTERVAL).await;
         }
-        let cut = shared.look().work.is_under_way(&group, epoch);
-        shared.change(|view| view.book.drop_epoch(&group, epoch));
+        let cut = shared.get().work.is_under_way(&group, epoch);
+        shared.modify(|view| view.leases.drop_epoch(&group, epoch));
         log::info!(group:%, epoch, patience_ms = timeout.0 / 1_000, cut; "an epoch is given up");
     }
 
     /// Whether this VM is ready for callers: it has a configuration and knows who leads.
     pub fn is_ready(&self) -> bool {
         let now = self.now();
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         let fresh = |group: &GroupId| {
-            let known = view.book.known(group);
+            let known = view.leases.known(group);
             known.is_some_and(|(_, asked)| now < asked + LEASE)
         };
-        view.config.is_some() && !view.stopping && view.book.groups().any(fresh)
+        view.config.is_some() && !view.stopping && view.leases.groups().any(fresh)
     }
 
     /// Stops the control path: hands the duty over, waits until the callers are `served` and the
@@ -272,16 +275,16 @@
     /// Between two statements there is no work for a moment. If the leases were dropped then, every
     /// caller that the balancer still sends here would wait in vain for a primary.
     pub async fn stop(self: &Rc<Self>, served: impl Future<Output = ()>) {
-        self.setup.shared.change(|view| view.stopping = true);
+        self.setup.shared.modify(|view| view.stopping = true);
         tokio::join!(self.hand_over("this VM stops"), served);
-        while self.setup.shared.look().work.is_any() {
+        while self.setup.shared.get().work.is_any() {
             tokio::time::sleep(WORK_POLL_INTERVAL).await;
         }
         self.resign("this VM stops");
         self.state.borrow_mut().stopped = true;
         // This precedes the removal of the row, because without the row no VM asks this one to
         // release an epoch.
-        self.setup.shared.change(|view| view.book.drop_all());
+        self.setup.shared.modify(|view| view.leases.drop_all());
         self.wake.notify_one();
         self.pinged.notify_one();
         if let Err(reason) = self.unregister().await {
@@ -301,7 +304,7 @@
                 .max(followed.map(|followed| followed.token))
                 .unwrap_or_default(),
             steward_age: followed.map(|followed| now.since(followed.contact.since)),
-            members: self.setup.shared.look().fellows.list().len(),
+            members: self.setup.shared.get().peers.list().len(),
             register_age: state.register.asked().map(|asked| now.since(asked)),
             config: state.newest.max(self.config_version()),
         }
@@ -316,7 +319,7 @@
     fn is_large(&self) -> bool {
         let state = self.state.borrow();
         let read = state.reading.as_ref().map_or(0, |r| r.members.len());
-        let known = self.setup.shared.look().fellows.list().len();
+        let known = self.setup.shared.get().peers.list().len();
         state.many_rows || read.max(known) > MIN_LARGE_VMS
     }
 
--- a/src/direct/control/order.rs
+++ b/src/direct/control/order.rs
@@ -193,7 +193,7 @@
 
     /// The databases that may be promoted, without those in `excluded`.
     fn candidates(&self, replacement: &Replacement, excluded: &[DatabaseId]) -> Vec<Database> {
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         let stays = |d: &&Database| {
             // The old primary is a candidate only if it was lost. After an unfinished replacement
             // it is none: the earlier steward may have ordered the promotion of another database,
@@ -214,7 +214,7 @@
     }
 
     fn domain(&self, replacement: &Replacement) -> Option<Domain> {
-        let view = self.setup.shared.look();
+        let view = self.setup.shared.get();
         view.databases
             .get(&replacement.old)
             .map(|d| d.domain.clone())
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -5,7 +5,7 @@
 use crate::direct::control::rows::{Member, Reading, member_row};
 use crate::direct::control::state::Held;
 use crate::direct::table::{Change, Fault, RowId, Version};
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -16,7 +16,7 @@
         let reading = self.store.reading().await?;
         let lease = reading.is_lease_for(&self.id, self.setup.life);
         self.learn(reading.clone());
-        if lease || self.setup.shared.look().stopping {
+        if lease || self.setup.shared.get().stopping {
             return Ok(());
         }
         self.register_self(reading.members.get(&self.id)).await
@@ -38,9 +38,13 @@
     }
 
     /// Applies the list of registered VMs.
-    pub(super) fn learn_peers(&self, fellows: Vec<Fellow>) {
+    pub(super) fn learn_peers(&self, fellows: Vec<Peer>) {
         let now = self.now();
-        self.setup.shared.quietly().fellows.learn(fellows, now);
+        self.setup
+            .shared
+            .modify_silently()
+            .peers
+            .replace(fellows, now);
     }
 
     /// Applies the duty's row: another VM may have taken the duty, or this VM by a write whose
--- a/src/direct/control/reader.rs
+++ b/src/direct/control/reader.rs
@@ -12,7 +12,7 @@
 //! make an extra call, and nothing worse.
 
 use crate::direct::hash;
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use crate::types::Domain;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,13 +30,13 @@
 
 /// Returns whether the VM at `own` reads the store for itself and for others. A VM that is not in
 /// the list reads, as it has no reliable list.
-pub fn reads(fellows: &[Fellow], own: SocketAddr) -> bool {
+pub fn reads(fellows: &[Peer], own: SocketAddr) -> bool {
     let known = fellows.iter().any(|fellow| fellow.address == own);
     fellows.len() <= MAX_ALL_READ || !known || readers_of_domain(fellows, own).contains(&own)
 }
 
 /// Returns the VMs of its domain that `own` asks for what it does not read itself.
-pub fn near(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
+pub fn near(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
     let mut readers = readers_of_domain(fellows, own);
     readers.retain(|reader| *reader != own);
     readers
@@ -49,7 +49,7 @@
 /// For a start of all VMs, and for a change of a long configuration. Each VM has at most
 /// [`CHILDREN`] children, so the load of one VM does not grow with the fleet, and the depth grows
 /// with its logarithm.
-pub fn ancestors(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
+pub fn ancestors(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
     if fellows.len() <= MAX_ALL_READ {
         return Vec::new();
     }
@@ -66,7 +66,7 @@
 }
 
 /// Returns the readers of other failure domains.
-pub fn far(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
+pub fn far(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
     let near = readers_of_domain(fellows, own);
     let mut readers = all(fellows);
     readers.retain(|reader| !near.contains(reader));
@@ -74,11 +74,11 @@
 }
 
 /// Returns the readers of all failure domains, or all VMs if they are few.
-pub fn all(fellows: &[Fellow]) -> BTreeSet<SocketAddr> {
+pub fn all(fellows: &[Peer]) -> BTreeSet<SocketAddr> {
     if fellows.len() <= MAX_ALL_READ {
         return fellows.iter().map(|fellow| fellow.address).collect();
     }
-    let mut domains = BTreeMap::<&Domain, Vec<&Fellow>>::new();
+    let mut domains = BTreeMap::<&Domain, Vec<&Peer>>::new();
     for fellow in fellows {
         let domain = domains.entry(&fellow.domain).or_default();
         domain.push(fellow);
@@ -86,11 +86,11 @@
     domains.into_values().flat_map(select_readers).collect()
 }
 
-fn readers_of_domain(fellows: &[Fellow], own: SocketAddr) -> Vec<SocketAddr> {
+fn readers_of_domain(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
     select_readers(in_same_domain(fellows, own))
 }
 
-fn in_same_domain(fellows: &[Fellow], own: SocketAddr) -> Vec<&Fellow> {
+fn in_same_domain(fellows: &[Peer], own: SocketAddr) -> Vec<&Peer> {
     let domain = fellows.iter().find(|f| f.address == own).map(|f| &f.domain);
     let near = fellows.iter().filter(|f| Some(&f.domain) == domain);
     near.collect()
@@ -98,13 +98,13 @@
 
 /// Returns the readers among the VMs of a failure domain: those with the most cores, and of these
 /// the first ones by a hash, so that they are not also the first VMs in other lists.
-fn select_readers(fellows: Vec<&Fellow>) -> Vec<SocketAddr> {
+fn select_readers(fellows: Vec<&Peer>) -> Vec<SocketAddr> {
     let mut ranked = ranked(fellows);
     ranked.truncate(READERS_PER_DOMAIN);
     ranked
 }
 
-fn ranked(mut fellows: Vec<&Fellow>) -> Vec<SocketAddr> {
+fn ranked(mut fellows: Vec<&Peer>) -> Vec<SocketAddr> {
     fellows.sort_by_cached_key(|fellow| {
         let address = fellow.address;
         (
--- a/src/direct/control/register.rs
+++ b/src/direct/control/register.rs
@@ -86,7 +86,10 @@
             let came = came.cloned().collect();
             let mut gone: Vec<DatabaseId> = changed.into_iter().collect();
             gone.retain(|id| !self.databases.contains_key(id));
-            return Some(Content::Changes { gone, came });
+            return Some(Content::Changes {
+                removed: gone,
+                added: came,
+            });
         }
         let included = whole || self.databases.len() <= MAX_SHORT;
         included.then(|| Content::All(self.databases.values().cloned().collect()))
@@ -99,8 +102,8 @@
             Content::All(_) => BTreeMap::new(),
             Content::Changes { .. } => self.databases.clone(),
         };
-        let (Content::All(came) | Content::Changes { came, .. }) = &content;
-        if let Content::Changes { gone, .. } = &content {
+        let (Content::All(came) | Content::Changes { added: came, .. }) = &content;
+        if let Content::Changes { removed: gone, .. } = &content {
             found.retain(|id, _| !gone.contains(id));
         }
         found.extend(came.iter().map(|d| (d.id.clone(), d.clone())));
--- a/src/direct/control/rows.rs
+++ b/src/direct/control/rows.rs
@@ -4,7 +4,7 @@
 use crate::clock::Time;
 use crate::direct::lead::Lead;
 use crate::direct::table::{Era, Row, RowId, Version};
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use crate::types::{Cores, Domain, GroupId, Life, VmId};
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
@@ -176,7 +176,7 @@
     }
 
     /// Returns the VMs, one for each row.
-    pub fn peers(&self) -> Vec<Fellow> {
+    pub fn peers(&self) -> Vec<Peer> {
         peers(&self.members)
     }
 
@@ -211,8 +211,8 @@
 }
 
 /// Converts VMs to the form that is shared with sessions and other VMs.
-pub fn peers(members: &BTreeMap<MemberId, (Member, Version)>) -> Vec<Fellow> {
-    let peer = |(member, _): &(Member, Version)| Fellow {
+pub fn peers(members: &BTreeMap<MemberId, (Member, Version)>) -> Vec<Peer> {
+    let peer = |(member, _): &(Member, Version)| Peer {
         address: member.address,
         relay: member.relay,
         domain: member.domain.clone(),
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -11,7 +11,7 @@
 use crate::direct::lead::{self, Lead};
 use crate::direct::parts::{Changes, Gathering};
 use crate::direct::table::{RowId, Version};
-use crate::direct::tenure::HEARD;
+use crate::direct::tenure::HEARTBEAT_AGE;
 use crate::direct::view::Report;
 use crate::types::{DatabaseId, GroupId, Life, Version as ConfigVersion};
 use std::collections::{BTreeMap, BTreeSet};
@@ -209,7 +209,7 @@
         };
         let has_recent = |id: &MemberId| {
             let last = self.heartbeats.get(id);
-            last.is_some_and(|last| until < last.at + HEARD)
+            last.is_some_and(|last| until < last.at + HEARTBEAT_AGE)
         };
         let members = reading.members.keys();
         let heard = members.filter(|id| *id == own || has_recent(id)).count();
--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -8,7 +8,7 @@
 use crate::direct::control::rows::{
     self, Member, MemberId, Reading, TABLE, encode, era_row, member_row, quiet_row,
 };
-use crate::direct::table::{self, Ask, Change, Era, Fault, Row, Told, Version};
+use crate::direct::table::{self, Change, Command, Era, Fault, Response, Row, Version};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -213,7 +213,7 @@
     /// Reads a table.
     pub async fn read(&self, table: &str) -> Result<(Vec<Row>, Version), Fault> {
         self.count(|counts| counts.reads += 1);
-        let ask = Ask::Read(table.into());
+        let ask = Command::Read(table.into());
         rows_of(self.call(ask, self.read_timeout()).await?)
     }
 
@@ -234,7 +234,10 @@
 
     async fn read_within(&self, table: &str, timeout: Span) -> Result<(Vec<Row>, Version), Fault> {
         self.count(|counts| counts.reads += 1);
-        rows_of(self.call_directly(Ask::Read(table.into()), timeout).await?)
+        rows_of(
+            self.call_directly(Command::Read(table.into()), timeout)
+                .await?,
+        )
     }
 
     /// Reads up to `limit` rows of a table, beginning at a key.
@@ -245,10 +248,10 @@
         limit: u32,
     ) -> Result<(Vec<Row>, Version), Fault> {
         self.count(|counts| counts.reads += 1);
-        let ask = Ask::Range {
+        let ask = Command::Range {
             table: table.into(),
             from: from.into(),
-            most: limit,
+            limit,
         };
         rows_of(self.call(ask, self.read_timeout()).await?)
     }
@@ -306,8 +309,8 @@
             remove: Vec::new(),
         };
         let timeout = self.write_timeout.get().span();
-        let answer = self.call(Ask::Write(change), timeout).await;
-        let written = matches!(answer, Ok(Told::Written(_)));
+        let answer = self.call(Command::Write(change), timeout).await;
+        let written = matches!(answer, Ok(Response::Written(_)));
         log::info!(era:% = version.era, written; "the row of the store's era was missing");
         Err(era_row_missing())
     }
@@ -358,11 +361,11 @@
 
     /// Records the era of an answer. An answer of an earlier era is an error, as it does not show
     /// the store's present state.
-    fn check_era(&self, answer: Result<Told, Fault>) -> Result<Told, Fault> {
+    fn check_era(&self, answer: Result<Response, Fault>) -> Result<Response, Fault> {
         let era = match &answer {
-            Ok(Told::Rows { version, .. } | Told::Written(version)) => Some(version.era),
-            Ok(Told::Conflict(rows)) => rows.first().map(|row| row.version.era),
-            Ok(Told::Forgotten) | Err(_) => None,
+            Ok(Response::Rows { version, .. } | Response::Written(version)) => Some(version.era),
+            Ok(Response::Conflict(rows)) => rows.first().map(|row| row.version.era),
+            Ok(Response::Forgotten) | Err(_) => None,
         };
         let Some(era) = era else { return answer };
         let mut eras = self.eras.get();
@@ -409,16 +412,16 @@
         wait: Span,
     ) -> Result<Option<(Vec<Row>, Version)>, Fault> {
         self.count(|counts| counts.follows += 1);
-        let ask = Ask::Follow {
+        let ask = Command::Follow {
             table: table.into(),
             after,
             wait,
         };
         match self.call(ask, wait + POLL_MARGIN).await? {
             // A new era reuses the numbers after this one for other content.
-            Told::Rows { version, .. } if version.era != after.era => Ok(None),
-            Told::Rows { rows, version } => Ok(Some((rows, version))),
-            Told::Forgotten => Ok(None),
+            Response::Rows { version, .. } if version.era != after.era => Ok(None),
+            Response::Rows { rows, version } => Ok(Some((rows, version))),
+            Response::Forgotten => Ok(None),
             _ => Err(unexpected_kind()),
         }
     }
@@ -437,7 +440,7 @@
         self.count(|counts| counts.writes += 1);
         let mut timeout = self.write_timeout.get();
         let asked = (self.adapter.clock)();
-        let answer = self.call(Ask::Write(change), timeout.span()).await;
+        let answer = self.call(Command::Write(change), timeout.span()).await;
         match &answer {
             Ok(_) => timeout.written((self.adapter.clock)().since(asked)),
             Err(fault) => {
@@ -452,13 +455,15 @@
         match answer? {
             // The era's row still had its old version after the restore, as no VM had written it
             // again.
-            Told::Written(version) if version.era > era_version.era && !era_version.is_none() => {
+            Response::Written(version)
+                if version.era > era_version.era && !era_version.is_none() =>
+            {
                 Err(Fault::Unknown(
                     "it was done in a later era of the store".into(),
                 ))
             }
-            Told::Written(version) => Ok(Ok(version)),
-            Told::Conflict(rows) => {
+            Response::Written(version) => Ok(Ok(version)),
+            Response::Conflict(rows) => {
                 if table::version_in(&rows, &era_row()) != era_version {
                     return Err(era_row_missing());
                 }
@@ -468,13 +473,13 @@
         }
     }
 
-    async fn call(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
+    async fn call(&self, ask: Command, span: Span) -> Result<Response, Fault> {
         let asked = (self.adapter.clock)();
         let answer = match ask {
             // Long polls are always direct: a VM that can't poll gets the same update from the
             // steward.
-            Ask::Follow { .. } => self.call_directly(ask, span).await,
-            Ask::Read(_) | Ask::Range { .. } | Ask::Write(_) => {
+            Command::Follow { .. } => self.call_directly(ask, span).await,
+            Command::Read(_) | Command::Range { .. } | Command::Write(_) => {
                 self.call_by_any_route(ask, span).await
             }
         };
@@ -493,7 +498,7 @@
 
     /// Makes a call directly, and through other VMs if that fails. While the direct route is
     /// avoided, it tries the other VMs first.
-    async fn call_by_any_route(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
+    async fn call_by_any_route(&self, ask: Command, span: Span) -> Result<Response, Fault> {
         let mut route = self.route.get();
         if route.avoids_direct((self.adapter.clock)()) {
             if let Some(answer) = self.call_indirectly(&ask).await {
@@ -520,13 +525,13 @@
         self.check_era(Ok(other))
     }
 
-    async fn call_indirectly(&self, ask: &Ask) -> Option<Told> {
+    async fn call_indirectly(&self, ask: &Command) -> Option<Response> {
         let forwarder = self.forwarder.get()?;
         forwarder(ask.clone()).await
     }
 
     /// Makes a call directly.
-    async fn call_directly(&self, ask: Ask, span: Span) -> Result<Told, Fault> {
+    async fn call_directly(&self, ask: Command, span: Span) -> Result<Response, Fault> {
         let answer = (self.adapter.store)(ask, span).await;
         let now = (self.adapter.clock)();
         self.direct_failed.set(answer.is_err().then_some(now));
@@ -535,7 +540,11 @@
 
     /// Makes a call for another VM, only directly. Refused at once while direct calls fail here
     /// too: in an outage of the store each VM would otherwise make the others' calls as well.
-    pub(super) async fn call_for_another(&self, ask: Ask, within: Span) -> Result<Told, Fault> {
+    pub(super) async fn call_for_another(
+        &self,
+        ask: Command,
+        within: Span,
+    ) -> Result<Response, Fault> {
         let now = (self.adapter.clock)();
         if self
             .direct_failed
@@ -555,9 +564,9 @@
     }
 }
 
-fn rows_of(answer: Told) -> Result<(Vec<Row>, Version), Fault> {
+fn rows_of(answer: Response) -> Result<(Vec<Row>, Version), Fault> {
     match answer {
-        Told::Rows { rows, version } => Ok((rows, version)),
+        Response::Rows { rows, version } => Ok((rows, version)),
         _ => Err(unexpected_kind()),
     }
 }
--- a/src/direct/control/tasks.rs
+++ b/src/direct/control/tasks.rs
@@ -135,7 +135,7 @@
         let (Some(reading), Some(held)) = (&state.reading, &state.held) else {
             return (Vec::new(), None);
         };
-        let config = self.setup.shared.look().config.clone();
+        let config = self.setup.shared.get().config.clone();
         let statuses = state.heartbeats.iter().map(|(id, heard)| {
             let status = Status {
                 life: heard.life,
@@ -164,7 +164,7 @@
 
     /// Records this VM's own reports like those of the other VMs.
     fn record_own_reports(&self, now: Time) {
-        let reports = self.setup.shared.look().reports.all(now);
+        let reports = self.setup.shared.get().reports.all(now);
         let own = LastHeartbeat {
             life: self.setup.life,
             at: now,
@@ -291,18 +291,18 @@
         let reading = state.reading.as_ref();
         let former = reading.and_then(|reading| reading.former.leads.get(group));
         let version = former.map_or(Version::NONE, |(_, version)| *version);
-        let view = self.setup.shared.look();
-        let known = view.book.known(group).map(|(lead, _)| lead);
+        let view = self.setup.shared.get();
+        let known = view.leases.known(group).map(|(lead, _)| lead);
         let known = known.into_iter().chain(former.map(|(lead, _)| lead));
         let known = known.max_by_key(|lead| (lead.epoch, lead.changing));
-        let held = view.book.lease(group, now).map(|lease| lease.epoch);
+        let held = view.leases.lease(group, now).map(|lease| lease.epoch);
         let era = reading.map_or(Era::default(), |reading| reading.era);
         (resume::first(era, known.cloned(), held, named), version)
     }
 
     /// The register's entry of a database.
     pub(super) fn registered(&self, id: &DatabaseId) -> Option<Database> {
-        self.setup.shared.look().databases.get(id).cloned()
+        self.setup.shared.get().databases.get(id).cloned()
     }
 
     /// Asks a database for its state, by the session that is kept open to it.
@@ -326,11 +326,11 @@
     /// for the steward's question of how far their logs are. Without an open session nothing would
     /// be promoted until the load falls, which it does not before a promotion.
     async fn keep_links(&self) {
-        if self.setup.shared.look().databases.len() > MAX_LINKS {
+        if self.setup.shared.get().databases.len() > MAX_LINKS {
             return;
         }
         let databases: Vec<_> = {
-            let view = self.setup.shared.look();
+            let view = self.setup.shared.get();
             let mut links = self.links.borrow_mut();
             links.retain(|id, _| view.databases.contains_key(id));
             let config = view.config.as_ref();
@@ -376,8 +376,8 @@
     /// Orders an old primary to step down, giving the term of the current one.
     async fn step_down(&self, group: &GroupId, old: &DatabaseId) {
         let (leader, database) = {
-            let view = self.setup.shared.look();
-            let known = view.book.known(group).map(|(lead, _)| lead.clone());
+            let view = self.setup.shared.get();
+            let known = view.leases.known(group).map(|(lead, _)| lead.clone());
             let lead = known.filter(|lead| !lead.changing && lead.primary != *old);
             let leader = lead.and_then(|lead| view.databases.get(&lead.primary).cloned());
             (leader, view.databases.get(old).cloned())
@@ -412,7 +412,7 @@
         let Some(token) = self.state.borrow().held.as_ref().map(|held| held.token) else {
             return;
         };
-        let question = Question::Nudge {
+        let question = Question::Ping {
             address: self.setup.address,
             token,
         };
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -8,10 +8,10 @@
 use crate::direct::control::{Control, watch};
 use crate::direct::fresh::Progress;
 use crate::direct::lead::Lead;
-use crate::direct::mesh::{Beat, Heard, Leads, Listed, News, RegisterNews};
+use crate::direct::mesh::{Heartbeat, Leads, Listed, RegisterUpdate, Steward, Update};
 use crate::direct::parts::Limit;
 use crate::direct::table::Version;
-use crate::direct::view::FellowNews;
+use crate::direct::view::PeerUpdate;
 use crate::direct::view::{Report, View};
 use crate::types::{DatabaseId, GroupId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,7 +64,7 @@
     let failing: BTreeSet<&GroupId> = failing.filter_map(|(id, _)| group(id)).collect();
     reports.retain(|(id, report)| {
         let leads = |group| {
-            view.book
+            view.leases
                 .known(group)
                 .is_some_and(|(lead, _)| lead.primary == *id)
         };
@@ -76,15 +76,15 @@
 
 impl Control {
     /// Makes this VM's heartbeat.
-    pub(super) fn heartbeat(&self) -> Beat {
+    pub(super) fn heartbeat(&self) -> Heartbeat {
         self.heartbeat_for(false)
     }
 
     /// Makes this VM's heartbeat; `whole` asks for long lists as well.
-    pub(super) fn heartbeat_for(&self, whole: bool) -> Beat {
+    pub(super) fn heartbeat_for(&self, whole: bool) -> Heartbeat {
         let now = self.now();
-        let view = self.setup.shared.look();
-        Beat {
+        let view = self.setup.shared.get();
+        Heartbeat {
             vm: self.setup.vm.clone(),
             life: self.setup.life,
             address: self.setup.address,
@@ -93,16 +93,16 @@
                 .as_ref()
                 .map_or_else(Default::default, |c| c.version),
             gathered: self.state.borrow().gathering.gathered(),
-            whole,
+            accepts_long: whole,
             register: self.state.borrow().register.digest(),
-            fellows: view.fellows.digest(),
-            leads: view.book.digest(),
+            peers: view.peers.digest(),
+            leads: view.leases.digest(),
             reports: selected_reports(&view, now),
         }
     }
 
     /// Answers a heartbeat; the steward also keeps it.
-    pub(super) fn answer_heartbeat(&self, beat: Beat) -> News {
+    pub(super) fn answer_heartbeat(&self, beat: Heartbeat) -> Update {
         let now = self.now();
         let id = MemberId::new(&beat.vm, beat.address.ip());
         let steward = self.is_steward();
@@ -110,7 +110,7 @@
             self.record_heartbeat(&id, &beat, now);
         }
         let hears_most = steward && self.has_majority(now);
-        let whole = beat.whole && self.may_send_long(&beat, now);
+        let whole = beat.accepts_long && self.may_send_long(&beat, now);
         let state = self.state.borrow();
         let read = state.reading.as_ref();
         let listed = read.map(|reading| Listed {
@@ -121,7 +121,7 @@
             age: now.since(reading.asked),
         });
         let reading = read.filter(|reading| reading.is_lease_for(&id, beat.life));
-        let config = self.setup.shared.look().config.clone();
+        let config = self.setup.shared.get().config.clone();
         let newest = config.as_ref().map_or_else(Default::default, |c| c.version);
         let limit = match whole {
             true => Limit::Portion(PART_ENTRIES),
@@ -134,17 +134,17 @@
                 .part(&config, beat.config, gathered, limit)
         });
         let (era, since) = self.store.era();
-        News {
+        Update {
             life: self.setup.life,
             era: since.map(|since| (era, now.since(since))),
             steward,
-            hears_most,
+            has_majority: hears_most,
             duty: self.known_duty(now),
             member: reading.is_some(),
             listed,
             leads: reading.map(|reading| leads_update(reading, &state.leads, beat.leads, now)),
             fresh: self.progress_update(now),
-            fellows: reading.and_then(|_| self.peers_update(beat.fellows)),
+            peers: reading.and_then(|_| self.peers_update(beat.peers)),
             newest,
             config: part,
             register: self.register_update(beat.register, whole, now),
@@ -154,7 +154,7 @@
     /// Returns whether long lists may be sent to one more VM. VMs beyond the limit are only
     /// informed that there is something newer, and ask again, so that heartbeats are answered in
     /// time meanwhile.
-    fn may_send_long(&self, beat: &Beat, now: Time) -> bool {
+    fn may_send_long(&self, beat: &Heartbeat, now: Time) -> bool {
         let newer = self.config_version() > beat.config;
         let mut state = self.state.borrow_mut();
         let register = &state.register;
@@ -177,8 +177,8 @@
     /// Returns the recent progress of primaries, at most as many entries as [`MAX_PROGRESS`]
     /// allows.
     fn progress_update(&self, now: Time) -> Vec<Progress> {
-        let view = self.setup.shared.look();
-        let max = MAX_PROGRESS / view.fellows.list().len().max(1);
+        let view = self.setup.shared.get();
+        let max = MAX_PROGRESS / view.peers.list().len().max(1);
         let mut recent = view.fresh.progress(now);
         recent.retain(|progress| progress.age < MAX_PROGRESS_AGE);
         if recent.len() > max {
@@ -190,10 +190,10 @@
         recent
     }
 
-    fn known_duty(&self, now: Time) -> Option<Heard> {
+    fn known_duty(&self, now: Time) -> Option<Steward> {
         let state = self.state.borrow();
         if let Some(held) = &state.held {
-            return Some(Heard {
+            return Some(Steward {
                 address: self.setup.address,
                 token: held.token,
                 version: Some(held.version),
@@ -204,7 +204,7 @@
             .followed
             .as_ref()
             .filter(|followed| followed.contact.ended.is_none())?;
-        Some(Heard {
+        Some(Steward {
             address: followed.address,
             token: followed.token,
             version: None,
@@ -213,23 +213,23 @@
     }
 
     /// Returns the VMs, or their changes, unless the asking VM has them.
-    fn peers_update(&self, known: u64) -> Option<FellowNews> {
-        self.setup.shared.look().fellows.news_for(known)
+    fn peers_update(&self, known: u64) -> Option<PeerUpdate> {
+        self.setup.shared.get().peers.update_for(known)
     }
 
-    fn register_update(&self, known: u64, whole: bool, now: Time) -> Option<RegisterNews> {
+    fn register_update(&self, known: u64, whole: bool, now: Time) -> Option<RegisterUpdate> {
         let state = self.state.borrow();
         let register = &state.register;
         let asked = register.asked()?;
         let differs = register.digest() != known;
-        differs.then(|| RegisterNews {
+        differs.then(|| RegisterUpdate {
             age: now.since(asked),
             digest: register.digest(),
             content: register.content_for(known, whole),
         })
     }
 
-    /// Whether more than half of the registered VMs have sent this one a heartbeat within [`HEARD`].
+    /// Whether more than half of the registered VMs have sent this one a heartbeat within [`HEARTBEAT_AGE`].
     pub(super) fn has_majority(&self, now: Time) -> bool {
         let mut state = self.state.borrow_mut();
         let (at, known) = state.majority;
@@ -241,7 +241,7 @@
         counted
     }
 
-    fn record_heartbeat(&self, id: &MemberId, beat: &Beat, now: Time) {
+    fn record_heartbeat(&self, id: &MemberId, beat: &Heartbeat, now: Time) {
         let mut state = self.state.borrow_mut();
         let failing = beat
             .reports
@@ -266,12 +266,12 @@
     }
 
     /// Applies the update of the VM at `from` to a question sent at `asked`.
-    pub(super) fn apply_update(&self, news: News, from: SocketAddr, asked: Time) {
+    pub(super) fn apply_update(&self, news: Update, from: SocketAddr, asked: Time) {
         if let Some((era, age)) = news.era {
             self.store.record_era(era, asked - age);
         }
         if let Some(part) = news.config {
-            let known = self.setup.shared.look().config.clone();
+            let known = self.setup.shared.get().config.clone();
             let taken = self
                 .state
                 .borrow_mut()
@@ -287,17 +287,21 @@
         }
         for progress in &news.fresh {
             let now = self.now();
-            let mut view = self.setup.shared.quietly();
+            let mut view = self.setup.shared.modify_silently();
             view.fresh.receive(progress, asked);
-            view.reached
+            view.watermarks
                 .note(&progress.group, progress.epoch, progress.position, now);
         }
-        if let Some(fellows) = news.fellows {
+        if let Some(fellows) = news.peers {
             let now = self.now();
-            self.setup.shared.quietly().fellows.hear(fellows, now);
+            self.setup
+                .shared
+                .modify_silently()
+                .peers
+                .apply(fellows, now);
         }
-        if news.hears_most {
-            self.setup.shared.quietly().tenure.heard(asked);
+        if news.has_majority {
+            self.setup.shared.modify_silently().tenure.confirm(asked);
         }
         if let Some(leads) = news.leads {
             let read = asked - leads.age;
@@ -309,14 +313,14 @@
     /// Extends the tenure: a reading requested at `asked` shows this VM as registered.
     pub(super) fn extend_tenure(&self, asked: Time) {
         let now = self.now();
-        let begins = self.setup.shared.quietly().tenure.read(asked, now);
+        let begins = self.setup.shared.modify_silently().tenure.read(asked, now);
         if begins {
             log::info!(vm:% = self.id; "this VM may hand out what it keeps, from now on");
         }
     }
 
     /// Applies an update of the register. If its content is not included, it is to be fetched.
-    fn apply_register(&self, news: RegisterNews, asked: Time) {
+    fn apply_register(&self, news: RegisterUpdate, asked: Time) {
         let at = asked - news.age;
         let known = self.state.borrow().register.asked();
         if known.is_some_and(|known| known > at) {
@@ -351,7 +355,7 @@
         for (group, lead) in leads.rows.into_iter().flatten() {
             self.learn_lead(&group, lead, at);
         }
-        let shown = self.setup.shared.look().book.shown(leads.digest);
+        let shown = self.setup.shared.get().leases.shown(leads.digest);
         for (group, lead) in shown.unwrap_or_default() {
             self.learn_lead(&group, lead, at);
         }
@@ -364,16 +368,16 @@
         }
         let shared = &self.setup.shared;
         let known = shared
-            .look()
-            .book
+            .get()
+            .leases
             .known(group)
             .map(|(known, _)| known.clone());
-        let lapsed = shared.look().book.until(group) <= Some(self.now());
+        let lapsed = shared.get().leases.until(group) <= Some(self.now());
         if known.as_ref() == Some(&lead) && !lapsed {
             // This only extends the lease, for which no task waits.
-            return shared.quietly().book.learn(group, lead, asked);
+            return shared.modify_silently().leases.learn(group, lead, asked);
         }
-        shared.change(|view| view.book.learn(group, lead.clone(), asked));
+        shared.modify(|view| view.leases.learn(group, lead.clone(), asked));
         if known.as_ref() == Some(&lead) {
             return;
         }
@@ -402,7 +406,7 @@
             databases = databases.len(), age_ms = age.0 / 1_000;
             "the register changed"
         );
-        self.setup.shared.change(|view| {
+        self.setup.shared.modify(|view| {
             let same = |id: &DatabaseId| !changes.reborn.contains(id);
             view.reports
                 .retain(|id| databases.contains_key(id) && same(id));
--- a/src/direct/meter.rs
+++ b/src/direct/meter.rs
@@ -1,4 +1,4 @@
-//! What one VM counts while it serves, for a Prometheus scraper.
+//! The Prometheus metrics of one VM.
 
 mod levels;
 
@@ -7,7 +7,7 @@
 use crate::clock::Span;
 use crate::direct::config::Kind;
 use crate::direct::statement::Code;
-use crate::direct::table::{Ask, Fault, Row, Told};
+use crate::direct::table::{Command, Fault, Response, Row};
 use crate::direct::trace::Sampler;
 use crate::types::{DatabaseId, GroupId};
 use levels::Gauges;
@@ -19,16 +19,17 @@
 use prometheus_client::registry::Registry;
 use std::fmt::Write;
 
-/// Bounds in seconds, around latency objectives of 300 to 800 ms and queue waits of some ms.
-const BOUNDS: [f64; 12] = [
+/// Histogram bounds in seconds for latency objectives of 300 to 800 ms and queue waits of some ms.
+const REQUEST_BOUNDS: [f64; 12] = [
     0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4,
 ];
 
-/// The same for each database, of which there may be 1,200: enough to tell slow from silent.
-const COARSE: [f64; 5] = [0.01, 0.03, 0.1, 0.4, 1.6];
+/// Histogram bounds in seconds for each database. There may be 1,200 of them, so the bounds are few: enough
+/// to distinguish a slow database from one that does not answer.
+const DATABASE_BOUNDS: [f64; 5] = [0.01, 0.03, 0.1, 0.4, 1.6];
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A label's value; what is counted with each request has a fixed one.
+/// A label's value; `Fixed` needs no allocation for metrics that are updated with each request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Text {
     Fixed(&'static str),
@@ -65,56 +66,56 @@
     };
 }
 
-labels!(OfGroup: group);
-labels!(OfDatabase: database);
-labels!(OfCode: group, code);
-labels!(OfRefusal: database, code);
-labels!(OfCall: call, outcome);
-labels!(OfKind: kind);
-labels!(OfTable: table);
-labels!(OfTry: way, outcome);
-labels!(OfRole: by);
+labels!(GroupLabel: group);
+labels!(DatabaseLabel: database);
+labels!(CodeLabels: group, code);
+labels!(RefusalLabels: database, code);
+labels!(CallLabels: call, outcome);
+labels!(KindLabel: kind);
+labels!(TableLabel: table);
+labels!(TryLabels: way, outcome);
+labels!(RoleLabel: by);
 
-type Histograms = Family<OfKind, Histogram, fn() -> Histogram>;
+type Histograms = Family<KindLabel, Histogram, fn() -> Histogram>;
 
 /// The counters and histograms of one process.
 #[derive(Debug)]
 pub struct Meter {
     registry: Registry,
-    /// Picks served requests that have a log line.
+    /// Selects the served requests that get a log line.
     pub sampler: Sampler,
-    refused: Family<OfCode, Counter>,
+    refused: Family<CodeLabels, Counter>,
     served: Histograms,
-    reads: Family<OfRole, Counter>,
-    store_calls: Family<OfCall, Counter>,
-    store_bytes: Family<OfTable, Counter>,
-    config_tries: Family<OfTry, Counter>,
-    opened: Family<OfDatabase, Counter>,
-    not_opened: Family<OfDatabase, Counter>,
-    answered: Family<OfDatabase, Histogram, fn() -> Histogram>,
-    database_refused: Family<OfRefusal, Counter>,
+    reads: Family<RoleLabel, Counter>,
+    store_calls: Family<CallLabels, Counter>,
+    store_bytes: Family<TableLabel, Counter>,
+    config_tries: Family<TryLabels, Counter>,
+    opened: Family<DatabaseLabel, Counter>,
+    not_opened: Family<DatabaseLabel, Counter>,
+    answered: Family<DatabaseLabel, Histogram, fn() -> Histogram>,
+    database_refused: Family<RefusalLabels, Counter>,
     queue_wait: Histogram,
     allowance_asked: Counter,
     allowance_refused: Counter,
-    lapsed: Family<OfGroup, Counter>,
-    promoted: Family<OfGroup, Counter>,
-    promotion_time: Family<OfGroup, Counter>,
+    lapsed: Family<GroupLabel, Counter>,
+    promoted: Family<GroupLabel, Counter>,
+    promotion_time: Family<GroupLabel, Counter>,
     gauges: Gauges,
 }
 
-fn histogram() -> Histogram {
-    Histogram::new(BOUNDS)
+fn request_histogram() -> Histogram {
+    Histogram::new(REQUEST_BOUNDS)
 }
 
-fn coarse_histogram() -> Histogram {
-    Histogram::new(COARSE)
+fn database_histogram() -> Histogram {
+    Histogram::new(DATABASE_BOUNDS)
 }
 
 fn seconds(span: Span) -> f64 {
     span.0 as f64 / MICROS_PER_SECOND
 }
 
-/// The codes with which a database says that it ran nothing.
+/// The codes with which a database refuses to run a statement.
 const REFUSALS: [Code; 10] = [
     Code::Busy,
     Code::RolledBack,
@@ -128,7 +129,7 @@
     Code::Malformed,
 ];
 
-/// The name that metrics and `last` in log lines give a code.
+/// The name of a code in metrics and under `last` in log lines.
 pub fn code_name(code: Code) -> &'static str {
     match code {
         Code::Busy => "busy",
@@ -147,21 +148,21 @@
     }
 }
 
-fn call_labels(ask: &Ask, answer: &Result<Told, Fault>) -> OfCall {
+fn call_labels(ask: &Command, answer: &Result<Response, Fault>) -> CallLabels {
     let call = match ask {
-        Ask::Read(_) => "read",
-        Ask::Range { .. } => "range",
-        Ask::Follow { .. } => "follow",
-        Ask::Write(_) => "write",
+        Command::Read(_) => "read",
+        Command::Range { .. } => "range",
+        Command::Follow { .. } => "follow",
+        Command::Write(_) => "write",
     };
     let outcome = match answer {
-        Ok(Told::Rows { .. } | Told::Written(_)) => "done",
-        Ok(Told::Conflict(_)) => "conflict",
-        Ok(Told::Forgotten) => "forgotten",
+        Ok(Response::Rows { .. } | Response::Written(_)) => "done",
+        Ok(Response::Conflict(_)) => "conflict",
+        Ok(Response::Forgotten) => "forgotten",
         Err(Fault::Refused(_)) => "refused",
         Err(Fault::Unknown(_)) => "unknown",
     };
-    OfCall {
+    CallLabels {
         call: Text::Fixed(call),
         outcome: Text::Fixed(outcome),
     }
@@ -174,22 +175,22 @@
 }
 
 impl Meter {
-    /// All at zero.
+    /// Metrics that are all zero.
     pub fn new() -> Self {
         let mut meter = Self {
             registry: Registry::with_prefix("lentilspoke"),
             sampler: Sampler::default(),
             refused: Family::default(),
-            served: Family::new_with_constructor(histogram),
+            served: Family::new_with_constructor(request_histogram),
             reads: Family::default(),
             store_calls: Family::default(),
             store_bytes: Family::default(),
             config_tries: Family::default(),
             opened: Family::default(),
             not_opened: Family::default(),
-            answered: Family::new_with_constructor(coarse_histogram),
+            answered: Family::new_with_constructor(database_histogram),
             database_refused: Family::default(),
-            queue_wait: histogram(),
+            queue_wait: request_histogram(),
             allowance_asked: Counter::default(),
             allowance_refused: Counter::default(),
             lapsed: Family::default(),
@@ -197,7 +198,7 @@
             promotion_time: Family::default(),
             gauges: Gauges::default(),
         };
-        // What tells most in few lines goes first: a scraper may keep the first kilobytes only.
+        // The most informative metrics come first: a scraper may keep the first kilobytes only.
         meter.gauges.register(&mut meter.registry);
         meter.register_control();
         meter.register_requests();
@@ -293,142 +294,145 @@
         );
     }
 
-    /// A request was answered with something else than success.
+    /// Counts a request that was not answered with success.
     pub fn refused(&self, group: &GroupId, code: Code) {
-        let labels = OfCode {
+        let labels = CodeLabels {
             group: group.into(),
             code: Text::Fixed(code_name(code)),
         };
         self.refused.get_or_create(&labels).inc();
     }
 
-    /// A request of a route of this kind was answered with success.
+    /// Records the latency of a request of a route of this kind that was answered with success.
     pub fn served(&self, kind: Kind, took: Span) {
         let kind = Text::Fixed(match kind {
             Kind::Primary => "primary",
             Kind::Bounded(_) => "bounded",
             Kind::Session(_) => "session",
         });
-        let histogram = self.served.get_or_create(&OfKind { kind });
+        let histogram = self.served.get_or_create(&KindLabel { kind });
         histogram.observe(seconds(took));
     }
 
-    /// A read was answered by a replica, or by the primary.
+    /// Counts a read that was answered by a replica, or by the primary.
     pub fn read(&self, by_replica: bool) {
         let by = Text::Fixed(if by_replica { "replica" } else { "primary" });
-        self.reads.get_or_create(&OfRole { by }).inc();
+        self.reads.get_or_create(&RoleLabel { by }).inc();
     }
 
-    /// A request waited this long for a slot or a connection.
+    /// Records how long a request waited for a slot or a connection.
     pub fn queue_wait(&self, took: Span) {
         self.queue_wait.observe(seconds(took));
     }
 
-    /// A keeper was asked for a part of an organisation's allowance.
+    /// Counts a request for tokens to an allocator.
     pub fn allowance_asked(&self) {
         self.allowance_asked.inc();
     }
 
-    /// An operation was refused, as its organisation's allowance was used or nobody kept it.
+    /// Counts an operation that was refused, because its organisation's allowance was used up or no allocator
+    /// answered.
     pub fn allowance_refused(&self) {
         self.allowance_refused.inc();
     }
 
-    /// A connection to a database was opened.
+    /// Counts a connection that was opened to a database.
     pub fn connection_opened(&self, database: &DatabaseId) {
-        let labels = OfDatabase {
+        let labels = DatabaseLabel {
             database: database.into(),
         };
         self.opened.get_or_create(&labels).inc();
     }
 
-    /// A connection to a database could not be opened.
+    /// Counts a connection to a database that could not be opened.
     pub fn connection_failed(&self, database: &DatabaseId) {
-        let labels = OfDatabase {
+        let labels = DatabaseLabel {
             database: database.into(),
         };
         self.not_opened.get_or_create(&labels).inc();
     }
 
-    /// A database answered a statement this long after it was sent.
+    /// Records how long after it was sent a statement was answered by a database.
     pub fn answered(&self, database: &DatabaseId, took: Span) {
-        let labels = OfDatabase {
+        let labels = DatabaseLabel {
             database: database.into(),
         };
         self.answered.get_or_create(&labels).observe(seconds(took));
     }
 
-    /// A database refused to run a statement of this VM.
+    /// Counts a statement of this VM that a database refused to run.
     pub fn database_refused(&self, database: &DatabaseId, code: Code) {
-        let labels = OfRefusal {
+        let labels = RefusalLabels {
             database: database.into(),
             code: Text::Fixed(code_name(code)),
         };
         self.database_refused.get_or_create(&labels).inc();
     }
 
-    /// Forgets a database that is not registered any more, as ids are never used again.
+    /// Removes the metrics of a database that is no longer registered; its id is never used again.
     pub fn forget(&self, database: &DatabaseId) {
-        let labels = OfDatabase {
+        let labels = DatabaseLabel {
             database: database.into(),
         };
         self.opened.remove(&labels);
         self.not_opened.remove(&labels);
         self.answered.remove(&labels);
         for code in REFUSALS {
-            self.database_refused.remove(&OfRefusal {
+            self.database_refused.remove(&RefusalLabels {
                 database: database.into(),
                 code: Text::Fixed(code_name(code)),
             });
         }
     }
 
-    /// A call of the store ended.
-    pub fn store_call(&self, ask: &Ask, answer: &Result<Told, Fault>) {
+    /// Counts a call to the store that has ended, and the bytes that it read.
+    pub fn store_call(&self, ask: &Command, answer: &Result<Response, Fault>) {
         let labels = call_labels(ask, answer);
         self.store_calls.get_or_create(&labels).inc();
-        let (Ask::Read(table) | Ask::Range { table, .. } | Ask::Follow { table, .. }) = ask else {
+        let (Command::Read(table) | Command::Range { table, .. } | Command::Follow { table, .. }) =
+            ask
+        else {
             return;
         };
-        if let Ok(Told::Rows { rows, .. }) = answer {
+        if let Ok(Response::Rows { rows, .. }) = answer {
             let table = Text::Name(table.clone());
             let bytes = rows.iter().map(Row::size).sum::<usize>();
-            let read = self.store_bytes.get_or_create(&OfTable { table });
+            let read = self.store_bytes.get_or_create(&TableLabel { table });
             read.inc_by(bytes as u64);
         }
     }
 
-    /// This VM tried to get a newer configuration.
+    /// Counts a try to get a newer configuration, by the way it was tried and whether it was available.
     pub fn config_try(&self, way: &'static str, had: bool) {
-        let labels = OfTry {
+        let labels = TryLabels {
             way: Text::Fixed(way),
             outcome: Text::Fixed(if had { "had" } else { "lacking" }),
         };
         self.config_tries.get_or_create(&labels).inc();
     }
 
-    /// A request found no lease on its group's primary.
+    /// Counts a request that found no lease on its group's primary.
     pub fn lease_lapsed(&self, group: &GroupId) {
-        let labels = OfGroup {
+        let labels = GroupLabel {
             group: group.into(),
         };
         self.lapsed.get_or_create(&labels).inc();
     }
 
-    /// This VM, as steward, has changed a group's primary, this long after the intent.
+    /// Counts a change of a group's primary by this VM as steward, and the time since the intent.
     pub fn promoted(&self, group: &GroupId, took: Span) {
-        let labels = OfGroup {
+        let labels = GroupLabel {
             group: group.into(),
         };
         self.promoted.get_or_create(&labels).inc();
         self.promotion_time.get_or_create(&labels).inc_by(took.0);
     }
 
-    /// The text that a scraper reads.
+    /// Encodes all metrics as text for a scraper.
     pub fn text(&self, levels: &Levels) -> Box<str> {
         self.gauges.set(levels);
         let mut text = String::new();
-        // Writing to a String does not fail.
+        // Writing to a `String` does not fail.
         let _ = encode(&mut text, &self.registry);
         text.into()
     }
--- a/src/direct/owner.rs
+++ b/src/direct/owner.rs
@@ -10,7 +10,7 @@
 //! connection, never correctness, because an owner only forwards statements and checks no lease.
 
 use crate::direct::hash;
-use crate::direct::view::Fellow;
+use crate::direct::view::Peer;
 use crate::types::{DatabaseId, Domain, OrganisationId};
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
 
 /// Which VMs connect to `destination`; `is_near` returns whether a failure domain is near it.
 pub fn access(
-    peers: &[Fellow],
+    peers: &[Peer],
     destination: Destination<'_>,
     is_near: impl Fn(&Domain) -> bool,
 ) -> Access {
@@ -129,7 +129,7 @@
 /// The owners of a database: the first VMs near it by rendezvous hashing, and VMs further away if
 /// those are too few. If one VM joins or leaves, only the databases that it owns change owners.
 pub fn owners(
-    peers: &[Fellow],
+    peers: &[Peer],
     id: &DatabaseId,
     is_near: impl Fn(&Domain) -> bool,
 ) -> Vec<SocketAddr> {
--- a/src/direct/targets.rs
+++ b/src/direct/targets.rs
@@ -154,19 +154,19 @@
 
     /// Whether new work may start on a group's primary of `epoch`.
     pub fn may_start(&self, group: &GroupId, epoch: Epoch) -> bool {
-        let lease = self.shared.look().book.lease(group, self.now());
+        let lease = self.shared.get().leases.lease(group, self.now());
         lease.is_some_and(|lease| lease.epoch == epoch)
     }
 
     /// Whether work on a group's primary of `epoch` may continue, and its answers be passed on.
     pub fn holds(&self, group: &GroupId, epoch: Epoch) -> bool {
-        self.shared.look().book.holds(group, epoch, self.now())
+        self.shared.get().leases.holds(group, epoch, self.now())
     }
 
     /// A group's primary, and the lease on it.
     pub fn primary(&self, group: &GroupId) -> Option<(Lease, Target)> {
         let (lease, database) = {
-            let view = self.shared.look();
+            let view = self.shared.get();
             let (lease, database) = view.primary(group, self.now())?;
             (lease, Rc::new(database.clone()))
         };
@@ -209,7 +209,7 @@
 
     /// Looks up a registered database.
     pub fn find(&self, id: &DatabaseId) -> Option<Target> {
-        let database = self.shared.look().databases.get(id).cloned()?;
+        let database = self.shared.get().databases.get(id).cloned()?;
         Some(self.target(Rc::new(database)))
     }
 
@@ -225,18 +225,18 @@
 
     /// Which VMs connect to a database; recomputed when the VMs or its connections have changed.
     fn access(&self, database: &Database) -> CachedAccess {
-        let view = self.shared.look();
+        let view = self.shared.get();
         let config = view.config.as_ref();
         let group = config.and_then(|config| config.groups.get(&database.group));
         let connections = group.map_or(u32::MAX, |group| group.connections);
-        let peers_digest = view.fellows.digest();
+        let peers_digest = view.peers.digest();
         let mut access_cache = self.access_cache.borrow_mut();
         if let Some(known) = access_cache.get(&database.id)
             && (known.peers_digest, known.connections) == (peers_digest, connections)
         {
             return known.clone();
         }
-        let list = view.fellows.list();
+        let list = view.peers.list();
         let destination = Destination {
             id: &database.id,
             connections,
@@ -257,8 +257,8 @@
 
     /// The lowest position that includes all commits acknowledged before `since`.
     pub fn position_at(&self, group: &GroupId, since: Time) -> Option<Position> {
-        let mut view = self.shared.quietly();
-        let epoch = view.book.known(group)?.0.epoch;
+        let mut view = self.shared.modify_silently();
+        let epoch = view.leases.known(group)?.0.epoch;
         view.fresh.forget_before(group, epoch);
         view.fresh.oldest_allowed(group, since)
     }
@@ -267,9 +267,9 @@
     /// still have been valid after the answer was read.
     pub fn learn(&self, group: &GroupId, epoch: Epoch, asked: Time, position: Position) {
         let now = self.now();
-        let mut view = self.shared.quietly();
+        let mut view = self.shared.modify_silently();
         view.fresh.learn(group, epoch, asked, position);
-        view.reached.note(group, epoch, position, now);
+        view.watermarks.note(group, epoch, position, now);
     }
 
     /// Whether the answer of the primary of `epoch` to a statement sent at `asked` shows that it has
@@ -282,9 +282,9 @@
         position: Position,
     ) -> bool {
         let database = &target.database;
-        let view = self.shared.look();
+        let view = self.shared.get();
         let lost = view
-            .reached
+            .watermarks
             .is_lost(&database.group, epoch, position, asked);
         drop(view);
         if lost {
@@ -321,7 +321,7 @@
     }
 
     fn members(&self, group: &GroupId) -> Vec<Rc<Database>> {
-        let view = self.shared.look();
+        let view = self.shared.get();
         let members = view.members(group).filter(|database| !database.leaving);
         members.cloned().map(Rc::new).collect()
     }
@@ -333,8 +333,8 @@
         after: Position,
         members: &[Rc<Database>],
     ) -> Vec<(DatabaseId, bool, f64)> {
-        let view = self.shared.look();
-        let lead = view.book.known(group).map(|(lead, _)| &lead.primary);
+        let view = self.shared.get();
+        let lead = view.leases.known(group).map(|(lead, _)| &lead.primary);
         let is_near = |database: &Database| self.location.is_near(&database.domain);
         let candidate = |database: &Rc<Database>| Candidate {
             database: database.id.clone(),
@@ -361,7 +361,7 @@
     /// Whether a database is failing and was probed within [`PROBE_INTERVAL`]. If it is failing and was
     /// not, this call counts as the probe.
     fn is_left_out(&self, database: &DatabaseId, now: Time) -> bool {
-        let report = self.shared.look().reports.report(database, now);
+        let report = self.shared.get().reports.report(database, now);
         if report.failing.is_none() {
             return false;
         }
@@ -389,12 +389,15 @@
     /// group was refused for 9 s.
     pub fn responded(&self, database: &Database) {
         let now = self.now();
-        self.shared.quietly().reports.answered(&database.id, now);
+        self.shared
+            .modify_silently()
+            .reports
+            .answered(&database.id, now);
     }
 
     /// Whether a database has failed and has not responded to this VM since.
     pub fn is_failing(&self, database: &Database) -> bool {
-        let report = self.shared.look().reports.report(&database.id, self.now());
+        let report = self.shared.get().reports.report(&database.id, self.now());
         report.failing.is_some()
     }
 
@@ -459,7 +462,10 @@
     /// Records that a database could not be reached, broke the connection or does not answer.
     pub fn failed(&self, database: &Database) {
         let now = self.now();
-        self.shared.quietly().reports.failed(&database.id, now);
+        self.shared
+            .modify_silently()
+            .reports
+            .failed(&database.id, now);
         self.suspect(database);
     }
 
@@ -487,7 +493,7 @@
         }
         // A database that restarted gets a new pool: connections, queue and position belong to its
         // previous life.
-        let view = self.shared.look();
+        let view = self.shared.get();
         pools.retain(|id, _| view.databases.contains_key(id));
         let pool = Pool::new(database.slots);
         let instance = Instance {
--- a/src/direct/transaction.rs
+++ b/src/direct/transaction.rs
@@ -195,7 +195,9 @@
             job.trace.ended("queue");
             Err(Failed::Busy)
         }
-        Reply::NotRun(_) | Reply::Unreached | Reply::Unknown | Reply::Away => Err(Failed::Broken),
+        Reply::NotRun(_) | Reply::Unreached | Reply::Unknown | Reply::Stopping => {
+            Err(Failed::Broken)
+        }
         Reply::Granted(_) => Err(Failed::Lost(Loss::Broken)),
         Reply::Lost(loss) => {
             job.trace.ended("lost");
--- a/src/net/direct/admin.rs
+++ b/src/net/direct/admin.rs
@@ -51,8 +51,8 @@
 }
 
 fn lead(view: &View, group: &GroupId, now: Time) -> Option<LeadLevel> {
-    let (lead, asked) = view.book.known(group)?;
-    let lease = view.book.lease(group, now);
+    let (lead, asked) = view.leases.known(group)?;
+    let lease = view.leases.lease(group, now);
     Some(LeadLevel {
         group: group.clone(),
         epoch: lead.epoch,
@@ -63,13 +63,13 @@
 
 impl Vm {
     fn is_ready(&self) -> bool {
-        self.control.is_ready() && !self.shared.look().stopping
+        self.control.is_ready() && !self.shared.get().stopping
     }
 
     fn dump(&self) -> Reply {
-        let view = self.shared.look();
+        let view = self.shared.get();
         let known = |group: &GroupId| {
-            let (lead, _) = view.book.known(group)?;
+            let (lead, _) = view.leases.known(group)?;
             Some((group.clone(), lead.clone()))
         };
         let state = State {
@@ -78,7 +78,7 @@
             callers: self.callers.get(),
             version: view.config.as_ref().map(|config| config.version),
             databases: view.databases.values().cloned().collect(),
-            leads: view.book.groups().filter_map(known).collect(),
+            leads: view.leases.groups().filter_map(known).collect(),
         };
         match serde_json::to_string_pretty(&state) {
             Ok(text) => Reply::new(StatusCode::OK, text),
@@ -88,10 +88,10 @@
 
     fn metrics(&self) -> String {
         let now = self.front.now();
-        let view = self.shared.look();
+        let view = self.shared.get();
         let summary = self.control.summary();
         let leads: Vec<LeadLevel> = view
-            .book
+            .leases
             .groups()
             .filter_map(|g| lead(&view, g, now))
             .collect();
--- a/tests/direct_history.rs
+++ b/tests/direct_history.rs
@@ -5,15 +5,15 @@
 use lentilspoke::direct::control::register::Register;
 use lentilspoke::direct::history::History;
 use lentilspoke::direct::mesh::Content;
-use lentilspoke::direct::view::{Fellow, Fellows};
+use lentilspoke::direct::view::{Peer, Peers};
 use lentilspoke::types::{Cores, DatabaseId};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
 
 const NOW: Time = Time(1_000_000);
 
-fn fellow(number: u8) -> Fellow {
-    Fellow {
+fn fellow(number: u8) -> Peer {
+    Peer {
         address: format!("10.0.0.{number}:7000").parse().unwrap(),
         relay: None,
         domain: "d".parse().unwrap(),
@@ -69,14 +69,14 @@
 #[test]
 fn applied_changes_give_the_same_vms() {
     fn same(lists: Vec<(Vec<u8>, bool)>) -> bool {
-        let (mut here, mut there) = (Fellows::default(), Fellows::default());
+        let (mut here, mut there) = (Peers::default(), Peers::default());
         for (list, asks) in lists {
-            here.learn(list.into_iter().map(fellow).collect(), NOW);
+            here.replace(list.into_iter().map(fellow).collect(), NOW);
             if !asks {
                 continue;
             }
-            if let Some(news) = here.news_for(there.digest()) {
-                there.hear(news, NOW);
+            if let Some(news) = here.update_for(there.digest()) {
+                there.apply(news, NOW);
             }
             if here.list() != there.list() {
                 return false;
@@ -97,14 +97,14 @@
         let numbers = (0..=250).filter(|number| Some(*number) != but);
         numbers.map(fellow).collect::<Vec<_>>()
     };
-    let mut here = Fellows::default();
-    here.learn(fellows(None), NOW);
+    let mut here = Peers::default();
+    here.replace(fellows(None), NOW);
     let known = here.digest();
-    here.learn(fellows(Some(7)), NOW);
-    let news = here.news_for(known).unwrap();
-    assert_eq!((news.came.len(), news.gone.len()), (0, 1));
-    assert_eq!(here.news_for(here.digest()), None);
-    assert_eq!(here.news_for(12_345).unwrap().came.len(), 250);
+    here.replace(fellows(Some(7)), NOW);
+    let news = here.update_for(known).unwrap();
+    assert_eq!((news.added.len(), news.removed.len()), (0, 1));
+    assert_eq!(here.update_for(here.digest()), None);
+    assert_eq!(here.update_for(12_345).unwrap().added.len(), 250);
 }
 
 /// The same for databases.
@@ -146,7 +146,7 @@
     assert!(matches!(here.content_for(1, true), Some(Content::All(all)) if all.len() == 200));
     let changes = here.content_for(known, false).unwrap();
     assert!(
-        matches!(changes, Content::Changes { came, gone } if (came.len(), gone.len()) == (1, 0))
+        matches!(changes, Content::Changes { added, removed } if (added.len(), removed.len()) == (1, 0))
     );
 }
 
--- a/tests/direct_owner.rs
+++ b/tests/direct_owner.rs
@@ -1,7 +1,7 @@
 //! Which VMs own connections to a database, and through which owners the others reach it.
 
 use lentilspoke::direct::owner::{Access, Destination, MAX_OWNERS, Way, access, owners};
-use lentilspoke::direct::view::Fellow;
+use lentilspoke::direct::view::Peer;
 use lentilspoke::types::{Cores, DatabaseId, Domain};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,8 +13,8 @@
 }
 
 /// VMs in six failure domains.
-fn peers(count: usize) -> Vec<Fellow> {
-    let fellow = |number| Fellow {
+fn peers(count: usize) -> Vec<Peer> {
+    let fellow = |number| Peer {
         address: format!("10.{}.0.{number}:7000", number % 6)
             .parse()
             .unwrap(),
@@ -35,7 +35,7 @@
     ["d0", "d3"].contains(&domain.as_str())
 }
 
-fn way_of(vm: usize, peers: &[Fellow], id: &DatabaseId, connections: u32) -> Way {
+fn way_of(vm: usize, peers: &[Peer], id: &DatabaseId, connections: u32) -> Way {
     access(peers, Destination { id, connections }, is_near).way(Some(relay(vm)), id)
 }
 
@@ -118,7 +118,7 @@
 }
 
 /// Which VMs connect to a database of 48 connections.
-fn shared(peers: &[Fellow], id: &DatabaseId) -> Access {
+fn shared(peers: &[Peer], id: &DatabaseId) -> Access {
     let connections = 48;
     access(peers, Destination { id, connections }, is_near)
 }
--- a/tests/meter.rs
+++ b/tests/meter.rs
@@ -1,12 +1,12 @@
-//! What the scraper reads.
+//! The metrics as a scraper reads them.
 
 use lentilspoke::clock::Span;
 use lentilspoke::direct::config::Kind;
 use lentilspoke::direct::meter::{LeadLevel, Levels, Meter};
 use lentilspoke::direct::statement::Code;
-use lentilspoke::direct::table::{Ask, Era, Fault, Row, RowId, Told, Version};
+use lentilspoke::direct::table::{Command, Era, Fault, Response, Row, RowId, Version};
 
-/// Each thing that is counted shows once, under its name and labels.
+/// Each metric appears once, under its name and labels.
 #[test]
 fn each_count_shows() {
     let meter = Meter::new();
@@ -24,10 +24,10 @@
     meter.database_refused(&gone, Code::Busy);
     meter.forget(&gone);
     meter.store_call(
-        &Ask::Read("lead".into()),
+        &Command::Read("lead".into()),
         &Err(Fault::Refused("down".into())),
     );
-    let rows = Told::Rows {
+    let rows = Response::Rows {
         rows: vec![Row {
             id: RowId::new("lead", "a"),
             value: None,
@@ -35,7 +35,7 @@
         }],
         version: Version::new(Era(0), 1),
     };
-    meter.store_call(&Ask::Read("lead".into()), &Ok(rows));
+    meter.store_call(&Command::Read("lead".into()), &Ok(rows));
     meter.config_try("readers", false);
     meter.lease_lapsed(&group);
     meter.promoted(&group, Span::from_millis(400));
@@ -61,17 +61,17 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against a scraper that keeps the first 4 KB of a VM with many databases, and so neither the
-/// configuration's version nor the calls of the store.
+/// A scraper may keep only the first 4 KB of a VM's metrics. With many databases, it must still get the
+/// configuration's version and the calls to the store.
 #[test]
-fn what_tells_most_comes_first() {
+fn the_most_informative_metrics_come_first() {
     let meter = Meter::new();
     for number in 0..200 {
         let database = format!("db{number}").parse().unwrap();
         meter.answered(&database, Span::from_millis(20));
     }
     meter.store_call(
-        &Ask::Read("lead".into()),
+        &Command::Read("lead".into()),
         &Err(Fault::Refused("down".into())),
     );
     meter.config_try("store", true);
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -124,7 +124,7 @@
             seen,
             started,
         };
-        world.shared.change(|view| {
+        world.shared.modify(|view| {
             view.config = Some(Rc::new(config()));
             let databases = [database(PRIMARY, 1), database(REPLICA, 2)];
             view.databases = databases.map(|one| (one.id.clone(), one)).into();
@@ -154,7 +154,7 @@
         };
         let now = self.now();
         self.shared
-            .change(|view| view.book.learn(&group(), lead, now));
+            .modify(|view| view.leases.learn(&group(), lead, now));
     }
 
     /// What the databases were sent since this was asked last.
@@ -194,7 +194,7 @@
 
 fn adapter(started: Instant, script: Rc<RefCell<Script>>, seen: Rc<RefCell<String>>) -> Adapter {
     let numbers = Rc::new(Cell::new(0));
-    let promote = |_| -> lentilspoke::direct::adapter::Later<_> {
+    let promote = |_| -> lentilspoke::direct::adapter::LocalFuture<_> {
         Box::pin(async { lentilspoke::direct::adapter::Promoted::Refused })
     };
     Adapter {
