--- a/src/core/acknowledge.rs
+++ b/src/core/acknowledge.rs
@@ -1,4 +1,4 @@
-//! Answers of a primary that wait until its steward may pass them on.
+//! Answers of a primary that its steward holds back until they may be sent to the entries.
 
 use crate::clock::Time;
 use crate::core::database::Reply;
@@ -10,29 +10,29 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The answers under one term that are not passed on yet, and how far each replica's log has
-/// come in that term.
+/// The answers of one term that have not been sent yet, and the log offset that each replica
+/// has reached in that term.
 #[derive(Debug)]
 pub(crate) struct Acknowledgements {
     members: usize,
     waiting: Vec<Waiting>,
     reached: BTreeMap<DatabaseId, Offset>,
-    /// The end of the furthest write that was passed on.
+    /// The highest end of a write whose answer was sent.
     passed: Offset,
 }
 
-/// One answer that waits.
+/// One answer that is held back.
 #[derive(Debug)]
 pub(crate) struct Waiting {
     pub job: Job,
     pub reply: Reply,
-    /// A majority's logs have to hold this.
+    /// The offset that the logs of a majority must hold first.
     pub durable: Option<Offset>,
-    /// Other entries' leases on the session's floor.
+    /// Other entries' leases on the session's floor, which must end first.
     pub leases: Vec<Holding>,
 }
 
-/// How far the replicas are, for `dump`.
+/// The number of waiting answers and the replicas' offsets, for `dump`.
 #[derive(Debug, Serialize)]
 pub(crate) struct Progress<'a> {
     waiting: usize,
@@ -40,7 +40,7 @@
 }
 
 impl Acknowledgements {
-    /// Nothing waits yet, in a group of `members` databases.
+    /// Creates an empty set for a group of `members` databases.
     pub fn new(members: usize) -> Self {
         Self {
             members,
@@ -65,7 +65,7 @@
         self.waiting.push(waiting);
     }
 
-    /// `database`, which is not the primary, holds the term's log up to `offset`.
+    /// Records that `database`, which is not the primary, holds the term's log up to `offset`.
     pub fn reached(&mut self, database: &DatabaseId, offset: Offset) {
         match self.reached.get_mut(database) {
             Some(reached) => *reached = offset.max(*reached),
@@ -75,27 +75,27 @@
         }
     }
 
-    /// The offset that `database` has yet to reach for all that waits, if any.
+    /// The offset that `database` must still reach for all waiting answers, if it has not.
     pub fn wanted(&self, database: &DatabaseId) -> Option<Offset> {
         let furthest = self.waiting.iter().filter_map(|w| w.durable).max()?;
         let reached = self.reached.get(database).copied().unwrap_or_default();
         (reached < furthest).then_some(furthest)
     }
 
-    /// Whether any answer waits for replicas that lack its write.
+    /// Whether any answer waits for its write to reach a majority.
     pub fn is_short(&self) -> bool {
         let held = self.majority_holds();
         let mut durable = self.waiting.iter().filter_map(|waiting| waiting.durable);
         durable.any(|offset| offset > held)
     }
 
-    /// Whether a write was passed on that only the primary is known to have, as callers may who
-    /// ask for no majority: a majority without the primary would lose it.
+    /// Whether a write was acknowledged that is not known to be on a majority, which pools without
+    /// majority durability allow. A majority without the primary would lose it.
     pub fn has_unshared(&self) -> bool {
         self.passed > self.majority_holds()
     }
 
-    /// The entry `vm` is gone, or with a `link` one of its callers: nobody is to be told.
+    /// Drops the answers for the entry `vm`, or only for its caller `link`, which disconnected.
     pub fn depart(&mut self, vm: &VmId, link: Option<Link>) {
         self.waiting.retain(|waiting| {
             let job = &waiting.job;
@@ -103,7 +103,7 @@
         });
     }
 
-    /// `vm` gave up the lease on `session` that a write up to `floor` revoked.
+    /// Records that `vm` released the lease on `session` that a write up to `floor` revoked.
     pub fn released(&mut self, session: &SessionId, vm: &VmId, floor: Position) {
         for waiting in &mut self.waiting {
             if waiting.job.work.session.as_ref() == Some(session) {
@@ -112,11 +112,11 @@
         }
     }
 
-    /// Takes out what may be passed on now.
+    /// Removes and returns the answers that may be sent now.
     ///
-    /// `now` was read after the input that carried the primary's answer arrived. A process that
-    /// was paused handles an old event with the time of its waking, finds the confirmations
-    /// lapsed, and keeps the answer back.
+    /// `now` must be read after the primary's answer arrived. A process that was paused then
+    /// handles old answers with the current time, finds the confirmations expired, and holds the
+    /// answers back.
     pub fn ready(&mut self, now: Time, confirmations: &Confirmations) -> Vec<Waiting> {
         if self.waiting.is_empty() || !confirmations.hold(now) {
             return Vec::new();
@@ -132,7 +132,7 @@
         ready
     }
 
-    /// Takes out what nobody has a use for any more, with what its caller is to be told.
+    /// Removes the answers whose deadline has passed and returns them with the cause to report.
     pub fn expire(&mut self, now: Time, confirmations: &Confirmations) -> Vec<(Waiting, Unknown)> {
         let held = self.majority_holds();
         let holds = confirmations.hold(now);
@@ -151,16 +151,15 @@
         .collect()
     }
 
-    /// Takes everything out: the term is over.
+    /// Removes and returns all answers, because the term has ended.
     pub fn abandon(&mut self) -> Vec<Waiting> {
         std::mem::take(&mut self.waiting)
     }
 
-    /// The offset that the primary and enough others hold to be a majority.
+    /// The highest offset that a majority, including the primary, holds.
     ///
-    /// Failure: the primary dies right after it answered. Symptom: an acknowledged write is
-    /// gone. Enough, because any majority raised to a later term shares a database with the
-    /// majority counted here, and the furthest log of those raised is the one that is opened.
+    /// A write up to it survives the loss of the primary: any majority raised to a later term
+    /// shares a database with this one, and the furthest log of those raised is opened.
     fn majority_holds(&self) -> Offset {
         let others = majority(self.members) - 1;
         if others == 0 {
--- a/src/core/database.rs
+++ b/src/core/database.rs
@@ -1,6 +1,6 @@
-//! What the proxy orders of a database, and what it hears back.
+//! Commands that the proxy sends to a database, and the events that come back.
 //!
-//! The dialect in which these travel is known to `net::dialect` alone.
+//! Only `net::dialect` knows their encoding on the wire.
 
 use crate::core::lineage::Lineage;
 use crate::core::request::Status;
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// An order to the connections of one database.
+/// A command to the connections of one database.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Open a connection for work.
+    /// Opens a connection for work.
     Connect {
         /// The new connection's id.
         conn: ConnId,
@@ -21,33 +21,33 @@
         /// Where it listens.
         address: SocketAddr,
     },
-    /// Run work on an open connection that has nothing else under way.
+    /// Runs work on an open, idle connection.
     Run {
         /// The connection.
         conn: ConnId,
         /// The work.
         run: Run,
     },
-    /// Ask the database to cancel what a connection runs; its answer comes as ever.
+    /// Asks the database to cancel what a connection runs. The work is still answered.
     Cancel {
         /// The connection.
         conn: ConnId,
     },
-    /// Close a connection at once; the database ends whatever it had open.
+    /// Closes a connection at once. The database rolls back its open transaction.
     Close {
         /// The connection.
         conn: ConnId,
     },
-    /// Carry out an order about terms, on a connection apart from those for work. It is always
-    /// answered by one `Event::Controlled`, after `timing.answer` at the latest.
+    /// Carries out an order about terms on a separate connection. It is always answered by one
+    /// `Event::Controlled`, after `timing.answer` at the latest.
     Control {
-        /// Names the answer; never used twice in a process's life.
+        /// Identifies the answer; unique within a process's life.
         id: RequestId,
         /// The database.
         database: DatabaseId,
         /// Where it listens.
         address: SocketAddr,
-        /// What is ordered.
+        /// The order.
         order: Order,
     },
 }
@@ -57,13 +57,13 @@
 pub struct Run {
     /// The request it belongs to.
     pub request: RequestId,
-    /// The term under which it may run: a database of another term refuses it unrun. Reads on
-    /// replicas carry none.
+    /// The term under which it may run; a database in another term refuses it without running
+    /// it. `None` for reads on replicas.
     pub term: Option<Term>,
-    /// The caller, within whose work `key` is unique.
+    /// The caller; `key` is unique per caller.
     pub caller: CallerId,
-    /// Written in the same transaction as the work, with its result; work whose key is there
-    /// already is not run, and gets the first result.
+    /// Stored with the result in the same transaction as the work. Work whose key is already
+    /// stored is not run again and gets the first result.
     pub key: Option<RequestKey>,
     /// The frontend messages.
     pub body: Bytes,
@@ -73,49 +73,49 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// Report the state; changes nothing.
+    /// Report the state without changing it.
     Report,
     /// Raise the term to this strictly higher one, refuse lower terms, apply no older log.
     Raise(Term),
     /// Take writes in this term, which must be the database's own.
     Open(Term),
-    /// Report as soon as the log holds this position, or when the database tires of waiting.
+    /// Report as soon as the log holds this position, or when the database stops waiting.
     Reach(Position),
 }
 
-/// What a database reports of itself.
+/// The state that a database reports.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct State {
     /// The term that it was raised to.
     pub term: Term,
-    /// The end of its log, whether applied or not: what it would bring to a promotion.
+    /// The end of its log, applied or not.
     pub position: Position,
-    /// How far it has applied its log: what its readers see.
+    /// How far it has applied its log, which is what its readers see.
     pub applied: Position,
     /// Whether it takes writes in `term`.
     pub open: bool,
-    /// The terms that its log went through.
+    /// The terms in which its log was written.
     pub lineage: Lineage,
 }
 
 impl State {
-    /// What the log would bring to a promotion: the term that it was opened in last, also where
-    /// nothing has been written since, and its length.
+    /// The position by which promotions compare logs: the last term that the log was opened in,
+    /// even if nothing has been written since, and the log's length.
     pub fn end(&self) -> Position {
         let opened = self.lineage.last().unwrap_or_default();
         Position::new(opened.max(self.position.term), self.position.offset)
     }
 }
 
-/// Why a database did not do what it was told. Nothing was run.
+/// Why a database refused a command. Nothing was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// Its term is another one.
+    /// It is in another term.
     #[error("the database is in term {0}: order again with a higher one")]
     Term(Term),
-    /// It is not open for writes, and the work writes.
+    /// The work writes, and it is not open for writes.
     #[error("the database takes no writes: send the work to the primary")]
     ReadOnly,
     /// It has no connection left.
@@ -126,7 +126,7 @@
     KeyBusy,
 }
 
-/// What a database or its connection did.
+/// An event of a database or one of its connections.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A connection is ready for work.
@@ -138,10 +138,10 @@
     ConnectFailed {
         /// The connection.
         conn: ConnId,
-        /// The database said no, for want of connections.
+        /// The database refused because it has no connection left.
         full: bool,
     },
-    /// Work ended with a whole answer.
+    /// Work ended with a complete answer.
     Answered {
         /// The connection.
         conn: ConnId,
@@ -157,7 +157,7 @@
         /// Why.
         refusal: Refusal,
     },
-    /// A connection is gone; what it ran last may or may not have taken effect.
+    /// A connection was closed; its last work may or may not have taken effect.
     Closed {
         /// The connection.
         conn: ConnId,
@@ -166,19 +166,19 @@
     Controlled {
         /// The order's id.
         id: RequestId,
-        /// What the database said; `None` if it could not be reached or did not answer.
+        /// The database's answer; `None` if it could not be reached or did not answer.
         result: Option<Result<State, Refusal>>,
     },
 }
 
-/// A whole answer to work.
+/// A complete answer to work.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
     /// The request that it answers.
     pub request: RequestId,
     /// The backend messages, without the closing ReadyForQuery.
     pub body: Bytes,
-    /// What ReadyForQuery said.
+    /// The transaction status of ReadyForQuery.
     pub status: Status,
     /// How far the database had applied its log when it answered.
     pub applied: Position,
--- a/src/core/detect.rs
+++ b/src/core/detect.rs
@@ -1,20 +1,18 @@
-//! When a leader counts as lost, and how soon a group may change its primary again.
+//! Failure detection for leaders, and the minimum time between two changes of primary.
 //!
-//! **Pattern answered.** A primary or a path that is slow or comes and goes, beside one that is
-//! really lost.
-//! **Without it** a primary that answers a second late is replaced by a replica that is no better
-//! under the same load, and that one is replaced in turn; each change costs callers a gap, and
-//! every open transaction is rolled back.
+//! A slow or flapping primary or network path must not be treated as a lost one. Otherwise a
+//! primary that answers a second late is replaced by a replica that is no faster under the same
+//! load and is replaced in turn; each change interrupts callers and rolls back open transactions.
 //!
 //! The suspicion span comes from the configuration (`timing.suspicion`, 800 ms: four probes of
-//! 200 ms, so that three may be lost in a row). It is counted from when the answered probe was
-//! **sent**, so that a slow answer proves no more than it should.
+//! 200 ms, so that three may be lost in a row). It counts from the time at which the answered
+//! probe was sent, because a late answer only proves that the peer was alive after that time.
 
 use crate::clock::{Span, Time};
 use serde::Serialize;
 
-/// Watches one thing that should be heard from: a primary by its steward, or a steward by the
-/// holders of its group's databases.
+/// Suspects a peer that has not responded for a while: a primary, watched by its steward, or a
+/// steward, watched by the holders of its group's databases.
 #[derive(Debug, Clone, Serialize)]
 pub struct Detector {
     heard: Time,
@@ -22,7 +20,7 @@
 }
 
 impl Detector {
-    /// Counts silence from `now` on and suspects after `suspicion`.
+    /// Counts silence from `now` and suspects after `suspicion`.
     pub fn new(now: Time, suspicion: Span) -> Self {
         Self {
             heard: now,
@@ -30,40 +28,39 @@
         }
     }
 
-    /// A sign of life that was asked for at `sent`.
+    /// Records a response to a probe that was sent at `sent`.
     pub fn heard(&mut self, sent: Time) {
         self.heard = self.heard.max(sent);
     }
 
-    /// When silence becomes suspicious.
+    /// When the peer becomes suspected if it does not respond before.
     pub fn suspects_at(&self) -> Time {
         self.heard + self.suspicion
     }
 
-    /// Whether it is suspicious now.
+    /// Whether the peer is suspected at `now`.
     pub fn suspects(&self, now: Time) -> bool {
         now >= self.suspects_at()
     }
 }
 
-/// Watches whether the log of a primary that answers still reaches its replicas.
+/// Detects that the log of a responding primary no longer reaches its replicas.
 ///
-/// **Pattern answered.** A primary that is cut off from its replicas, but neither from its steward
-/// nor from callers.
-/// **Without it** the primary is never silent, so it is never replaced, and no write is
-/// acknowledged for as long as the cut lasts. A replica that is far behind but receives the log
-/// is no such case: any progress starts the watch anew, so that load alone replaces nobody.
+/// A primary that is cut off from its replicas, but not from its steward and callers, keeps
+/// responding. Without this check it is never replaced, and no write is acknowledged until the
+/// connection returns. Any progress of a log restarts the timeout, so replicas that are only
+/// behind under load never cause a replacement.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Stall {
-    /// The sum of the replicas' log ends when the watch began.
+    /// The sum of the replicas' log ends when the timeout started.
     progress: u64,
-    /// When writes that wait without progress become suspicious.
+    /// When the timeout ends; `None` while no write waits.
     suspicious: Option<Time>,
 }
 
 impl Stall {
-    /// Looks at the replicas now: whether writes wait for them, and the sum of their log ends.
-    /// Returns whether they have waited for `suspicion` while no log moved.
+    /// Updates the state: whether writes wait for the replicas, and the sum of their log ends.
+    /// Returns whether writes have waited for `suspicion` without any progress.
     pub fn look(&mut self, now: Time, waiting: bool, progress: u64, suspicion: Span) -> bool {
         if !waiting {
             self.suspicious = None;
@@ -77,17 +74,17 @@
     }
 }
 
-/// Changes of primary that are within the damping span once, without doubling it. A rack switch
-/// may take a primary and its successor; a third change in a row is flapping.
+/// Consecutive changes of primary that do not double the damping span. A failed rack switch may
+/// take down a primary and its successor; a third change in a row is flapping.
 const FREE_CHANGES: u32 = 2;
 
-/// The damping span is doubled this often at most: to 40 s with the default of 10 s.
+/// The damping span is doubled at most this often: to 40 s with the default of 10 s.
 const MOST_DOUBLINGS: u32 = 2;
 
-/// A group that was calm for this many damping spans starts afresh.
+/// The count of changes is reset after this many damping spans without one.
 const CALM_SPANS: u64 = 6;
 
-/// Keeps promotions of a group apart, the more so the more of them there were lately.
+/// Enforces a minimum time between promotions of a group, which grows with recent promotions.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Damper {
     again: Time,
@@ -96,8 +93,8 @@
 }
 
 impl Damper {
-    /// The group changed its primary at `now`; another change has to wait `damping`, or a
-    /// multiple of it if the group keeps changing.
+    /// Records a change of primary at `now`. The next one must wait for `damping`, or for a
+    /// multiple of it if changes keep following each other.
     pub fn promoted(&mut self, now: Time, damping: Span) {
         if now >= self.calm_at {
             self.changes = 0;
--- a/src/core/lineage.rs
+++ b/src/core/lineage.rs
@@ -1,38 +1,38 @@
-//! The terms that a log went through, and what that says about a position.
+//! The terms in which a log was written, and whether a position belongs to that log.
 
 use crate::types::{Offset, Position, Term};
 use serde::{Deserialize, Serialize};
 
-/// Each term that a log went through, with the position that it started from, lowest first.
+/// The terms in which a log was written, each with its start position, lowest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Lineage {
     starts: Vec<Start>,
 }
 
-/// The start of a term: the last position of the log that it continues.
+/// The start of a term: the end of the log that the term continues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Start {
     /// The term that was opened.
     pub term: Term,
-    /// The end of the log at that moment.
+    /// The end of the log when the term was opened.
     pub base: Position,
 }
 
-/// How a position relates to a log of a lineage.
+/// How a position relates to a log with a given lineage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// It is part of the log's history, if the log is long enough.
+    /// It is part of the log's history, provided that the log is long enough.
     Kept,
-    /// A later term started before it: it is not part of the history and never will be.
+    /// A later term started below it, so it is not part of the history and never will be.
     Lost,
-    /// It is of a term that the lineage has not reached yet.
+    /// Its term is higher than any in the lineage.
     Ahead,
 }
 
 impl Lineage {
-    /// A log that has gone through these terms.
+    /// Creates a lineage from these starts, which must be in ascending order of terms.
     pub fn new(starts: Vec<Start>) -> Self {
         debug_assert!(starts.windows(2).all(|pair| pair[0].term < pair[1].term));
         Self { starts }
@@ -54,11 +54,11 @@
         &self.starts
     }
 
-    /// Where `position` stands.
+    /// How `position` relates to a log with this lineage.
     ///
     /// A term that was opened but is missing from the lineage was skipped by a later one, so
-    /// all that it wrote past its start is lost. Terms below the first start kept were trimmed;
-    /// their positions count by offset alone.
+    /// everything that it wrote past its start is lost. Terms below the first start were trimmed;
+    /// their positions are compared by offset only.
     pub fn standing(&self, position: Position) -> Standing {
         if position.offset == Offset(0) {
             return Standing::Kept;
@@ -86,8 +86,8 @@
         self.standing(position) == Standing::Kept && end.offset >= position.offset
     }
 
-    /// Forgets all but the last `keep` starts: a position older than those is held by every
-    /// log that reached them, and a session that old has long been served from them.
+    /// Removes all but the last `keep` starts. Every log that reached those holds all older
+    /// positions, and sessions that old have been served from such logs for a long time.
     pub fn trim(&mut self, keep: usize) {
         let surplus = self.starts.len().saturating_sub(keep);
         self.starts.drain(..surplus);
--- a/src/core/member.rs
+++ b/src/core/member.rs
@@ -1,11 +1,11 @@
-//! The VMs that run proxies, as the platform's lagging list shows them.
+//! The VMs that run proxies, from the platform's list, which may be out of date.
 
 use crate::types::{DatabaseId, Domain, Life, VmId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// One VM of the platform's list.
+/// A VM on the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
@@ -15,28 +15,28 @@
     pub address: SocketAddr,
     /// The failure domain it runs in.
     pub domain: Domain,
-    /// It is about to be stopped and takes over nothing.
+    /// It is about to be stopped and takes over no databases.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Which proxy this is.
+/// The identity of this proxy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Identity {
     /// The VM's name.
     pub vm: VmId,
     /// The failure domain it runs in.
     pub domain: Domain,
-    /// The life of its process.
+    /// The life (incarnation) of its process.
     pub life: Life,
 }
 
-/// The VMs in the order in which they should hold `database`: those of its own failure domain
-/// first, by rendezvous hashing within.
+/// The VMs in order of preference for holding `database`: those of its own failure domain first,
+/// then the others, both by rendezvous hashing.
 ///
-/// Of two lists that differ by one VM, only that VM's databases get another first choice, so a
-/// lagging list moves little, and two holders for a moment are harmless: they share the
-/// database's connections, and the database says no to the surplus before it runs anything.
+/// If two lists differ by one VM, only that VM's databases get another first choice, so an
+/// outdated list moves few databases. Two holders at once are harmless: they share the database's
+/// connections, and the database refuses surplus connections before it runs anything.
 pub fn order<'a>(members: &'a [Member], database: &DatabaseId, domain: &Domain) -> Vec<&'a Member> {
     let seed = seed(database);
     let mut order: Vec<&Member> = members.iter().filter(|member| !member.leaving).collect();
@@ -49,9 +49,8 @@
     order
 }
 
-/// The first `keep` of [`order`], without sorting the rest: with 580 VMs and 1,200 databases a
-/// change of the list costs milliseconds rather than most of a tenth of a second, during which
-/// the one thread would serve nobody.
+/// The first `keep` of [`order`], without sorting the rest. With 580 VMs and 1,200 databases a
+/// change of the list then blocks the only thread for milliseconds, not for most of 100 ms.
 pub fn first<'a>(
     members: &'a [Member],
     database: &DatabaseId,
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -1,6 +1,6 @@
-//! What proxies tell each other, over one stream a pair.
+//! The messages between proxies, sent over one stream for each pair.
 //!
-//! Spans, not moments, cross the network: clocks of two VMs are not comparable.
+//! Messages carry spans, never times, because the clocks of two VMs are not comparable.
 
 use crate::clock::Span;
 use crate::core::database::{Order, Refusal, State};
@@ -17,46 +17,46 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// An entry's work for a database's holder.
+    /// Work that an entry sends to a database's holder.
     Work(Work),
     /// The holder's answer.
     Answer(Answer),
-    /// The entry has no more use for the answer.
+    /// The entry no longer needs the answer.
     Cancel(RequestId),
-    /// The caller's connection is gone: what it has open at the holder is rolled back.
+    /// The caller's connection was closed: the holder rolls back its open transaction.
     Depart(Link),
     /// An entry asks a steward for a session's floor.
     Ask(Ask),
     /// The steward's answer, a lease on the floor.
     Grant(Grant),
-    /// The steward takes a lease back, because the session wrote elsewhere.
+    /// The steward revokes a lease because the session wrote by way of another entry.
     Revoke(Revoke),
-    /// The entry uses the lease no more.
+    /// The entry has released the lease.
     Revoked(Revoke),
     /// A steward's probe of a database, through its holder.
     Probe(Probe),
-    /// What the holder's probe found.
+    /// The result of a probe.
     Report(Report),
     /// A steward's order to a database, through its holder.
     Control(Control),
     /// The database's answer.
     Controlled(Controlled),
-    /// A steward that stops hands its group over; it acknowledges nothing more.
+    /// A stopping steward hands over its group; it acknowledges nothing after this.
     Yield(Yield),
-    /// Asks whether the group's steward has been heard lately.
+    /// Asks whether the group's steward has sent probes recently.
     Suspect(Suspect),
-    /// The answer.
+    /// The answer to `Suspect`.
     Suspected(Suspected),
-    /// Tells a VM which configuration and members its sender knows of.
+    /// Announces the sender's life, configuration version and state.
     Hello(Hello),
-    /// Asks for the configuration in force.
+    /// Asks for a configuration newer than this version.
     Want(Version),
     /// The configuration: compressed JSON of `config::Accepted`.
     Document(Bytes),
 }
 
 impl Message {
-    /// Whether it is sent for the system's own sake rather than for one statement.
+    /// Whether it belongs to the control of the system rather than to one statement.
     pub fn is_control(&self) -> bool {
         match self {
             Message::Work(_) | Message::Answer(_) | Message::Cancel(_) | Message::Depart(_) => {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The size of its encoding in bytes.
+    /// The size of its encoding, in bytes.
     pub fn size(&self) -> usize {
         postcard::experimental::serialized_size(self).unwrap_or_default()
     }
@@ -78,13 +78,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Work {
-    /// Names the answer.
+    /// Identifies the answer.
     pub request: RequestId,
-    /// The caller's connection at the entry; a transaction belongs to it.
+    /// The caller's connection at the entry, which owns its transaction.
     pub link: Link,
     /// The named session, if it has one.
     pub session: Option<SessionId>,
-    /// The caller, for fair shares.
+    /// The caller, for fair queueing.
     pub caller: CallerId,
     /// The pool whose rules apply.
     pub pool: PoolId,
@@ -92,22 +92,22 @@
     pub group: GroupId,
     /// The database.
     pub database: DatabaseId,
-    /// What it does.
+    /// What the work does.
     pub kind: Kind,
-    /// Only the group's primary may run it, under its steward's confirmations.
+    /// Whether only the group's primary may run it, under its steward's confirmations.
     pub primary: bool,
-    /// Its place among other work.
+    /// Its priority class.
     pub class: Class,
-    /// The database has to hold this, for a read that must see it.
+    /// The position that the database must have applied, for a read that must see it.
     pub floor: Option<Position>,
-    /// The database's proven age has to be below this, for a read of a stated age.
+    /// The maximum proven age of the database, for a read with a maximum age.
     pub max_age: Option<Span>,
-    /// Written with the work.
+    /// The request key, which is stored with the work.
     pub key: Option<RequestKey>,
-    /// How much of the caller's patience was left when it was sent.
+    /// How much of the caller's timeout was left when the work was sent.
     pub patience: Span,
-    /// The highest term of the group that the entry knows a leader of, so that the answer
-    /// names a leader only where that is news.
+    /// The highest term whose leader the entry knows, so that the answer names a leader only if
+    /// it is a later one.
     pub leader: Option<Term>,
     /// The frontend messages.
     pub body: Bytes,
@@ -119,30 +119,30 @@
 pub struct Answer {
     /// The work that it answers.
     pub request: RequestId,
-    /// What came of it.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The database's own refusal, if that is why the work was not run.
+    /// The database's refusal, if that is why the work was not run.
     pub refused: Option<Refusal>,
-    /// The entry may go on using the session's floor, which is the position just written, for
-    /// this long since it sent the work.
+    /// How long, counted from when it sent the work, the entry may use the session's floor, which
+    /// is the position just written.
     pub lease: Option<Span>,
-    /// What the holder knows of its database, for the entry's next choice.
+    /// The holder's data on its database, for the entry's next choice.
     pub hint: Hint,
 }
 
-/// What an answer tells about its database in passing.
+/// The state of a database, sent with each answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Hint {
     /// How far it has applied its log.
     pub position: Position,
-    /// Its proven age; `None` if nothing is proven.
+    /// Its proven age; `None` if there is no proof.
     pub age: Option<Span>,
-    /// How long newly queued work would wait.
+    /// The expected waiting time of newly queued work.
     pub wait: Span,
-    /// What short work takes of late once it runs.
+    /// The recent run time of short work.
     pub run: Span,
-    /// The group's leader, where the holder knows of a later one than the entry did.
+    /// The group's leader, if the holder knows a later one than the entry.
     pub primary: Option<Primary>,
 }
 
@@ -158,30 +158,30 @@
     pub steward: VmId,
 }
 
-/// An entry's question for a session's floor.
+/// An entry's request for a lease on a session's floor.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Ask {
-    /// Names the answer.
+    /// Identifies the answer.
     pub request: RequestId,
     /// The group.
     pub group: GroupId,
-    /// The session; absent where only the leader is asked for.
+    /// The session; `None` if only the leader is asked for.
     pub session: Option<SessionId>,
 }
 
-/// A lease on a session's floor. It counts from when the question was sent.
+/// The answer to [`Ask`], with a lease on the floor that counts from when the request was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Grant {
-    /// The question.
+    /// The request that it answers.
     pub request: RequestId,
     /// The group.
     pub group: GroupId,
     /// The floor and how long it may be used; `None` if the VM asked is not the steward or
-    /// can't vouch for it now.
+    /// cannot grant a lease now.
     pub floor: Option<Leased>,
-    /// Who is the steward, as far as the VM asked knows.
+    /// The leader, as far as the VM asked knows.
     pub primary: Option<Primary>,
 }
 
@@ -189,15 +189,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Leased {
-    /// The session's floor in the group; zero if it wrote nothing.
+    /// The session's floor in the group; zero if the session wrote nothing.
     pub floor: Position,
     /// How long it may be used.
     pub span: Span,
-    /// The terms by which the floor is to be read.
+    /// The lineage of the primary's log, by which the floor is interpreted.
     pub lineage: Lineage,
 }
 
-/// A lease that is taken back or given up.
+/// A lease that is revoked or released.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Revoke {
@@ -217,11 +217,11 @@
     pub group: GroupId,
     /// The database to probe.
     pub database: DatabaseId,
-    /// Counts the steward's probes; the report names it.
+    /// Identifies the probe in its report.
     pub round: RequestId,
-    /// The leader, as the steward has it.
+    /// The group's leader.
     pub primary: Primary,
-    /// Whether writes are acknowledged just now.
+    /// Whether writes are currently acknowledged.
     pub serving: bool,
     /// The primary's log, as last read.
     pub fresh: Option<Fresh>,
@@ -229,17 +229,17 @@
     pub version: Version,
 }
 
-/// How far the primary's log was, at a time that the holder can place on its own clock.
+/// The end of the primary's log, at a time that the holder can place on its own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Fresh {
     /// The end of the primary's log.
     pub position: Position,
-    /// The holder's last report that had reached the steward, by its round.
+    /// The round of the holder's last report that reached the steward.
     pub round: RequestId,
-    /// How long before that report's arrival the primary was asked; zero if it was after.
-    /// The primary's log was therefore at `position` no earlier than this long before the
-    /// holder sent the report.
+    /// How long before that report's arrival the primary was asked; zero if it was asked after.
+    /// Counted back from when the holder sent the report, this is the earliest time at which the
+    /// primary's log can have been at `position`.
     pub before: Span,
 }
 
@@ -253,14 +253,14 @@
     pub database: DatabaseId,
     /// The probe.
     pub round: RequestId,
-    /// What the database said; `None` if it did not answer.
+    /// The state found; `None` if the database did not answer.
     pub found: Option<Found>,
     /// The configuration's version at the holder.
     pub version: Version,
 }
 
-/// What a probe found: a database's state without its lineage, which grows with each
-/// promotion and which a steward needs only when it raises a term.
+/// The state of a database found by a probe. It has no lineage, which grows with each promotion
+/// and which a steward needs only when it raises a term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Found {
@@ -276,7 +276,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Control {
-    /// Names the answer.
+    /// Identifies the answer.
     pub request: RequestId,
     /// The database.
     pub database: DatabaseId,
@@ -292,7 +292,7 @@
     pub request: RequestId,
     /// The database.
     pub database: DatabaseId,
-    /// What it said; `None` if it did not answer.
+    /// The database's answer; `None` if it did not answer.
     pub result: Option<Result<State, Refusal>>,
 }
 
@@ -302,19 +302,19 @@
 pub struct Yield {
     /// The group.
     pub group: GroupId,
-    /// The leader that ends; its steward acknowledges and grants nothing more.
+    /// The leader whose term ends; its steward acknowledges and grants nothing more.
     pub primary: Primary,
 }
 
-/// Asks another holder of the group's databases for its evidence.
+/// Asks another holder of the group's databases whether the leader responds to it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Suspect {
-    /// Names the answer.
+    /// Identifies the answer.
     pub request: RequestId,
     /// The group.
     pub group: GroupId,
-    /// The leader suspected.
+    /// The suspected leader.
     pub primary: Option<Primary>,
 }
 
@@ -322,19 +322,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Suspected {
-    /// The question.
+    /// The request that it answers.
     pub request: RequestId,
     /// The group.
     pub group: GroupId,
-    /// Whether the VM asked has heard the steward serve the group lately.
+    /// Whether the VM asked has recently received a probe of a serving steward.
     pub heard: bool,
-    /// Whether the VM asked can reach the primary itself; `None` if it did not try.
+    /// Whether the VM asked can reach the primary; `None` if it did not try.
     pub reached: Option<bool>,
-    /// The leader as the VM asked knows it.
+    /// The leader, as far as the VM asked knows.
     pub primary: Option<Primary>,
 }
 
-/// What a VM tells of itself when a stream opens and when its configuration changes.
+/// A VM's announcement of its state, sent when a stream opens and when its configuration changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Hello {
@@ -342,6 +342,6 @@
     pub life: Life,
     /// The configuration's version.
     pub version: Version,
-    /// It is stopping: it takes over nothing and gets no new work.
+    /// Whether it is stopping; it then takes over nothing and gets no new work.
     pub stopping: bool,
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,11 +1,11 @@
 //! The proxy's decisions, without sockets, files or timers.
 //!
-//! Everything here is driven by typed inputs with the time handed in, and answers with
-//! typed outputs, so that scenarios and the model checker run the code that serves callers.
+//! Typed inputs and the current time go in, and typed outputs come out, so that scenarios and
+//! the model checker run the same code that serves callers.
 //!
-//! `node` hands each input to the roles of a proxy: `entry`, `holder`, `steward`, `spread`. These
-//! share `world` and know nothing of `node`. What one has for another goes by `message`, also on
-//! one VM, or is carried over by `node::settle`. The other modules are what they decide by.
+//! `node` passes each input to the roles of a proxy: `entry`, `holder`, `steward` and `spread`.
+//! The roles share `world` and do not depend on `node`. They communicate by `message`, also on
+//! the same VM, or through `node::settle`. The other modules hold the rules that they apply.
 
 mod acknowledge;
 mod age;
