--- a/src/core/node.rs
+++ b/src/core/node.rs
@@ -1,4 +1,4 @@
-//! One proxy's core: its inputs, its outputs, and the roles that they go through.
+//! The core of one proxy: its inputs and outputs, and the roles that process them.
 
 mod dump;
 mod peer;
@@ -22,37 +22,37 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The grain of deadlines while work is under way. A timer for each statement would cost more
-/// than looking at all of them this often.
+/// How often deadlines are checked while work is under way. This costs less than a timer for each
+/// statement.
 const GRAIN: Span = Span::from_millis(10);
 
-/// The least time between two ticks, so that a timer that stands in the past can't spin.
+/// The minimum time between two ticks, so that a timer in the past does not cause a busy loop.
 const LEAST_WAIT: Span = Span::from_millis(1);
 
-/// Between two sweeps for databases and groups that this VM has nothing to do with any more.
+/// The interval at which the databases and groups of this VM are checked against its members.
 const SWEEP: Span = Span::from_secs(1);
 
-/// A stopping proxy is quiet for this long before it ends, so that what other proxies sent
-/// before they heard of the stop is still served.
+/// A stopping proxy must be quiet for this long before it exits, so that requests that other
+/// proxies sent before they received the announcement of the stop are still served.
 const LINGER: Span = Span::from_millis(300);
 
-/// A planned stop takes no longer than this, whatever callers do with their transactions.
+/// The longest duration of a planned stop, whatever transactions callers hold open.
 const STOP_LIMIT: Span = Span::from_secs(60);
 
-/// What happens to a proxy.
+/// An input of a proxy.
 #[derive(Debug, Clone)]
 pub enum Input {
     /// A caller sends a request.
     Submit(Request),
-    /// A caller's connection is gone.
+    /// A caller's connection was closed.
     Depart(Link),
-    /// A caller asks to cancel what its connection has under way.
+    /// A caller asks to cancel the request under way on its connection.
     Cancel(Link),
     /// Another proxy's message arrived.
     Message {
         /// The sender.
         from: VmId,
-        /// What it says.
+        /// The message.
         message: Message,
     },
     /// The stream to another proxy is open. `PeerUp` and `PeerDown` of one proxy come in the
@@ -61,11 +61,11 @@
     /// The stream to another proxy broke, or could not be opened. What was sent since the last
     /// `PeerUp` may have arrived; without a `PeerUp` since the last `PeerDown`, nothing has.
     ///
-    /// No message of the old stream follows. From the moment at which the stream is found
-    /// broken until this input has been handled, what is sent to that proxy is discarded, not
-    /// sent over a new stream: the node takes it for never sent, and sends it again.
+    /// No message of the old stream follows. Messages to that proxy are discarded, not sent over
+    /// a new stream, from when the stream is found broken until this input has been handled: the
+    /// node counts them as never sent, and sends them again.
     PeerDown(VmId),
-    /// A database or a connection to it did something.
+    /// An event of a database or of a connection to it.
     Database(Event),
     /// The platform's list of VMs was read.
     Members(Vec<Member>),
@@ -85,12 +85,12 @@
     entry: Entry,
     holders: BTreeMap<DatabaseId, Holder>,
     stewards: BTreeMap<GroupId, Steward>,
-    /// The primaries that this VM leads, as their holders were told.
+    /// The primaries that this VM leads and whose holders were given that role.
     led: BTreeMap<GroupId, DatabaseId>,
     spread: Spread,
     sweep_at: Time,
-    /// When the last tick was. The next one counts from it, so that a proxy to which something
-    /// comes all the time still looks at its deadlines.
+    /// When the last tick was. The next one counts from it, so that a proxy that receives inputs
+    /// all the time still checks its deadlines.
     ticked: Time,
     stopping: Option<Stopping>,
 }
@@ -98,15 +98,15 @@
 /// A planned stop under way.
 #[derive(Debug, Serialize)]
 struct Stopping {
-    /// When the process ends whatever is left.
+    /// When the process exits even if work is left.
     until: Time,
-    /// Since when it has been quiet.
+    /// Since when nothing has been under way.
     quiet_since: Time,
     stopped: bool,
 }
 
 impl Node {
-    /// A proxy that knows nothing yet.
+    /// Creates a proxy without configuration or members.
     pub fn new(identity: Identity, now: Time) -> Self {
         Self {
             world: World::new(identity),
@@ -122,11 +122,11 @@
         }
     }
 
-    /// Lets `input` happen at `now`, which was read from the clock after the input arrived,
-    /// and adds what is to be done to `out`.
+    /// Handles `input` and adds the resulting outputs to `out`. `now` must be read from the clock
+    /// after the input arrived.
     ///
-    /// A process that was paused handles an old input with the time of its waking; so nothing
-    /// that lapsed meanwhile is relied on.
+    /// A process that was paused then handles old inputs with the current time and does not rely
+    /// on leases or confirmations that expired during the pause.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.take(input, out);
@@ -137,7 +137,7 @@
         self.check_stop(out);
     }
 
-    /// When it next wants an [`Input::Tick`].
+    /// When the next [`Input::Tick`] is due.
     pub fn wake(&self) -> Option<Time> {
         let busy = self.entry.is_busy() || self.holders.values().any(Holder::is_busy);
         let grain = (busy || self.stopping.is_some()).then(|| self.ticked + GRAIN);
@@ -152,7 +152,7 @@
         self.world.config.as_deref()
     }
 
-    /// Whether callers can be served: there are a configuration and a list of VMs.
+    /// Whether callers can be served, which needs a configuration and a list of VMs.
     pub fn is_ready(&self) -> bool {
         self.world.config.is_some() && self.world.listed
     }
@@ -162,12 +162,12 @@
         self.stopping.is_some()
     }
 
-    /// What it has done since it started.
+    /// The counters since the process started.
     pub fn counters(&self) -> &Counters {
         &self.world.counters
     }
 
-    /// The pool that serves `caller` in `group`, by the configuration in force.
+    /// The pool that serves `caller` in `group` under the configuration in force.
     pub fn pool_of(&self, caller: &CallerId, group: &GroupId) -> Option<(PoolId, &Pool)> {
         self.world.pool_of(caller, group)
     }
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Ends the process once it leads nothing and has had nothing under way for a while.
+    /// Ends the process once it leads no group and nothing has been under way for a while.
     fn check_stop(&mut self, out: &mut Vec<Output>) {
         if self
             .stopping
@@ -286,7 +286,7 @@
     }
 }
 
-/// The roles of a node, borrowed beside a turn.
+/// The roles of a node, borrowed separately from its turn.
 struct Parts<'a> {
     entry: &'a mut Entry,
     holders: &'a mut BTreeMap<DatabaseId, Holder>,
--- a/src/core/node/dump.rs
+++ b/src/core/node/dump.rs
@@ -1,4 +1,4 @@
-//! A proxy's whole state, as `dump` shows it.
+//! The state of a proxy for the `dump` command.
 
 use super::{Node, Stopping};
 use crate::clock::Time;
@@ -33,7 +33,7 @@
 }
 
 impl Node {
-    /// The whole state: floors, queues, slots, pools, terms, ownership, configuration version,
+    /// The complete state: floors, queues, slots, pools, terms, ownership, configuration version,
     /// peers and budgets.
     pub fn state(&self) -> impl Serialize + '_ {
         let world = &self.world;
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -1,4 +1,4 @@
-//! Messages of other proxies, and of this one to itself.
+//! Handling of messages from other proxies and from this proxy to itself.
 
 use super::Node;
 use crate::clock::Span;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// An entry asks for a session's floor. Where nobody here knows the group, it is told so.
+    /// Handles an entry's request for a session's floor. Without a steward here, the answer is empty.
     fn ask(&mut self, from: &VmId, ask: Ask, out: &mut Vec<Output>) {
         let (group, request) = (ask.group.clone(), ask.request);
         if self.with_steward(&group, out, |steward, turn| steward.ask(turn, from, ask)) {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// A VM, or one caller at it, is gone: what it has under way here is dropped.
+    /// Drops the work here of a VM, or of one of its callers, that disconnected.
     fn departed(&mut self, vm: &VmId, link: Option<Link>, out: &mut Vec<Output>) {
         for steward in self.stewards.values_mut() {
             steward.departed(vm, link);
@@ -145,7 +145,7 @@
         turn.send(&to, Message::Answer(answer));
     }
 
-    /// A steward probes a database that it takes this VM for the holder of.
+    /// Handles a steward's probe of a database whose holder should be this VM.
     fn probe(&mut self, from: VmId, probe: Probe, out: &mut Vec<Output>) {
         let (mut turn, parts) = self.turn(out);
         parts.spread.heard(&mut turn, &from, probe.version);
@@ -186,8 +186,8 @@
         turn.send(&from, Message::Controlled(controlled));
     }
 
-    /// Another VM asks for evidence on a group's leader. A leader that asks about its own
-    /// primary wants it tried from here.
+    /// Handles a question about a group's leader. If the leader itself asks about its primary, this
+    /// VM first tries to reach that primary.
     fn suspect(&mut self, from: VmId, suspect: Suspect, out: &mut Vec<Output>) {
         let leader = suspect
             .primary
@@ -210,7 +210,7 @@
         });
     }
 
-    /// A database answered an order.
+    /// Handles a database's answer to an order.
     pub(super) fn controlled(&mut self, event: Event, out: &mut Vec<Output>) {
         let Event::Controlled { id, result } = event else {
             return;
@@ -297,11 +297,11 @@
         turn.send(&from, Message::Controlled(controlled));
     }
 
-    /// Another VM tells of itself.
+    /// Handles another VM's announcement of its state.
     ///
-    /// Failure: a VM was replaced by another of its name before its stream was seen to break.
-    /// Symptom: its predecessor's transactions stay open and get the newcomer's statements.
-    /// Enough, because another life ends whatever the former one had here.
+    /// A VM may be replaced by one of the same name before its stream is seen to break. A changed
+    /// life therefore ends everything that the former process had here; otherwise its transactions
+    /// would stay open and receive statements of the new process.
     fn hello(&mut self, from: VmId, hello: Hello, out: &mut Vec<Output>) {
         let peer = self.world.peers.entry(from.clone()).or_default();
         let replaced = peer.life.is_some_and(|life| life != hello.life);
--- a/src/core/node/settle.rs
+++ b/src/core/node/settle.rs
@@ -1,4 +1,4 @@
-//! What passes between the roles of one proxy: ended jobs, acknowledgements, roles, ownership.
+//! Exchange between the roles of one proxy: ended jobs, acknowledgements, roles and ownership.
 
 use super::Node;
 use crate::clock::Span;
@@ -17,8 +17,8 @@
 use std::sync::Arc;
 
 impl Node {
-    /// Does something with a database's holder, which is made if the configuration names the
-    /// database. Tells whether there is one.
+    /// Calls `act` with a database's holder, which is created if the configuration names the
+    /// database. Returns whether there is one.
     pub(super) fn with_holder(
         &mut self,
         database: &DatabaseId,
@@ -46,7 +46,7 @@
         true
     }
 
-    /// Does something with this VM's part in leading a group, if it has one.
+    /// Calls `act` with this VM's steward of a group. Returns whether there is one.
     pub(super) fn with_steward(
         &mut self,
         group: &GroupId,
@@ -67,7 +67,7 @@
         true
     }
 
-    /// As [`with_steward`](Self::with_steward), and takes a part in it if it had none.
+    /// Like [`with_steward`](Self::with_steward), but creates the steward if there is none.
     pub(super) fn join_steward(
         &mut self,
         group: &GroupId,
@@ -85,7 +85,7 @@
         self.with_steward(group, out, act)
     }
 
-    /// Tells the holder of a primary what its database is to this VM now.
+    /// Updates the roles of the holders whose databases start or stop being led by this VM.
     fn sync_role(&mut self, group: &GroupId, out: &mut Vec<Output>) {
         let role = self.stewards.get(group).and_then(Steward::role);
         let role = role.map(|(database, role)| (database.clone(), role));
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A job has left its database. What a primary answered goes through its steward.
+    /// Handles the end of a job. A primary's answer goes through its steward.
     fn ended(&mut self, ended: Ended, out: &mut Vec<Output>) {
         let Ended { job, end } = ended;
         match end {
@@ -182,7 +182,7 @@
         })
     }
 
-    /// A database or a connection to it did something.
+    /// Handles an event of a database or of a connection to it.
     pub(super) fn database(&mut self, event: Event, out: &mut Vec<Output>) {
         let conn = match &event {
             Event::Controlled { .. } => return self.controlled(event, out),
@@ -201,7 +201,7 @@
         self.with_holder(&database, out, |holder, turn| holder.event(turn, event));
     }
 
-    /// The platform's list was read.
+    /// Handles a new list of VMs from the platform.
     pub(super) fn members(&mut self, members: Vec<Member>, out: &mut Vec<Output>) {
         let first = self.world.members.is_empty();
         self.world.list(members);
@@ -232,7 +232,7 @@
         self.sweep(out);
     }
 
-    /// Takes up the databases that this VM holds now, and lets go of those that it does not.
+    /// Creates holders for the databases that this VM holds now, and releases the others.
     pub(super) fn sweep(&mut self, out: &mut Vec<Output>) {
         let held = self.world.held(self.now);
         for database in &held {
--- a/src/core/output.rs
+++ b/src/core/output.rs
@@ -1,33 +1,33 @@
-//! What a proxy does in answer to an input.
+//! The outputs of a proxy's core.
 
 use crate::core::database::Command;
 use crate::core::message::Message;
 use crate::core::request::Outcome;
 use crate::types::{Link, Position, VmId};
 
-/// What a proxy does.
+/// An action that the core requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Tells a caller what came of its request.
+    /// Answers a caller's request.
     Reply {
         /// The caller's connection.
         link: Link,
-        /// What came of it.
+        /// The outcome.
         outcome: Outcome,
-        /// The session's floor, for the token that the caller is shown.
+        /// The session's floor, for the token that the caller receives.
         floor: Option<Position>,
     },
-    /// Ends an idle caller's connection, with the advice to connect again.
+    /// Closes an idle caller's connection and advises it to connect again.
     Dismiss(Link),
     /// Sends a message to another proxy, opening the stream if there is none.
     Send {
         /// The receiver.
         to: VmId,
-        /// What to say.
+        /// The message.
         message: Message,
     },
-    /// Tells a database something.
+    /// Sends a command to a database.
     Database(Command),
-    /// Nothing is left to do: the process may end.
+    /// Nothing is left to do, and the process may exit.
     Stopped,
 }
--- a/src/core/session.rs
+++ b/src/core/session.rs
@@ -1,22 +1,22 @@
-//! What a steward remembers of its group's sessions: floors, and the leases given on them.
+//! The floors of a group's sessions and the leases granted on them, kept by the group's steward.
 
 use crate::clock::Time;
 use crate::core::recent::Recent;
 use crate::types::{Position, SessionId, VmId};
 
-/// Sessions remembered for each group, about 200 bytes each. A session that is forgotten costs
-/// replica reads until the replicas have passed the horizon; one that is forgotten within a
-/// lease's second makes writes wait for that lease. At full size a group gets some 3,000
-/// statements a second, so five times as many sessions are never met within one.
+/// The number of sessions kept for each group, about 200 bytes each. An evicted session loses
+/// reads on replicas until these have passed the horizon; one evicted while its lease of at most
+/// one second is in use makes writes wait for that lease. A group at full size gets some 3,000
+/// statements a second, so five times as many sessions are never active within one.
 const SESSIONS_KEPT: usize = 16_384;
 
 /// The floors of a group's sessions under one term.
 #[derive(Debug)]
 pub(crate) struct Sessions {
-    /// The floor of every session without a seat.
+    /// The floor of every session without a record.
     horizon: Position,
     seats: Recent<SessionId, Seat>,
-    /// Until when leases may be in use whose session was forgotten.
+    /// Until when leases of evicted sessions may be in use.
     forgotten_until: Time,
 }
 
@@ -29,31 +29,32 @@
 /// A lease that an entry may be using.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Holding {
-    /// The entry; `None` where it was forgotten and cannot be asked to give it up.
+    /// The entry; `None` if it was evicted, so that it cannot be asked to release the lease.
     pub vm: Option<VmId>,
-    /// When it lapses by itself.
+    /// When it expires.
     pub until: Time,
     /// The session's floor when it was granted.
     pub floor: Position,
 }
 
 impl Holding {
-    /// Whether the lease ends when `vm` says that it gave up what a write up to `floor` revoked.
+    /// Whether the lease ends when `vm` reports that it released the lease that a write up to
+    /// `floor` revoked.
     ///
-    /// Failure: the word arrives late, after `vm` asked anew and was granted another lease.
-    /// Symptom: the next write does not wait for that lease, and the session reads what was
-    /// before it. Enough, because a lease that was granted after a write has that write's floor.
+    /// The report may arrive after `vm` was granted another lease, which the next write must still
+    /// wait for, or the session would read older data. A lease granted after a write has that
+    /// write's floor, so comparing floors tells the two apart.
     pub fn ends_by(&self, vm: &VmId, floor: Position) -> bool {
         self.vm.as_ref() == Some(vm) && self.floor.offset < floor.offset
     }
 }
 
 impl Sessions {
-    /// The sessions of a term whose log starts at `base`.
+    /// Creates the sessions of a term whose log starts at `base`.
     ///
-    /// Failure: a steward that has just taken over knows no session. Symptom: a session's read
-    /// is served by a replica that lacks its write. Enough, because every acknowledged write of
-    /// a former term that was kept lies at or below the base.
+    /// A new steward has no sessions, so every floor starts at `base`: every acknowledged write of
+    /// a former term that was kept lies at or below it. With a lower floor a session could be
+    /// served by a replica that lacks its write.
     pub fn new(base: Position) -> Self {
         Self {
             horizon: base,
@@ -70,7 +71,7 @@
         self.horizon
     }
 
-    /// The floor of a session that is remembered.
+    /// The floor of a session that has a record.
     pub fn floor(&self, session: &SessionId) -> Option<Position> {
         self.seats.get(session).map(|seat| seat.floor)
     }
@@ -93,8 +94,8 @@
         seat.floor
     }
 
-    /// `session` wrote up to `position` by way of `vm`. Returns the leases of other entries,
-    /// which have to end before the write is acknowledged.
+    /// Records that `session` wrote up to `position` by way of `vm`. Returns the leases of other
+    /// entries, which must end before the write is acknowledged.
     pub fn wrote(
         &mut self,
         session: &SessionId,
@@ -110,7 +111,7 @@
         seat.leases.iter().filter(other).cloned().collect()
     }
 
-    /// `vm` gave up the lease that a write up to `floor` revoked.
+    /// Records that `vm` released the lease that a write up to `floor` revoked.
     pub fn released(&mut self, session: &SessionId, vm: &VmId, floor: Position) {
         if let Some(seat) = self.seats.get_mut(session) {
             seat.leases.retain(|lease| !lease.ends_by(vm, floor));
@@ -124,9 +125,9 @@
         last.max(self.forgotten_until)
     }
 
-    /// Failure: sessions come and go without end. Symptom: the steward runs out of memory, or
-    /// forgets a floor and serves an older row. Enough, because the horizon rises to the floor
-    /// of whatever is forgotten, and a write waits for the leases forgotten with it.
+    /// Returns the record of `session` and evicts the least recently used one if there are too
+    /// many, which bounds memory. The horizon rises to the evicted floor, so that no older row is
+    /// served, and writes wait for the evicted leases.
     fn seat(&mut self, session: &SessionId) -> &mut Seat {
         let horizon = self.horizon;
         let forgotten = Holding {
--- a/src/core/spread.rs
+++ b/src/core/spread.rs
@@ -1,9 +1,9 @@
-//! How proxies bring a new configuration to each other, without the store.
+//! Distribution of configurations between proxies, without the store.
 //!
-//! Load pattern: 1,200 changes a day to 580 VMs, and a store that may fail right after it has
-//! accepted one. A VM with a new version tells a few others at random; whoever is behind asks
-//! for the document, so that it crosses the network once for each VM. Versions also travel
-//! with probes, and each VM tells one other each second, which finds those that were missed.
+//! Designed for 1,200 changes a day to 580 VMs and for a store that fails right after accepting
+//! one. A VM with a new version announces it to a few random others. A VM with an older version
+//! requests the document, so that each VM receives it once. Versions are also sent with probes,
+//! and each VM sends its version to one other each second, which reaches those that were missed.
 
 use crate::clock::{Span, Time};
 use crate::config::Accepted;
@@ -17,30 +17,30 @@
 use std::io::{Read, Write};
 use std::sync::Arc;
 
-/// VMs told at once of a new version. Three leave about 6 % of the VMs to the next seconds'
-/// gossip.
+/// The number of VMs to which a new version is announced at once. With three, about 6 % of the
+/// VMs learn of it only by the gossip of the next seconds.
 const FANOUT: usize = 3;
 
-/// Between two tellings of a VM's version to another: 580 VMs are reached in a few rounds, for
-/// some 60 bytes a second.
+/// The interval at which a VM sends its version to another one. This reaches 580 VMs in a few
+/// rounds and costs some 60 bytes a second.
 const GOSSIP: Span = Span::from_secs(1);
 
-/// How long a document asked for is waited for before another VM may be asked.
+/// How long to wait for a requested document before another VM may be asked.
 const WANT: Span = Span::from_millis(500);
 
-/// How long a fresh VM with others beside it waits to hear of a later version than the store
-/// showed it.
+/// How long a VM that has just started waits for another VM to announce a later version than the
+/// one it read from the store.
 const PROBATION: Span = Span::from_secs(1);
 
-/// The largest document taken, uncompressed: ten times that of 1,200 databases.
+/// The largest document accepted, in uncompressed bytes: ten times that of 1,200 databases.
 const DOCUMENT_LIMIT: u64 = 4 << 20;
 
-/// What a VM does to have the latest configuration.
+/// Finds and distributes the latest configuration.
 #[derive(Debug, Default)]
 pub(crate) struct Spread {
-    /// The highest version heard of.
+    /// The highest version that any VM has announced.
     heard: Version,
-    /// Read already, but not in force while a later one is being fetched.
+    /// A configuration that was received but not put in force yet, while a later one may exist.
     candidate: Option<Arc<Accepted>>,
     probation: Option<Time>,
     met: bool,
@@ -50,7 +50,7 @@
 }
 
 impl Spread {
-    /// The next time at which it has something to say.
+    /// When the next tick is due.
     pub fn wake(&self) -> Time {
         match self.probation {
             Some(until) if self.candidate.is_some() => until.min(self.gossip_at),
@@ -58,12 +58,12 @@
         }
     }
 
-    /// A configuration was read from the store or sent by another VM. It is returned if it is
-    /// to be put in force now.
+    /// Takes a configuration from the store or another VM, and returns it if it is to be put in
+    /// force now.
     ///
-    /// Failure: the store shows an old version, or a message is late. Symptom: a configuration
-    /// that was accepted is reverted. Enough, because only a higher version than the one in
-    /// force is taken, and a fresh VM first asks the others for the highest.
+    /// Only a higher version than the one in force is taken, and a VM that has just started first
+    /// waits for the versions of others, so that an outdated store or a late message never
+    /// reverts an accepted configuration.
     pub fn offered(&mut self, turn: &mut Turn, offered: Arc<Accepted>) -> Option<Arc<Accepted>> {
         let known = self.candidate.as_ref().map(|known| known.version);
         if offered.version <= turn.version() || known >= Some(offered.version) {
@@ -74,7 +74,7 @@
         self.settle(turn)
     }
 
-    /// The candidate, once nothing speaks against it.
+    /// Removes and returns the candidate if it may be put in force now.
     pub fn settle(&mut self, turn: &mut Turn) -> Option<Arc<Accepted>> {
         let fresh = turn.world.config.is_none();
         let others = turn.world.members.iter().any(|m| m.vm != turn.world.me.vm);
@@ -91,7 +91,7 @@
         self.candidate.take()
     }
 
-    /// A configuration was put in force: others are told.
+    /// Announces a configuration that was put in force.
     pub fn accepted(&mut self, turn: &mut Turn) {
         self.packed = None;
         self.wanted_until = Time::default();
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Another VM told its version.
+    /// Records another VM's version and requests its document if it is newer.
     pub fn heard(&mut self, turn: &mut Turn, from: &VmId, version: Version) {
         self.heard = self.heard.max(version);
         let candidate = self.candidate.as_ref().map(|known| known.version);
@@ -112,14 +112,14 @@
         }
     }
 
-    /// Another VM said hello, or told an older version with a probe: it is told ours.
+    /// Sends this VM's version to a VM that announced an older one.
     pub fn answer(&mut self, turn: &mut Turn, from: &VmId, version: Version) {
         if version < turn.version() {
             self.greet(turn, from);
         }
     }
 
-    /// At least one other VM has told its version.
+    /// Records that at least one other VM has announced its version.
     pub fn meet(&mut self) {
         self.met = true;
     }
@@ -133,7 +133,7 @@
         turn.send(to, Message::Hello(hello));
     }
 
-    /// Another VM asks for a later configuration than `version`.
+    /// Sends the configuration to a VM that asked for a later one than `version`.
     pub fn want(&mut self, turn: &mut Turn, from: &VmId, version: Version) {
         if version >= turn.version() {
             return;
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Tells one other VM at random; one with an open stream, where there is any.
+    /// Sends a hello to one other VM at random, preferably one with an open stream.
     fn greet_one(&mut self, turn: &mut Turn) {
         let me = &turn.world.me.vm;
         let listed = turn.world.members.iter().map(|member| &member.vm);
@@ -185,7 +185,7 @@
     }
 }
 
-/// Unpacks a document that another VM sent; `None` if it makes no sense.
+/// Unpacks a document that another VM sent; `None` if it is malformed or too large.
 pub(crate) fn unpack(packed: &Bytes) -> Option<Accepted> {
     let mut json = Vec::new();
     let mut decoder = GzDecoder::new(packed.as_ref()).take(DOCUMENT_LIMIT);
