--- a/src/core/steward.rs
+++ b/src/core/steward.rs
@@ -1,5 +1,6 @@
-//! One VM's part in leading a group: it watches the group's steward, takes over when the
-//! holders of a majority miss it, and leads until a higher term is met.
+//! One VM's part in leading a group. It watches the group's steward, takes over when the holders
+//! of a majority of its databases no longer receive its probes, and leads until it finds a higher
+//! term.
 
 mod election;
 mod handover;
@@ -20,24 +21,24 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Entries that are told of the next leader as soon as there is one. An entry beyond these asks
-/// again by itself.
+/// The number of entries that are notified as soon as there is a leader. Further entries ask again
+/// by themselves.
 const CURIOUS_LIMIT: usize = 1_024;
 
-/// One VM's part in leading one group.
+/// One VM's part in leading one group: the VM that leads it is the group's steward.
 #[derive(Debug)]
 pub(crate) struct Steward {
     pub group: GroupId,
     members: BTreeSet<DatabaseId>,
-    /// Watches the group's steward by its probes.
+    /// Suspects the group's steward when its probes stop.
     watch: Detector,
     damper: Damper,
-    /// The highest term heard of.
+    /// The highest known term.
     term: Term,
     /// When the group was last known to be served.
     served: Time,
     phase: Phase,
-    /// No takeover is tried before this.
+    /// The earliest time of the next takeover.
     patience: Time,
     curious: BTreeMap<VmId, RequestId>,
     verdicts: Vec<Verdict>,
@@ -52,11 +53,11 @@
     Lead(Box<Lead>),
 }
 
-/// What the holders of a group's databases say of its steward.
+/// Evidence of the holders of a group's databases about its steward.
 #[derive(Debug)]
 struct Evidence {
     silent: BTreeSet<DatabaseId>,
-    /// Other VMs that miss the steward too.
+    /// The number of other VMs that suspect the steward too.
     witnesses: usize,
     asked: BTreeMap<RequestId, VmId>,
     until: Time,
@@ -67,16 +68,16 @@
 struct Raising {
     promotion: Promotion,
     asked: BTreeMap<RequestId, DatabaseId>,
-    /// The term whose steward has stopped for good, if it was handed over.
+    /// The term that was handed over, whose steward acknowledges nothing more.
     yielded: Option<Term>,
-    /// Refused before for a stale idea of the term, which costs no more than another try.
+    /// The number of earlier raises that were refused because a database was in a higher term.
     tries: u32,
-    /// Databases that have not answered are waited for until then, once a majority has.
+    /// Until when to wait for the other databases once a majority has answered.
     choose_at: Time,
     until: Time,
 }
 
-/// The chosen primary is being opened.
+/// The chosen primary, while it is being opened.
 #[derive(Debug)]
 struct Opening {
     term: Term,
@@ -87,7 +88,7 @@
     until: Time,
 }
 
-/// What becomes of a primary's answer.
+/// A job whose answer the steward has decided on.
 #[derive(Debug)]
 pub(crate) struct Verdict {
     pub job: Job,
@@ -107,7 +108,8 @@
     lead: Option<lead::Dump<'a>>,
 }
 
-/// What a steward has to know of the primary's holder, which is on the same VM.
+/// The state of the primary's holder, which is on the same VM: whether it has no open transaction
+/// and no work.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Quiet {
     pub transactions: bool,
@@ -150,7 +152,7 @@
         }
     }
 
-    /// What the primary is to this VM, if this VM leads.
+    /// The primary and its role, if this VM leads.
     pub fn role(&self) -> Option<(&DatabaseId, Role)> {
         match &self.phase {
             Phase::Lead(lead) => Some((lead.primary(), lead.role())),
@@ -171,7 +173,7 @@
         matches!(self.phase, Phase::Lead(_))
     }
 
-    /// When it next wants a tick.
+    /// When the next tick is due.
     pub fn wake(&self) -> Time {
         match &self.phase {
             Phase::Follow => self.watch.suspects_at().max(self.patience),
@@ -182,11 +184,11 @@
         }
     }
 
-    /// The configuration changed: the group may have other databases.
+    /// Applies a changed configuration, in which the group may have other databases.
     ///
     /// A group's majority is that of the document in force. A change that adds or removes more
-    /// than one database at once may leave old and new majorities that do not meet; a checker of
-    /// documents has to refuse it.
+    /// than one database at once may leave an old and a new majority without a common database,
+    /// so validation of documents must refuse it.
     pub fn configure(&mut self, turn: &mut Turn) {
         let found = turn.world.group(&self.group);
         let members: BTreeSet<DatabaseId> = found
@@ -214,7 +216,7 @@
         }
     }
 
-    /// A steward's probe arrived: it lives, and says whether it serves.
+    /// Handles a steward's probe, which shows that it is alive and whether it serves.
     pub fn probed(&mut self, turn: &mut Turn, probe: &Probe) {
         let term = probe.primary.term;
         if term < self.term {
@@ -229,7 +231,7 @@
             }
             self.phase = Phase::Follow;
         }
-        // A steward that waits out the damping of promotions is not to be replaced for it.
+        // A steward that waits for the damping of promotions must not be replaced for that.
         if probe.serving || turn.now < self.damper.allows_at() {
             self.watch.heard(turn.now);
         }
@@ -239,12 +241,11 @@
         }
     }
 
-    /// A database was raised to `term` by way of this VM: somebody is taking the group over.
+    /// Records that another VM raised a database to `term` by way of this VM, to take over the group.
     ///
-    /// Failure: a VM waits out the former term's window after its raise, and another one, still
-    /// without a sign of life, raises again. Symptom: terms rise without end and nobody leads.
-    /// Enough, because a raise counts as a sign of life for as long as the wait takes, and a
-    /// raiser that dies meanwhile costs no more than that.
+    /// The raising VM waits for a window before it leads. The raise counts as a response for that
+    /// long; otherwise VMs that have received no probe would raise again, so that terms rise
+    /// without end and no VM leads. If the raising VM fails, this costs one window.
     pub fn saw_raise(&mut self, turn: &Turn, term: Term) {
         if term <= self.term {
             return;
@@ -256,8 +257,8 @@
         }
     }
 
-    /// Another holder asks whether the steward was heard; a steward asks whether its primary
-    /// can be reached from here, which `reached` answers.
+    /// Answers another holder that asks whether the steward responds, or a steward that asks
+    /// whether its primary can be reached from here, which is `reached`.
     pub fn suspected(
         &mut self,
         turn: &mut Turn,
@@ -280,7 +281,7 @@
         turn.send(from, Message::Suspected(answer));
     }
 
-    /// Tells an entry who leads; one that is told nothing hears as soon as that is known.
+    /// Sends the leader to an entry. If there is none, the entry is notified once there is one.
     pub(super) fn inform(&mut self, turn: &mut Turn, from: &VmId, request: RequestId) {
         let known = turn.world.leaders.get(&self.group).cloned();
         let live = match &self.phase {
@@ -319,9 +320,8 @@
 
     /// Ends this VM's lead.
     ///
-    /// Failure: a replaced primary has answered, and the answer is here. Symptom: a write is
-    /// acknowledged that no later primary holds. Enough, because whatever waited is told as
-    /// unknown now, and nothing of this term is passed on once the phase has changed.
+    /// Waiting answers are reported as unknown now, and no answer of this term is sent afterwards;
+    /// otherwise a replaced primary's write could be acknowledged that no later primary holds.
     fn step_down(&mut self, turn: &mut Turn) {
         let Phase::Lead(lead) = std::mem::replace(&mut self.phase, Phase::Follow) else {
             return;
--- a/src/core/steward/election.rs
+++ b/src/core/steward/election.rs
@@ -1,5 +1,5 @@
-//! Taking a group over: evidence from the holders of a majority, then a raise of the term at a
-//! majority of its databases, then the wait for the former term's confirmations to lapse.
+//! Takeover of a group: collects evidence from the holders of a majority, raises the term at a
+//! majority of its databases, and waits until the former term's confirmations have expired.
 
 use super::{Evidence, Opening, Phase, Raising, Steward};
 use crate::clock::{Span, Time};
@@ -11,16 +11,16 @@
 use crate::types::{DatabaseId, RequestId, Term, VmId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many times longer than usual the steward is missed before a VM that hears from no
-/// other one takes its group over.
+/// A VM that receives no answer from any other one takes over only after the steward has been
+/// silent for this many suspicion spans.
 const ALONE: u64 = 3;
 
-/// Tries with ever higher terms before the field is left to another VM.
+/// The number of raises to higher terms before this VM backs off for another one.
 const TRIES: u32 = 3;
 
 impl Steward {
-    /// Suspects the steward once it was silent for long enough. VMs wait by rank, so that two
-    /// seldom raise the term against each other; if they do, the higher term wins.
+    /// Starts a takeover once the steward has been silent for long enough. VMs wait according to
+    /// their rank, so that two rarely raise the term at once; if they do, the higher term wins.
     pub(super) fn watch_steward(&mut self, turn: &mut Turn) {
         if turn.world.stopping || turn.now < self.patience || !self.watch.suspects(turn.now) {
             return;
@@ -38,8 +38,8 @@
         self.gather(turn);
     }
 
-    /// This VM's place among the holders of the group's databases, the primary's first; `None`
-    /// if it holds none.
+    /// This VM's rank among the holders of the group's databases, the primary's holder first;
+    /// `None` if it holds none of them.
     fn rank(&self, turn: &mut Turn) -> Option<u64> {
         let primary = self.leader(turn).map(|leader| leader.database);
         let first = primary.iter().filter(|id| self.members.contains(*id));
@@ -52,11 +52,11 @@
         Some(place as u64)
     }
 
-    /// Asks the holders of the other databases whether they miss the steward too.
+    /// Asks the holders of the other databases whether they suspect the steward too.
     ///
-    /// Failure: one VM is cut from a steward that serves everybody else. Symptom: a promotion
-    /// for nothing, and a gap for all. Enough, because a steward that serves probes a majority
-    /// of the databases, and their holders say so.
+    /// A serving steward probes a majority of the databases, whose holders then contradict. One VM
+    /// that is cut off from it therefore causes no needless promotion, which would interrupt all
+    /// callers.
     fn gather(&mut self, turn: &mut Turn) {
         let mut silent = BTreeSet::new();
         let mut asked = BTreeMap::new();
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Nobody else has answered. This VM goes on alone once the steward was missed for several
-    /// times as long: it may be the last one, and the list of VMs lags.
+    /// Decides without enough answers. This VM takes over alone once the steward has been silent for
+    /// several suspicion spans, since it may be the last VM and the list of VMs may be outdated.
     pub(super) fn decide_alone(&mut self, turn: &mut Turn) {
         let suspicion = turn.timing().suspicion;
         let alone_at = self.watch.suspects_at() + Span(suspicion.0 * (ALONE - 1));
@@ -113,7 +113,7 @@
         holders
     }
 
-    /// A holder's evidence arrived.
+    /// Handles a holder's evidence.
     pub fn evidence(&mut self, turn: &mut Turn, from: &VmId, suspected: Suspected) {
         if self.leads() {
             return self.reachable(turn, from, suspected);
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Gives up for now: the steward is heard by others, or there is not enough evidence.
+    /// Backs off, because others receive the steward's probes or there is not enough evidence.
     pub(super) fn rest(&mut self, turn: &mut Turn) {
         let spread = turn.timing().probe;
         let jitter = turn.world.random(spread.0.max(1) as usize) as u64;
@@ -170,7 +170,7 @@
         });
     }
 
-    /// Raises the term to replace `primary`, whose log does not reach the others.
+    /// Raises the term to replace `primary`, whose log does not reach the replicas.
     pub(super) fn raise_without(&mut self, turn: &mut Turn, primary: DatabaseId) {
         self.raise(turn, self.term.next(), None, 0);
         if let Phase::Raise(raising) = &mut self.phase {
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Sends an order to a database by way of its holder, unless that is the VM under suspicion.
+    /// Sends an order to a database by way of its holder, or directly if the holder is the group's
+    /// steward, which is suspected.
     pub(super) fn order(&self, turn: &mut Turn, id: &DatabaseId, order: Order) -> RequestId {
         let request = turn.id();
         let holder = turn.world.holder(turn.now, id);
@@ -210,7 +211,7 @@
         turn.send(to, Message::Control(control));
     }
 
-    /// A database answered an order of this steward.
+    /// Handles a database's answer to an order of this steward.
     pub fn controlled(&mut self, turn: &mut Turn, controlled: Controlled) {
         match &self.phase {
             Phase::Raise(_) => self.raised(turn, controlled),
@@ -249,9 +250,9 @@
         }
     }
 
-    /// A database is in a higher term, or in this one by an order whose answer was lost or by
-    /// another steward. Only a term that this VM alone raised may be opened, so a higher one is
-    /// tried, a few times.
+    /// Handles a database that is in a higher term, or in this one by another steward or by an order
+    /// whose answer was lost. A term may be opened only if this VM alone raised it, so a higher
+    /// one is tried, up to a few times.
     fn outbid(&mut self, turn: &mut Turn, higher: Term) {
         let Phase::Raise(raising) = &self.phase else {
             return;
@@ -266,7 +267,7 @@
         if tries >= TRIES {
             return self.rest(turn);
         }
-        // A higher term than the one handed over may have confirmations of its own.
+        // A term above the one handed over may have confirmations of its own to wait for.
         self.raise(turn, self.term.next(), None, tries);
         if let (Phase::Raise(raising), Some(primary)) = (&mut self.phase, left_out) {
             raising.promotion.leave_out(primary);
@@ -318,7 +319,7 @@
             return;
         };
         if opening.until <= turn.now {
-            // The chosen database went away meanwhile, or only another VM reaches it.
+            // The chosen database has failed, or only another VM reaches it.
             self.term = self.term.max(opening.term);
             turn.world.counters.promotions_abandoned += 1;
             return self.rest(turn);
@@ -359,11 +360,11 @@
         }
     }
 
-    /// A stopping steward hands the group over: there is nothing to wait out.
+    /// Takes over a group from a steward that handed it over, without waiting for a window.
     ///
-    /// Failure: the message is old, and another term has begun since. Symptom: a steward that
-    /// still acknowledges is not waited for. Enough, because only the leader known here can
-    /// hand over, and a raise above any later term fails at the databases that follow it.
+    /// The message may be late, and a steward of another term may still acknowledge. So a handover
+    /// of a term below the highest known one is ignored, and the raise to the very next term fails
+    /// at databases that are in a later one.
     pub fn yielded(&mut self, turn: &mut Turn, from: &VmId, handover: Yield) {
         let term = handover.primary.term;
         if turn.world.stopping || handover.primary.steward != *from || term < self.term {
@@ -377,7 +378,7 @@
         self.raise(turn, term.next(), Some(term), 0);
     }
 
-    /// A stream broke: what was asked over it is not waited for.
+    /// Stops waiting for answers of a VM whose stream broke.
     pub fn peer_down(&mut self, turn: &mut Turn, vm: &VmId) {
         let Phase::Gather(evidence) = &mut self.phase else {
             return;
@@ -390,9 +391,9 @@
 }
 
 impl Raising {
-    /// When the choice is made: not before the former term's confirmations have lapsed, and
-    /// not before every database was heard or had a fair time to answer, because a log that
-    /// goes further than the majority's holds writes that callers may ask after.
+    /// When the primary is chosen: after the former term's confirmations have expired, and after
+    /// every database has answered or had time to. A log that goes further than the majority's
+    /// holds writes whose outcome callers may still query.
     fn opens(&self) -> Option<Time> {
         let opens = self.promotion.opens()?;
         if self.promotion.complete() {
--- a/src/core/steward/handover.rs
+++ b/src/core/steward/handover.rs
@@ -1,5 +1,4 @@
-//! What a leading steward does with time: probes, a silent primary, and giving its lead up in
-//! an orderly way.
+//! Periodic work of a leading steward: probes, detection of a lost primary, and planned handover.
 
 use super::lead::{Doubt, Replica};
 use super::{Phase, Quiet, Steward};
@@ -11,13 +10,13 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// An orderly end of a lead: on a planned stop another VM takes over, and where only the
-/// primary has to go, this VM raises the next term itself.
+/// A planned end of a lead. On a planned stop another VM takes over; if only the primary must be
+/// replaced, this VM raises the next term itself.
 #[derive(Debug, Serialize)]
 pub(crate) struct Handover {
-    /// Transactions are waited for until then.
+    /// Until when open transactions may finish.
     drain_until: Time,
-    /// Nothing starts any more.
+    /// Whether no new work is started.
     pub frozen: bool,
 }
 
@@ -33,7 +32,7 @@
         self.check_handover(turn, quiet);
     }
 
-    /// Without confirmations, and with a higher term about, the lead is over.
+    /// Ends the lead if its confirmations have expired and a higher term is known.
     fn check_terms(&mut self, turn: &mut Turn) {
         let (now, known) = (turn.now, self.term);
         let over =
@@ -43,9 +42,9 @@
         }
     }
 
-    /// Failure: the primary is silent here although others reach it, or it is dead. Symptom: a
-    /// promotion for nothing, or none at all. Enough, because others are asked first, and the
-    /// one that reaches it gets the group; if none does in time, another primary is promoted.
+    /// Handles a primary that does not respond to this VM. Others are asked first, because it may
+    /// only be unreachable from here: a VM that reaches it gets the group. If none does in time,
+    /// another primary is promoted.
     fn check_primary(&mut self, turn: &mut Turn) {
         let (now, allowed) = (turn.now, self.damper.allows_at());
         let Some(lead) = self.lead() else {
@@ -63,11 +62,10 @@
         }
     }
 
-    /// Failure: the primary is cut off from its replicas, but answers here. Symptom: writes wait
-    /// for a majority that never has them. Enough, because replicas that answer, yet whose logs
-    /// stand still, are a majority without the primary and can go on without it. Where a write
-    /// that only the primary has was acknowledged (`durability: primary`), the primary is kept:
-    /// a write that waits is better than an acknowledged one that is lost.
+    /// Replaces a primary that responds here but is cut off from its replicas, because writes
+    /// would wait for a majority that never receives them. This needs a majority of replicas that
+    /// respond while their logs make no progress. A primary that alone has an acknowledged write
+    /// (`durability: primary`) is kept: a waiting write is better than a lost acknowledged one.
     fn check_replication(&mut self, turn: &mut Turn) {
         let (now, allowed) = (turn.now, self.damper.allows_at());
         let suspicion = turn.timing().suspicion;
@@ -118,7 +116,7 @@
         lead.doubt = Some(Doubt { asked, until });
     }
 
-    /// Another holder says whether it reaches the primary.
+    /// Handles another holder's answer on whether it reaches the primary.
     pub(super) fn reachable(&mut self, turn: &mut Turn, from: &VmId, suspected: Suspected) {
         let now = turn.now;
         let Some(lead) = self.lead() else {
@@ -131,7 +129,7 @@
             return;
         }
         doubt.asked.remove(&suspected.request);
-        // Leases that are out would outlive a term that ends without its window.
+        // A handover skips the window, so granted leases would outlive the term.
         if suspected.reached == Some(true) && lead.sessions.leased_until() <= now {
             return self.yield_to(turn, from.clone());
         }
@@ -143,7 +141,7 @@
         self.raise(turn, self.term.next(), None, 0);
     }
 
-    /// The planned stop, or a primary that is to leave, in steps.
+    /// Advances a planned stop or the planned replacement of a primary by one step.
     fn check_handover(&mut self, turn: &mut Turn, quiet: Quiet) {
         let leaving = self.has_to_go(turn);
         let now = turn.now;
@@ -171,13 +169,12 @@
         }
     }
 
-    /// Whether this VM or its primary is to go, and there is something to move to; or whether
-    /// the term is to go.
+    /// Whether the lead must end because this VM stops, because the primary leaves and another
+    /// database can replace it, or because a replica stays in a higher term.
     ///
-    /// Failure: a raise that reached one database was abandoned. Symptom: that database follows
-    /// nobody, and the group goes on with one less until the next loss stops it. Enough,
-    /// because this VM moves the whole group to a term above, in the orderly way of a handover,
-    /// once the stray has been one for long enough not to be a takeover under way.
+    /// An abandoned raise may leave one database in a higher term, where it follows no primary and
+    /// the group has one database less until the next loss stops it. A planned handover moves the
+    /// whole group to a term above, once this has lasted too long to be a takeover under way.
     fn has_to_go(&mut self, turn: &Turn) -> bool {
         if turn.world.stopping {
             return true;
@@ -205,7 +202,7 @@
         }
     }
 
-    /// Another VM that is to lead: the next in the primary's order, else another holder.
+    /// The VM that leads next: the next one in the primary's order, or else another holder.
     fn successor(&mut self, turn: &mut Turn) -> Option<VmId> {
         let now = turn.now;
         let lead = self.lead()?;
--- a/src/core/steward/lead.rs
+++ b/src/core/steward/lead.rs
@@ -16,16 +16,16 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Probes of one database whose reports are still taken. A report of an older one proves less
-/// than a window by then.
+/// The number of latest probes of one database whose reports are accepted. By then, the report of
+/// an older one proves less than a window.
 const ROUNDS_KEPT: usize = 8;
 
-/// What a steward keeps while it leads.
+/// The state of a steward while it leads: who leads the group, and under which term.
 #[derive(Debug)]
 pub(crate) struct Lead {
     pub(super) leader: Primary,
     pub(super) confirmations: Confirmations,
-    /// Watches the primary by its own answers.
+    /// Suspects the primary when it stops answering.
     pub(super) primary_watch: Detector,
     pub(super) primary_log: Option<Log>,
     primary_asked: Option<(RequestId, Time)>,
@@ -40,7 +40,7 @@
     served: bool,
 }
 
-/// The primary's log as it was found.
+/// The end of the primary's log when it was last read.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(crate) struct Log {
     pub end: Position,
@@ -48,19 +48,19 @@
     asked: Time,
 }
 
-/// A replica as its reports show it.
+/// The state of a replica according to its reports.
 #[derive(Debug, Default)]
 pub(crate) struct Replica {
     rounds: BTreeMap<RequestId, Time>,
-    /// The last report's round, and when it arrived.
+    /// The round of the last report, and when that report arrived.
     report: Option<(RequestId, Time)>,
-    /// When its database answered a probe last.
+    /// When its database last answered a probe.
     answered: Time,
     /// The end of its log.
     pub end: Position,
-    /// Since when it has been found in a higher term, which nobody leads.
+    /// Since when it has been in a higher term than this one.
     pub(super) higher: Option<Time>,
-    /// The order to tell when the log has reached a position, while it is under way.
+    /// The `Order::Reach` that is under way, if any.
     pub(super) reach: Option<Reach>,
 }
 
@@ -71,14 +71,14 @@
     pub until: Time,
 }
 
-/// The primary is silent here: others are asked whether they reach it.
+/// Questions to other VMs on whether they reach a primary that does not respond here.
 #[derive(Debug)]
 pub(crate) struct Doubt {
     pub asked: BTreeMap<RequestId, VmId>,
     pub until: Time,
 }
 
-/// A lead's state for `dump`.
+/// The state of a lead for `dump`.
 #[derive(Debug, Serialize)]
 pub(crate) struct Dump<'a> {
     leader: &'a Primary,
@@ -118,13 +118,13 @@
         }
     }
 
-    /// Whether a database has been in a higher term for `patience`, although this one serves.
+    /// Whether a database has been in a higher term for `patience` while this one serves.
     pub(super) fn has_stray(&self, now: Time, patience: Span) -> bool {
         let mut higher = self.replicas.values().filter_map(|replica| replica.higher);
         self.serves(now) && higher.any(|since| since + patience <= now)
     }
 
-    /// Whether writes are acknowledged just now.
+    /// Whether writes are currently acknowledged.
     pub fn serves(&self, now: Time) -> bool {
         now < self.confirmations.deadline() && !self.primary_watch.suspects(now)
     }
@@ -134,14 +134,14 @@
         doubt.unwrap_or(self.probe_at).min(self.probe_at)
     }
 
-    /// Ends the lead; what still waits for its acknowledgement is returned.
+    /// Ends the lead and returns the answers that still wait to be acknowledged.
     pub fn end(mut self) -> Vec<Waiting> {
         self.acks.abandon()
     }
 }
 
 impl Steward {
-    /// The primary is open in a term that this VM raised.
+    /// Starts to lead with a primary that was opened in a term that this VM raised.
     pub(super) fn take_lead(
         &mut self,
         turn: &mut Turn,
@@ -154,7 +154,7 @@
         let replicas = others.map(|id| (id.clone(), Replica::default())).collect();
         let members = self.members.len();
         self.term = leader.term;
-        // A first term, or another steward for the same primary, is no change of primary.
+        // A first term and another steward for the same primary are not changes of primary.
         let former = turn.world.leaders.get(&self.group);
         if former.is_some_and(|former| former.database != leader.database) {
             self.damper.promoted(turn.now, timing.damping);
@@ -225,7 +225,7 @@
         }
     }
 
-    /// What a probe found.
+    /// Handles the report of a probe.
     pub fn reported(&mut self, turn: &mut Turn, report: Report) {
         let window = turn.timing().window;
         let now = turn.now;
@@ -248,7 +248,7 @@
         replica.higher = (found.term > term).then(|| replica.higher.unwrap_or(now));
         if found.term == term {
             lead.confirmations.confirm(&report.database, sent, window);
-            // An entry of this term was written by its one primary, so the log up to it is ours.
+            // Only this term's primary writes entries of this term, so the log up to here is its log.
             if found.position.term == term {
                 lead.acks.reached(&report.database, found.position.offset);
             }
@@ -262,7 +262,7 @@
         self.flush(turn);
     }
 
-    /// The first confirmed moment of a term ends the failover gap.
+    /// Records that the group is served. The first time in a term ends the failover gap.
     fn note_service(&mut self, turn: &mut Turn) {
         let (now, since) = (turn.now, self.served);
         let Some(lead) = self.lead() else {
@@ -277,7 +277,7 @@
         self.served = now;
     }
 
-    /// A database answered an order given while leading.
+    /// Handles a database's answer to an order that was sent while leading.
     pub(super) fn lead_controlled(&mut self, turn: &mut Turn, controlled: Controlled) {
         let Some(lead) = self.lead() else {
             return;
@@ -304,8 +304,8 @@
         {
             lead.acks.reached(&controlled.database, reach.wanted);
         } else {
-            // Asked again with the next round of probes, not at once: it can't be reached, or
-            // answers before it has the position, and would be asked in a tight loop.
+            // Retried with the next round of probes: a database that is unreachable, or answers
+            // before it has the position, would otherwise be asked in a busy loop.
             replica.reach = Some(Reach {
                 until: turn.now + turn.timing().probe,
                 ..reach
@@ -350,7 +350,7 @@
         }
     }
 
-    /// The primary refused work for its term.
+    /// Handles a primary's refusal of work because it is in a higher term.
     pub fn refused(&mut self, turn: &mut Turn, higher: Term) {
         if self.lead().is_some_and(|lead| lead.leader.term < higher) {
             self.term = self.term.max(higher);
@@ -372,7 +372,7 @@
         self.rounds.insert(round, now);
     }
 
-    /// The primary's log, placed on the clock of this replica's holder by its last report.
+    /// The end of the primary's log, timed relative to the last report of this replica's holder.
     fn fresh(&self, log: Option<Log>) -> Option<Fresh> {
         let log = log?;
         let (round, arrived) = self.report?;
--- a/src/core/steward/lease.rs
+++ b/src/core/steward/lease.rs
@@ -1,4 +1,4 @@
-//! Leases on sessions' floors, given to entries and taken back.
+//! Leases on sessions' floors: granted to entries, renewed and revoked.
 
 use super::Steward;
 use super::lead::Lead;
@@ -9,16 +9,16 @@
 use crate::core::world::Turn;
 use crate::types::{GroupId, Position, SessionId, VmId};
 
-/// The longest lease. It bounds how long a write waits for an entry that can't be reached to
-/// give the lease up, where a group of one database needs no confirmations.
+/// The longest lease. In a group of one database, which needs no confirmations, it bounds how long
+/// a write waits for an unreachable entry to release its lease.
 const LEASE_LIMIT: Span = Span::from_secs(1);
 
 impl Steward {
-    /// An entry asks for a session's floor, or only for the leader.
+    /// Answers an entry that asks for a lease on a session's floor, or only for the leader.
     ///
-    /// Failure: two stewards, or one that was paused, both vouch for floors. Symptom: a session
-    /// does not see its write. Enough, because a lease ends with the confirmations that allow
-    /// it, counted from a time before the entry's question left, so none outlives its term.
+    /// A lease ends with the confirmations that allow it, and the entry counts it from when it
+    /// asked, so no lease outlives its term. Otherwise two stewards, or one that was paused,
+    /// could grant different floors, and a session would not see its write.
     pub fn ask(&mut self, turn: &mut Turn, from: &VmId, ask: Ask) {
         let now = turn.now;
         let session = ask.session;
@@ -44,7 +44,7 @@
         turn.send(from, Message::Grant(grant));
     }
 
-    /// An entry gave a lease up.
+    /// Handles an entry's release of a lease.
     pub fn released(&mut self, turn: &mut Turn, from: &VmId, revoke: &Revoke) {
         let Some(lead) = self.lead() else {
             return;
@@ -56,7 +56,7 @@
 }
 
 impl Lead {
-    /// Until when a lease given now may be used; `None` if none may be given.
+    /// Until when a lease granted now may be used; `None` if none may be granted.
     pub(super) fn lease_end(&self, now: Time) -> Option<Time> {
         let end = self.confirmations.deadline();
         if self.handover.is_some() || end <= now {
@@ -65,11 +65,10 @@
         Some(end.min(now + LEASE_LIMIT))
     }
 
-    /// Lets the entry that sent a write go on under its new floor.
+    /// Renews the lease of the entry that sent a write, with the new floor.
     ///
-    /// Failure: the session wrote by way of another entry too, and that write has taken this
-    /// entry's lease back already. Symptom: the entry reads on under the earlier of the two
-    /// floors. Enough, because only the session's last write renews a lease.
+    /// Only the session's last write renews a lease. A later write by way of another entry has
+    /// already revoked this entry's lease, which would otherwise read on under the earlier floor.
     pub(super) fn renew(&mut self, waiting: &Waiting, now: Time, until: Time) -> Option<Time> {
         let session = waiting.job.work.session.as_ref()?;
         if self.sessions.floor(session) != waiting.reply.wrote {
@@ -81,12 +80,12 @@
     }
 }
 
-/// When a lease that the entry counts until `until` has surely lapsed, if its clock is slow.
+/// When a lease until `until` has expired at the entry even if the entry's clock is slow.
 fn guarded(now: Time, until: Time) -> Time {
     now + until.since(now).percent(100 + DRIFT_PERCENT)
 }
 
-/// Takes back the leases that a write waits for.
+/// Revokes the leases that a write waits for.
 pub(super) fn revoke(
     turn: &mut Turn,
     group: &GroupId,
--- a/src/core/steward/pass.rs
+++ b/src/core/steward/pass.rs
@@ -1,5 +1,5 @@
-//! Passing a primary's answers on: once its term is confirmed, a majority has the write, and no
-//! other entry reads under an older floor of the session.
+//! Sending a primary's answers to the entries, once its term is confirmed, a majority has the
+//! write, and no other entry reads under an older floor of the session.
 
 use super::lead::Reach;
 use super::lease::revoke;
@@ -15,7 +15,7 @@
 use crate::types::{Link, Position, Term, VmId};
 
 impl Steward {
-    /// The primary answered `job`, which ran under `term`.
+    /// Handles the primary's answer to `job`, which ran under `term`.
     pub fn answered(&mut self, turn: &mut Turn, term: Term, job: Job, reply: Reply) {
         let now = turn.now;
         let durability = turn.world.pool(&job.work.pool).map(|pool| pool.durability);
@@ -44,14 +44,15 @@
         self.flush(turn);
     }
 
-    /// An entry is gone, or one of its callers: what would be told to it is dropped.
+    /// Drops the answers for an entry, or for one of its callers, that disconnected.
     pub fn departed(&mut self, vm: &VmId, link: Option<Link>) {
         if let Some(lead) = self.lead() {
             lead.acks.depart(vm, link);
         }
     }
 
-    /// Passes on what may be, ends what waited too long, and asks the replicas for the rest.
+    /// Sends the answers that are ready, ends those past their deadline, and asks the replicas to
+    /// report their progress for the rest.
     pub(super) fn flush(&mut self, turn: &mut Turn) {
         let now = turn.now;
         let Some(lead) = self.lead() else {
@@ -77,7 +78,7 @@
         self.ask_replicas(turn);
     }
 
-    /// Asks each replica to tell when it holds all that waits, one order at a time.
+    /// Asks each replica to report when it holds all waiting writes, one order at a time.
     fn ask_replicas(&mut self, turn: &mut Turn) {
         let now = turn.now;
         let Some(lead) = self.lead() else {
--- a/src/core/term.rs
+++ b/src/core/term.rs
@@ -1,50 +1,48 @@
-//! Terms: who may acknowledge writes, and how a group moves to its next term.
+//! Terms: which steward may acknowledge writes, and how a group moves to its next term.
 //!
-//! A term is a ballot over a group's own databases. It belongs to the one steward that raised
-//! it, because a database takes only a strictly higher term. Nothing here needs the store.
+//! A term is a ballot number that the group's own databases vote on. It belongs to the one steward
+//! that raised it, because a database accepts only a strictly higher term. The store is not used.
 
 use crate::clock::{Span, Time};
 use crate::types::{DatabaseId, Position, Term};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How much faster one VM's clock may run than another's, in percent. NTP slews at most 0.05 %;
-/// virtual machines have been seen to drift by 1 % for a while after a migration.
+/// How much faster one VM's clock may run than another's, in percent. NTP slews at most 0.05 %,
+/// but virtual machines were observed to drift by 1 % for a while after a migration.
 pub const DRIFT_PERCENT: u64 = 2;
 
-/// The number of members that decide for a group of `members`.
+/// The number of databases that form a majority of `members`.
 pub fn majority(members: usize) -> usize {
     members / 2 + 1
 }
 
-/// Whether a database in term `current` takes an order to raise its term to `wanted`.
+/// Whether a database in term `current` accepts an order to raise its term to `wanted`.
 ///
-/// Equal is refused: two stewards that raise to the same term would otherwise both own it.
+/// An equal term is refused, because two stewards that raise the same one would both own it.
 pub fn may_raise(current: Term, wanted: Term) -> bool {
     wanted > current
 }
 
-/// The position that has to be held by a majority before the steward of `term` vouches for
-/// `position`, which its primary's log holds.
+/// The position that a majority must hold before the steward of `term` may acknowledge `position`,
+/// which its primary's log holds.
 ///
-/// Failure: a write of a former term, found by its request key, is held by a majority, but no
-/// database of that majority has the start of this term. Symptom: a database with a shorter
-/// log of a term in between is chosen by the next promotion, and the write is gone after it
-/// was acknowledged. Enough, because a log that holds a position of `term` holds the start of
-/// `term` and all before it, and goes further than any log of a term in between.
+/// `position` may be a write of a former term that was found by its request key. A majority that
+/// holds it without the start of `term` does not protect it: the next promotion could choose a
+/// database with a shorter log of a term in between. A log that holds a position of `term` holds
+/// the start of `term` and everything before, and goes further than any log of a term in between.
 pub fn binding(term: Term, position: Position) -> Position {
     Position::new(term.max(position.term), position.offset)
 }
 
-/// Confirmations that a term is still the current one, and until when they allow its steward
-/// to acknowledge writes and to vouch for floors.
+/// Confirmations by databases that a term is still the current one. They determine until when its
+/// steward may acknowledge writes and grant leases on floors.
 ///
-/// Failure: a replaced primary, or a paused steward, goes on answering. Symptom: a write is
-/// acknowledged that the new term does not hold, or a session's floor is vouched for that the
-/// new term's steward has raised since. Enough, because the primary and the others counted here
-/// are a majority together, every majority raised to a higher term meets one of them, which
-/// then stops confirming, and the new term opens only a whole window after its last raise, when
-/// that one's confirmation has lapsed.
+/// A replaced primary or a paused steward may go on answering. It must neither acknowledge a write
+/// that the new term does not hold, nor grant a floor that the new term's steward has raised
+/// since. The primary and the others counted here are a majority, so every majority raised to a
+/// higher term includes one of them, which then stops confirming. The new term opens a whole
+/// window after its last raise, when that confirmation has expired.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize)]
 pub struct Confirmations {
     term: Term,
@@ -54,7 +52,7 @@
 }
 
 impl Confirmations {
-    /// None yet, for a term whose primary is one of `members` databases.
+    /// Starts without confirmations, for a term whose primary is one of `members` databases.
     pub fn new(term: Term, primary: DatabaseId, members: usize) -> Self {
         Self {
             term,
@@ -64,7 +62,7 @@
         }
     }
 
-    /// The term confirmed.
+    /// The confirmed term.
     pub fn term(&self) -> Term {
         self.term
     }
@@ -74,20 +72,20 @@
         &self.primary
     }
 
-    /// `database` answered a probe or ran a statement of this term, sent at `sent`. The
-    /// primary's answers are needed too: its refusal of statements alone does not stop an
+    /// Records that `database` answered a probe or ran a statement of this term, sent at `sent`.
+    /// The primary must confirm too: that it refuses statements in a higher term does not stop an
     /// answer that it gave before, nor a floor that is granted without asking it.
     pub fn confirm(&mut self, database: &DatabaseId, sent: Time, window: Span) {
         let lapse = self.lapses.entry(database.clone()).or_default();
         *lapse = (*lapse).max(sent + window);
     }
 
-    /// `database` answered in a higher term: its confirmation counts no more.
+    /// Removes the confirmation of `database`, which answered in a higher term.
     pub fn withdraw(&mut self, database: &DatabaseId) {
         self.lapses.remove(database);
     }
 
-    /// Until when, exclusively, writes may be acknowledged. Zero if too few have confirmed.
+    /// Until when (exclusive) writes may be acknowledged; zero if too few databases have confirmed.
     pub fn deadline(&self) -> Time {
         let own = self.lapses.get(&self.primary).copied().unwrap_or_default();
         let mut others: Vec<Time> = self
@@ -103,8 +101,8 @@
         }
     }
 
-    /// Whether an answer of the primary that has been read already may be passed on now.
-    /// `now` has to be read from the clock after the answer was.
+    /// Whether a received answer of the primary may be sent now. `now` must be read from the clock
+    /// after the answer was received.
     pub fn hold(&self, now: Time) -> bool {
         now < self.deadline()
     }
@@ -116,11 +114,11 @@
     term: Term,
     members: BTreeSet<DatabaseId>,
     raised: BTreeMap<DatabaseId, Position>,
-    /// When the majority's last raise was answered, once it was.
+    /// When the raise that completed the majority was answered.
     settled: Option<Time>,
-    /// Until when the former term's confirmations may count, once `settled` is known.
+    /// Until when the former term's confirmations may be valid, once `settled` is known.
     opens: Option<Time>,
-    /// The database that was ordered to open, once one was.
+    /// The database that was ordered to open.
     ordered: Option<DatabaseId>,
     /// A primary that is cut off from the others.
     left_out: Option<DatabaseId>,
@@ -140,19 +138,18 @@
         }
     }
 
-    /// The term attempted.
+    /// The term of this attempt.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// `database` answered at `now` that it was raised and that its log ends at `end`: the
-    /// term that its log was opened in last, whether or not anything was written in it, and the
-    /// offset.
+    /// Records that `database` answered at `now` that it was raised and that its log ends at `end`:
+    /// the last term that its log was opened in, even if nothing was written in it, and the offset.
     ///
-    /// Failure: the former steward still holds fresh confirmations when the new primary opens.
-    /// Symptom: both acknowledge. Enough, because every confirmation from a raised database was
-    /// probed before its raise was answered, so all lapse within a window of the last answer;
-    /// the drift covers a former steward whose clock runs slower.
+    /// The new primary opens a window after the majority's last answer, or the former steward
+    /// could still have valid confirmations, and both would acknowledge. Every confirmation of a
+    /// raised database was probed before its raise was answered, so all expire within that
+    /// window; the drift covers a former steward whose clock is slower.
     pub fn raised(&mut self, database: &DatabaseId, end: Position, now: Time, window: Span) {
         if !self.members.contains(database) {
             return;
@@ -165,57 +162,54 @@
         }
     }
 
-    /// The steward of `former` has stopped for good: it acknowledges nothing more in its term
-    /// and no lease that it granted is left, so there is nothing to wait out. Called after the
-    /// majority was raised.
+    /// Skips the wait, because the steward of `former` acknowledges nothing more in its term and
+    /// all leases that it granted have ended. Called after the majority was raised.
     ///
-    /// Failure: the handover is late, and `former` was replaced already. Symptom: the steward
-    /// of a term in between still acknowledges when this one opens. Enough, because between
-    /// `former` and the very next term there is none.
+    /// Applies only if this is the very next term after `former`. If the handover is late, a
+    /// steward of a term in between could still acknowledge when this one opens.
     pub fn yielded(&mut self, former: Term) {
         if let Some(settled) = self.settled.filter(|_| former.next() == self.term) {
             self.opens = Some(settled);
         }
     }
 
-    /// When the majority's last raise was answered.
+    /// When the raise that completed the majority was answered.
     pub fn settled(&self) -> Option<Time> {
         self.settled
     }
 
-    /// Whether every database has been raised, so that there is nobody left to hear from.
+    /// Whether every database has been raised.
     pub fn complete(&self) -> bool {
         self.raised.len() == self.members.len()
     }
 
-    /// Leaves `database`, whose log does not reach the others, out of the choice where a
-    /// majority is raised without it.
+    /// Excludes `database`, whose log does not reach the others, from the choice if a majority is
+    /// raised without it.
     ///
-    /// Failure: a primary is cut off from its replicas and goes on writing, so that its log goes
-    /// furthest. Symptom: it is chosen again, and no write is acknowledged for as long as the
-    /// cut lasts. Enough, because a majority without it holds all that a majority ever held;
-    /// what it has beyond that was acknowledged to nobody who asked for a majority.
+    /// A primary that is cut off from its replicas goes on writing, so its log goes furthest and
+    /// it would be chosen again, without any write being acknowledged until the connection
+    /// returns. A majority without it holds everything that a majority ever held; what it has
+    /// beyond that was not acknowledged to any caller with majority durability.
     pub fn leave_out(&mut self, database: DatabaseId) {
         self.left_out = Some(database);
     }
 
-    /// The database that is left out of the choice.
+    /// The database that is excluded from the choice.
     pub fn left_out(&self) -> Option<&DatabaseId> {
         self.left_out.as_ref()
     }
 
-    /// The database to open: the one of those raised whose log goes furthest, by term and then
-    /// offset. `None` before a majority has been raised.
+    /// The database to open: the raised one whose log goes furthest, by term and then by offset.
+    /// `None` before a majority has been raised.
     ///
-    /// Failure: a database that lacks a majority-held write is opened. Symptom: an acknowledged
-    /// write is gone. Enough, because any two majorities share a database that has the write,
-    /// and a log that ends higher holds all of it.
+    /// This keeps every acknowledged write: any two majorities share a database that has the
+    /// write, and a log that ends higher holds all of that database's log.
     pub fn choice(&self) -> Option<(&DatabaseId, Position)> {
         self.choice_with(|_| false)
     }
 
-    /// As [`choice`](Self::choice); of logs that go equally far, one whose database is not to
-    /// be avoided comes first.
+    /// Like [`choice`](Self::choice), but among logs that go equally far it prefers a database that
+    /// is not to be avoided.
     pub fn choice_with(
         &self,
         avoid: impl Fn(&DatabaseId) -> bool,
@@ -238,11 +232,11 @@
         Some((best.0, *best.1))
     }
 
-    /// The database to order to open at `now`, if it is time; the same one ever after.
+    /// The database to open, if it may be opened at `now`. Later calls return the same one.
     ///
-    /// Failure: the order to open is lost on its way back, a further database is raised, and
-    /// its log goes further. Symptom: two databases are open in one term. Enough, because the
-    /// choice is kept; if that database is lost, a higher term is needed.
+    /// The answer to the order may be lost, and another database with a longer log raised
+    /// afterwards. Keeping the choice prevents two open databases in one term; if the chosen
+    /// database is lost, a higher term is needed.
     pub fn order(&mut self, now: Time) -> Option<&DatabaseId> {
         if self.ordered.is_none() && self.opens? <= now {
             self.ordered = self.choice().map(|(database, _)| database.clone());
--- a/src/core/world.rs
+++ b/src/core/world.rs
@@ -1,5 +1,5 @@
-//! What every role of one proxy shares: who it is, the configuration, the other VMs, and who
-//! leads each group that it has to do with.
+//! State shared by the roles of one proxy: its identity, the configuration, the other VMs, and the
+//! leaders of groups.
 
 use crate::clock::{Span, Time};
 use crate::config::{Accepted, Database, Document, Group, Pool, Timing};
@@ -18,52 +18,51 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How many VMs of a database's order are kept: its holder and those that stand in for it.
+/// The number of VMs kept of a database's order: its holder and the VMs that may replace it.
 const ORDER_KEPT: usize = 4;
 
-/// How long a VM whose stream broke is passed over while the list still shows it. Long enough
-/// that a dead VM is not tried by each request; short enough that one bad stream moves
-/// little.
+/// How long a listed VM whose stream broke is not used. Long enough that not every request tries
+/// a dead VM, and short enough that one broken stream moves few databases.
 const SUSPECT_VM: Span = Span::from_secs(2);
 
-/// Orders to databases that may be under way. A database that answers nothing gets a probe each
-/// quarter of a second until its connections are given up; this is room for hundreds of such.
+/// The number of orders to databases that may be under way. A database that does not answer gets a
+/// probe every 250 ms until its connections time out; this is enough for hundreds of these.
 const ERRANDS_LIMIT: usize = 8_192;
 
-/// What is known of another VM beside the platform's list.
+/// What is known of another VM in addition to the platform's list.
 #[derive(Debug, Default)]
 pub(crate) struct Peer {
-    /// The stream to it is open.
+    /// Whether the stream to it is open.
     pub up: bool,
-    /// It said that it is stopping.
+    /// Whether it announced that it is stopping.
     pub stopping: bool,
-    /// The life of its process, once told.
+    /// The life of its process, once announced.
     pub life: Option<Life>,
-    /// Until when it is passed over because its stream broke.
+    /// Until when it is not used because its stream broke.
     pub suspect_until: Time,
 }
 
-/// What an order to a database is for.
+/// The purpose of an order to a database, which determines where its answer goes.
 #[derive(Debug, Clone)]
 pub(crate) enum Errand {
-    /// Its holder wants to know its state.
+    /// Its holder refreshes its state.
     Refresh(DatabaseId),
     /// A steward probes it.
     Probe { from: VmId, probe: Probe },
-    /// A steward orders something.
+    /// A steward's order is relayed.
     Relay { from: VmId, control: Control },
-    /// A steward asks whether it can be reached from here.
+    /// A steward asks whether the database can be reached from here.
     Reach { from: VmId, suspect: Suspect },
 }
 
-/// The shared state of a proxy's roles.
+/// The state shared by the roles of a proxy.
 #[derive(Debug)]
 pub(crate) struct World {
     pub me: Identity,
     pub config: Option<Arc<Accepted>>,
     pub timing: Timing,
     pub members: Vec<Member>,
-    /// Whether a list of VMs was read at all.
+    /// Whether a list of VMs has been read.
     pub listed: bool,
     pub peers: HashMap<VmId, Peer>,
     pub leaders: HashMap<GroupId, Primary>,
@@ -71,18 +70,18 @@
     pub stopping: bool,
     pub rng: ChaCha8Rng,
     pub inbox: VecDeque<Message>,
-    /// Which database each connection belongs to.
+    /// The database of each connection.
     pub connections: HashMap<ConnId, DatabaseId>,
-    /// What the orders under way to databases are for.
+    /// The orders to databases that are under way.
     pub errands: HashMap<RequestId, Errand>,
     groups: HashMap<DatabaseId, GroupId>,
     orders: HashMap<DatabaseId, Arc<[VmId]>>,
-    /// The databases in whose orders this VM is, once looked for.
+    /// The databases in whose orders this VM is; `None` until computed.
     mine: Option<Vec<DatabaseId>>,
     last_id: u64,
 }
 
-/// One input's processing: the time, the shared state, and where outputs go.
+/// The context of handling one input: the time, the shared state, and the outputs.
 pub(crate) struct Turn<'a> {
     pub now: Time,
     pub world: &'a mut World,
@@ -114,7 +113,7 @@
         }
     }
 
-    /// An id never given before in this process's life.
+    /// A new id, unique within this process's life.
     pub fn id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
@@ -141,7 +140,7 @@
         self.document()?.pools.get(pool)
     }
 
-    /// The pool that serves `caller` in `group`: one that lists the caller, else the one
+    /// The pool that serves `caller` in `group`: one that lists the caller, or else the one
     /// without a list.
     pub fn pool_of(&self, caller: &CallerId, group: &GroupId) -> Option<(PoolId, &Pool)> {
         let pools = &self.document()?.pools;
@@ -158,7 +157,7 @@
         Some((id.clone(), pool))
     }
 
-    /// Puts `accepted` in force; the caller has checked that its version is higher.
+    /// Puts `accepted` in force. Its version must be higher than the current one.
     pub fn accept(&mut self, accepted: Arc<Accepted>) {
         self.groups = accepted
             .document
@@ -173,7 +172,7 @@
         self.forget_orders();
     }
 
-    /// The platform's list was read.
+    /// Replaces the list of VMs with the platform's.
     pub fn list(&mut self, members: Vec<Member>) {
         self.forget_orders();
         let listed: HashSet<&VmId> = members.iter().map(|member| &member.vm).collect();
@@ -187,7 +186,7 @@
         self.mine = None;
     }
 
-    /// The VMs that should hold `database`, best first, few of them.
+    /// The first few VMs that should hold `database`, in order of preference.
     pub fn order(&mut self, database: &DatabaseId) -> Arc<[VmId]> {
         if let Some(order) = self.orders.get(database) {
             return order.clone();
@@ -205,8 +204,8 @@
         order
     }
 
-    /// The VM that holds `database`, as far as is known: the first of its order that is
-    /// neither stopping nor suspected.
+    /// The VM that presumably holds `database`: the first of its order that is neither stopping nor
+    /// suspected.
     pub fn holder(&mut self, now: Time, database: &DatabaseId) -> VmId {
         let order = self.order(database);
         let live = order.iter().find(|vm| self.usable(now, vm));
@@ -215,9 +214,9 @@
 
     /// Whether this VM holds `database`.
     ///
-    /// Failure: a VM that has just started hears of the configuration before the list of VMs.
-    /// Symptom: it takes itself for the only one, raises the terms of all groups, and leads them
-    /// from then on. Enough, because it holds nothing until a list was read.
+    /// A VM holds nothing until a list of VMs was read. One that has just started may receive the
+    /// configuration before the list; it would otherwise assume that it is the only VM, raise the
+    /// terms of all groups and lead them.
     pub fn holds(&mut self, now: Time, database: &DatabaseId) -> bool {
         self.listed && self.holder(now, database) == self.me.vm
     }
@@ -231,8 +230,8 @@
         mine.into_iter().filter(|id| self.holds(now, id)).collect()
     }
 
-    /// The databases that this VM holds or stands in for. The orders of all others are
-    /// forgotten, so that an entry keeps those of the databases that its callers use.
+    /// The databases that this VM holds or may take over. The orders of all others are removed from
+    /// the cache, so that an entry caches only those of the databases that its callers use.
     fn find_mine(&mut self) -> Vec<DatabaseId> {
         let databases: Vec<DatabaseId> = self.groups.keys().cloned().collect();
         let mut mine = Vec::new();
@@ -256,23 +255,24 @@
             .is_none_or(|peer| !peer.stopping && peer.suspect_until <= now)
     }
 
-    /// The stream to `vm` broke: it is passed over for a while. Tells whether the stream had
-    /// been open, so that what was sent may have arrived.
+    /// Records that the stream to `vm` broke, so that it is not used for a while. Returns whether
+    /// the stream had been open, in which case sent messages may have arrived.
     pub fn peer_down(&mut self, now: Time, vm: &VmId) -> bool {
         let peer = self.peers.entry(vm.clone()).or_default();
         peer.suspect_until = now + SUSPECT_VM;
         std::mem::take(&mut peer.up)
     }
 
-    /// The stream to `vm` is open.
+    /// Records that the stream to `vm` is open.
     pub fn peer_up(&mut self, vm: &VmId) {
         let peer = self.peers.entry(vm.clone()).or_default();
         peer.up = true;
         peer.suspect_until = Time::default();
     }
 
-    /// Who leads a group, if that is news. A term belongs to one steward and one primary, so
-    /// only a higher one is news.
+    /// Records who leads a group, if `primary` has a higher term than the known leader. Returns
+    /// whether it does. A term belongs to one steward and one primary, so an equal one adds
+    /// nothing.
     pub fn learn(&mut self, group: &GroupId, primary: &Primary) -> bool {
         if self.group(group).is_none() {
             return false;
@@ -290,18 +290,18 @@
         }
     }
 
-    /// A number below `bound`, which is not zero.
+    /// A random number below `bound`, which must not be zero.
     pub fn random(&mut self, bound: usize) -> usize {
         (self.rng.next_u64() % bound as u64) as usize
     }
 }
 
-/// Where a process's ids start.
+/// The first id of a process.
 ///
-/// Failure: a VM is replaced under its name, and an answer to its predecessor's request comes
-/// late. Symptom: a caller gets the answer to another's request, because both processes gave
-/// the same number. Enough, because the lives count from starts drawn from 2^32, a million ids
-/// apart; ids stay short enough that they cost eight bytes on the wire.
+/// A VM may be replaced under its name while an answer to its predecessor's request is under way.
+/// If both processes used the same id, a caller would get the answer to another caller's request.
+/// So each life starts at one of 2^32 random points, which are a million ids apart. Ids still
+/// take only eight bytes on the wire.
 fn first_id(rng: &mut ChaCha8Rng) -> u64 {
     (rng.next_u64() >> 32) << 20
 }
@@ -311,7 +311,7 @@
         RequestId(self.world.id())
     }
 
-    /// Sends `message`; to this VM itself, it is handled before the turn ends.
+    /// Sends `message`. A message to this VM is handled before the turn ends.
     pub fn send(&mut self, to: &VmId, message: Message) {
         if *to == self.world.me.vm {
             self.world.inbox.push_back(message);
@@ -344,7 +344,7 @@
         });
     }
 
-    /// Orders something of a database, for the sake of `errand`. Tells whether it did.
+    /// Sends an order to a database for the purpose `errand`. Returns whether it was sent.
     pub fn order(&mut self, database: &DatabaseId, order: Order, errand: Errand) -> bool {
         if self.world.errands.len() >= ERRANDS_LIMIT {
             return false;
