--- a/src/core/acknowledge.rs
+++ b/src/core/acknowledge.rs
@@ -4,7 +4,7 @@
 use crate::core::database::Reply;
 use crate::core::job::Job;
 use crate::core::request::Unknown;
-use crate::core::session::Holding;
+use crate::core::session::Lease;
 use crate::core::term::{Confirmations, majority};
 use crate::types::{DatabaseId, Link, Offset, Position, SessionId, VmId};
 use serde::Serialize;
@@ -18,7 +18,7 @@
     waiting: Vec<Waiting>,
     reached: BTreeMap<DatabaseId, Offset>,
     /// The highest end of a write whose answer was sent.
-    passed: Offset,
+    acknowledged: Offset,
 }
 
 /// One answer that is held back.
@@ -29,7 +29,7 @@
     /// The offset that the logs of a majority must hold first.
     pub durable: Option<Offset>,
     /// Other entries' leases on the session's floor, which must end first.
-    pub leases: Vec<Holding>,
+    pub leases: Vec<Lease>,
 }
 
 /// The number of waiting answers and the replicas' offsets, for `dump`.
@@ -46,7 +46,7 @@
             members,
             waiting: Vec::new(),
             reached: BTreeMap::new(),
-            passed: Offset::default(),
+            acknowledged: Offset::default(),
         }
     }
 
@@ -92,7 +92,7 @@
     /// Whether a write was acknowledged that is not known to be on a majority, which pools without
     /// majority durability allow. A majority without the primary would lose it.
     pub fn has_unshared(&self) -> bool {
-        self.passed > self.majority_holds()
+        self.acknowledged > self.majority_holds()
     }
 
     /// Drops the answers for the entry `vm`, or only for its caller `link`, which disconnected.
@@ -128,7 +128,9 @@
         };
         let ready: Vec<Waiting> = self.waiting.extract_if(.., passes).collect();
         let wrote = ready.iter().filter_map(|waiting| waiting.reply.wrote);
-        self.passed = wrote.map(|end| end.offset).fold(self.passed, Offset::max);
+        self.acknowledged = wrote
+            .map(|end| end.offset)
+            .fold(self.acknowledged, Offset::max);
         ready
     }
 
--- a/src/core/detect.rs
+++ b/src/core/detect.rs
@@ -76,13 +76,13 @@
 
 /// Consecutive changes of primary that do not double the damping span. A failed rack switch may
 /// take down a primary and its successor; a third change in a row is flapping.
-const FREE_CHANGES: u32 = 2;
+const MAX_UNDAMPED_CHANGES: u32 = 2;
 
 /// The damping span is doubled at most this often: to 40 s with the default of 10 s.
-const MOST_DOUBLINGS: u32 = 2;
+const MAX_DOUBLINGS: u32 = 2;
 
 /// The count of changes is reset after this many damping spans without one.
-const CALM_SPANS: u64 = 6;
+const RESET_SPANS: u64 = 6;
 
 /// Enforces a minimum time between promotions of a group, which grows with recent promotions.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -102,11 +102,11 @@
         self.changes += 1;
         let doublings = self
             .changes
-            .saturating_sub(FREE_CHANGES)
-            .min(MOST_DOUBLINGS);
+            .saturating_sub(MAX_UNDAMPED_CHANGES)
+            .min(MAX_DOUBLINGS);
         let wait = Span(damping.0.saturating_mul(1 << doublings));
         self.again = self.again.max(now + wait);
-        self.calm_at = now + Span(damping.0.saturating_mul(CALM_SPANS));
+        self.calm_at = now + Span(damping.0.saturating_mul(RESET_SPANS));
     }
 
     /// When the next change may start.
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -50,7 +50,7 @@
     /// Announces the sender's life, configuration version and state.
     Hello(Hello),
     /// Asks for a configuration newer than this version.
-    Want(Version),
+    Fetch(Version),
     /// The configuration: compressed JSON of `config::Accepted`.
     Document(Bytes),
 }
--- a/src/core/node.rs
+++ b/src/core/node.rs
@@ -24,20 +24,20 @@
 
 /// How often deadlines are checked while work is under way. This costs less than a timer for each
 /// statement.
-const GRAIN: Span = Span::from_millis(10);
+const DEADLINE_INTERVAL: Span = Span::from_millis(10);
 
 /// The minimum time between two ticks, so that a timer in the past does not cause a busy loop.
-const LEAST_WAIT: Span = Span::from_millis(1);
+const MIN_TICK_INTERVAL: Span = Span::from_millis(1);
 
 /// The interval at which the databases and groups of this VM are checked against its members.
-const SWEEP: Span = Span::from_secs(1);
+const SWEEP_INTERVAL: Span = Span::from_secs(1);
 
 /// A stopping proxy must be quiet for this long before it exits, so that requests that other
 /// proxies sent before they received the announcement of the stop are still served.
-const LINGER: Span = Span::from_millis(300);
+const MIN_QUIET: Span = Span::from_millis(300);
 
 /// The longest duration of a planned stop, whatever transactions callers hold open.
-const STOP_LIMIT: Span = Span::from_secs(60);
+const STOP_TIMEOUT: Span = Span::from_secs(60);
 
 /// An input of a proxy.
 #[derive(Debug, Clone)]
@@ -116,7 +116,7 @@
             stewards: BTreeMap::new(),
             led: BTreeMap::new(),
             spread: Spread::default(),
-            sweep_at: now + SWEEP,
+            sweep_at: now + SWEEP_INTERVAL,
             ticked: now,
             stopping: None,
         }
@@ -140,11 +140,11 @@
     /// When the next [`Input::Tick`] is due.
     pub fn wake(&self) -> Option<Time> {
         let busy = self.entry.is_busy() || self.holders.values().any(Holder::is_busy);
-        let grain = (busy || self.stopping.is_some()).then(|| self.ticked + GRAIN);
+        let deadlines = (busy || self.stopping.is_some()).then(|| self.ticked + DEADLINE_INTERVAL);
         let stewards = self.stewards.values().map(Steward::wake);
         let timers = [self.sweep_at, self.spread.wake()];
-        let next = timers.into_iter().chain(stewards).chain(grain).min()?;
-        Some(next.max(self.ticked + LEAST_WAIT))
+        let next = timers.into_iter().chain(stewards).chain(deadlines).min()?;
+        Some(next.max(self.ticked + MIN_TICK_INTERVAL))
     }
 
     /// The configuration in force, once there is one.
@@ -196,7 +196,7 @@
             Input::Message { from, message } => self.message(from, message, out),
             Input::PeerUp(vm) => {
                 turn.world.peer_up(&vm);
-                parts.spread.greet(&mut turn, &vm);
+                parts.spread.send_hello(&mut turn, &vm);
             }
             Input::PeerDown(vm) => self.peer_down(&vm, out),
             Input::Database(event) => self.database(event, out),
@@ -227,7 +227,7 @@
             self.with_steward(&group, out, |steward, turn| steward.tick(turn, quiet));
         }
         if self.sweep_at <= self.now {
-            self.sweep_at = self.now + SWEEP;
+            self.sweep_at = self.now + SWEEP_INTERVAL;
             self.sweep(out);
         }
     }
@@ -246,7 +246,7 @@
         }
         self.world.stopping = true;
         self.stopping = Some(Stopping {
-            until: self.now + STOP_LIMIT,
+            until: self.now + STOP_TIMEOUT,
             quiet_since: self.now,
             stopped: false,
         });
@@ -256,7 +256,7 @@
         let mut peers: Vec<VmId> = peers.map(|(vm, _)| vm.clone()).collect();
         peers.sort_unstable();
         for vm in peers {
-            parts.spread.greet(&mut turn, &vm);
+            parts.spread.send_hello(&mut turn, &vm);
         }
     }
 
@@ -279,7 +279,7 @@
         if !quiet {
             stopping.quiet_since = now;
         }
-        if now >= stopping.quiet_since + LINGER || now >= stopping.until {
+        if now >= stopping.quiet_since + MIN_QUIET || now >= stopping.until {
             stopping.stopped = true;
             out.push(Output::Stopped);
         }
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -54,7 +54,7 @@
             Message::Suspect(suspect) => self.suspect(from, suspect, out),
             Message::Suspected(suspected) => self.suspected(&from, suspected, out),
             Message::Hello(hello) => self.hello(from, hello, out),
-            Message::Want(version) => parts.spread.want(&mut turn, &from, version),
+            Message::Fetch(version) => parts.spread.send_document(&mut turn, &from, version),
             Message::Document(packed) => self.document(&packed, out),
         }
     }
@@ -76,8 +76,10 @@
 
     fn reported(&mut self, from: &VmId, report: Report, out: &mut Vec<Output>) {
         let (mut turn, parts) = self.turn(out);
-        parts.spread.heard(&mut turn, from, report.version);
-        parts.spread.answer(&mut turn, from, report.version);
+        parts
+            .spread
+            .version_reported(&mut turn, from, report.version);
+        parts.spread.reply_if_newer(&mut turn, from, report.version);
         let group = report.group.clone();
         self.with_steward(&group, out, |steward, turn| steward.reported(turn, report));
     }
@@ -148,8 +150,10 @@
     /// Handles a steward's probe of a database whose holder should be this VM.
     fn probe(&mut self, from: VmId, probe: Probe, out: &mut Vec<Output>) {
         let (mut turn, parts) = self.turn(out);
-        parts.spread.heard(&mut turn, &from, probe.version);
-        parts.spread.answer(&mut turn, &from, probe.version);
+        parts
+            .spread
+            .version_reported(&mut turn, &from, probe.version);
+        parts.spread.reply_if_newer(&mut turn, &from, probe.version);
         let news = turn.world.learn(&probe.group, &probe.primary);
         let (group, database) = (probe.group.clone(), probe.database.clone());
         if news {
@@ -268,9 +272,11 @@
         turn.send(&from, Message::Report(report));
     }
 
-    fn saw_raise(&mut self, database: &DatabaseId, term: Term, out: &mut Vec<Output>) {
+    fn raise_reported(&mut self, database: &DatabaseId, term: Term, out: &mut Vec<Output>) {
         if let Some(group) = self.world.group_of(database).cloned() {
-            self.with_steward(&group, out, |steward, turn| steward.saw_raise(turn, term));
+            self.with_steward(&group, out, |steward, turn| {
+                steward.raise_reported(turn, term)
+            });
         }
     }
 
@@ -286,7 +292,7 @@
             self.observe(&control.database, state, out);
         }
         if let (Order::Raise(term), Some(Ok(_))) = (control.order, &result) {
-            self.saw_raise(&control.database, term, out);
+            self.raise_reported(&control.database, term, out);
         }
         let (mut turn, _) = self.turn(out);
         let controlled = Controlled {
@@ -311,9 +317,11 @@
             self.peer_lost(&from, true, out);
         }
         let (mut turn, parts) = self.turn(out);
-        parts.spread.meet();
-        parts.spread.heard(&mut turn, &from, hello.version);
-        parts.spread.answer(&mut turn, &from, hello.version);
+        parts.spread.peer_answered();
+        parts
+            .spread
+            .version_reported(&mut turn, &from, hello.version);
+        parts.spread.reply_if_newer(&mut turn, &from, hello.version);
         let settled = parts.spread.settle(&mut turn);
         self.put_in_force(settled, out);
     }
--- a/src/core/node/settle.rs
+++ b/src/core/node/settle.rs
@@ -58,10 +58,10 @@
             return false;
         };
         act(steward, &mut turn);
-        let verdicts = steward.take_verdicts();
-        for verdict in verdicts {
-            let lease = verdict.lease.map(|until| until.since(self.now));
-            self.answer(verdict.job, verdict.outcome, None, lease, out);
+        let completions = steward.take_completions();
+        for completion in completions {
+            let lease = completion.lease.map(|until| until.since(self.now));
+            self.answer(completion.job, completion.outcome, None, lease, out);
         }
         self.sync_role(group, out);
         true
--- a/src/core/session.rs
+++ b/src/core/session.rs
@@ -8,27 +8,27 @@
 /// reads on replicas until these have passed the horizon; one evicted while its lease of at most
 /// one second is in use makes writes wait for that lease. A group at full size gets some 3,000
 /// statements a second, so five times as many sessions are never active within one.
-const SESSIONS_KEPT: usize = 16_384;
+const MAX_SESSIONS: usize = 16_384;
 
 /// The floors of a group's sessions under one term.
 #[derive(Debug)]
 pub(crate) struct Sessions {
     /// The floor of every session without a record.
     horizon: Position,
-    seats: Recent<SessionId, Seat>,
+    records: Recent<SessionId, Record>,
     /// Until when leases of evicted sessions may be in use.
-    forgotten_until: Time,
+    evicted_until: Time,
 }
 
 #[derive(Debug)]
-struct Seat {
+struct Record {
     floor: Position,
-    leases: Vec<Holding>,
+    leases: Vec<Lease>,
 }
 
 /// A lease that an entry may be using.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Holding {
+pub(crate) struct Lease {
     /// The entry; `None` if it was evicted, so that it cannot be asked to release the lease.
     pub vm: Option<VmId>,
     /// When it expires.
@@ -37,7 +37,7 @@
     pub floor: Position,
 }
 
-impl Holding {
+impl Lease {
     /// Whether the lease ends when `vm` reports that it released the lease that a write up to
     /// `floor` revoked.
     ///
@@ -58,13 +58,13 @@
     pub fn new(base: Position) -> Self {
         Self {
             horizon: base,
-            seats: Recent::new(SESSIONS_KEPT),
-            forgotten_until: Time::default(),
+            records: Recent::new(MAX_SESSIONS),
+            evicted_until: Time::default(),
         }
     }
 
     pub fn len(&self) -> usize {
-        self.seats.len()
+        self.records.len()
     }
 
     pub fn horizon(&self) -> Position {
@@ -73,25 +73,25 @@
 
     /// The floor of a session that has a record.
     pub fn floor(&self, session: &SessionId) -> Option<Position> {
-        self.seats.get(session).map(|seat| seat.floor)
+        self.records.get(session).map(|record| record.floor)
     }
 
     /// Leases the floor of `session` to `vm` until `until`.
     pub fn grant(&mut self, session: &SessionId, vm: &VmId, now: Time, until: Time) -> Position {
-        let seat = self.seat(session);
-        seat.leases.retain(|lease| lease.until > now);
-        match seat.leases.iter_mut().find(|l| l.vm.as_ref() == Some(vm)) {
+        let record = self.record(session);
+        record.leases.retain(|lease| lease.until > now);
+        match record.leases.iter_mut().find(|l| l.vm.as_ref() == Some(vm)) {
             Some(lease) => {
                 lease.until = lease.until.max(until);
-                lease.floor = seat.floor;
+                lease.floor = record.floor;
             }
-            None => seat.leases.push(Holding {
+            None => record.leases.push(Lease {
                 vm: Some(vm.clone()),
                 until,
-                floor: seat.floor,
+                floor: record.floor,
             }),
         }
-        seat.floor
+        record.floor
     }
 
     /// Records that `session` wrote up to `position` by way of `vm`. Returns the leases of other
@@ -102,53 +102,53 @@
         vm: &VmId,
         position: Position,
         now: Time,
-    ) -> Vec<Holding> {
-        let seat = self.seat(session);
-        if position.offset > seat.floor.offset {
-            seat.floor = position;
+    ) -> Vec<Lease> {
+        let record = self.record(session);
+        if position.offset > record.floor.offset {
+            record.floor = position;
         }
-        let other = |lease: &&Holding| lease.until > now && lease.vm.as_ref() != Some(vm);
-        seat.leases.iter().filter(other).cloned().collect()
+        let other = |lease: &&Lease| lease.until > now && lease.vm.as_ref() != Some(vm);
+        record.leases.iter().filter(other).cloned().collect()
     }
 
     /// Records that `vm` released the lease that a write up to `floor` revoked.
     pub fn released(&mut self, session: &SessionId, vm: &VmId, floor: Position) {
-        if let Some(seat) = self.seats.get_mut(session) {
-            seat.leases.retain(|lease| !lease.ends_by(vm, floor));
+        if let Some(record) = self.records.get_mut(session) {
+            record.leases.retain(|lease| !lease.ends_by(vm, floor));
         }
     }
 
     /// Until when any lease may be in use.
     pub fn leased_until(&self) -> Time {
-        let leases = self.seats.iter().flat_map(|(_, seat)| &seat.leases);
+        let leases = self.records.iter().flat_map(|(_, record)| &record.leases);
         let last = leases.map(|lease| lease.until).max().unwrap_or_default();
-        last.max(self.forgotten_until)
+        last.max(self.evicted_until)
     }
 
     /// Returns the record of `session` and evicts the least recently used one if there are too
     /// many, which bounds memory. The horizon rises to the evicted floor, so that no older row is
     /// served, and writes wait for the evicted leases.
-    fn seat(&mut self, session: &SessionId) -> &mut Seat {
+    fn record(&mut self, session: &SessionId) -> &mut Record {
         let horizon = self.horizon;
-        let forgotten = Holding {
+        let evicted_leases = Lease {
             vm: None,
-            until: self.forgotten_until,
+            until: self.evicted_until,
             floor: horizon,
         };
-        let make = || Seat {
+        let make = || Record {
             floor: horizon,
-            leases: vec![forgotten],
+            leases: vec![evicted_leases],
         };
-        let (seat, evicted) = self.seats.touch(session, make);
+        let (record, evicted) = self.records.touch(session, make);
         let Some((_, old)) = evicted else {
-            return seat;
+            return record;
         };
         if old.floor.offset > self.horizon.offset {
             self.horizon = old.floor;
-            seat.floor = old.floor;
+            record.floor = old.floor;
         }
         let lapse = old.leases.iter().map(|lease| lease.until).max();
-        self.forgotten_until = self.forgotten_until.max(lapse.unwrap_or_default());
-        seat
+        self.evicted_until = self.evicted_until.max(lapse.unwrap_or_default());
+        record
     }
 }
--- a/src/core/spread.rs
+++ b/src/core/spread.rs
@@ -23,28 +23,28 @@
 
 /// The interval at which a VM sends its version to another one. This reaches 580 VMs in a few
 /// rounds and costs some 60 bytes a second.
-const GOSSIP: Span = Span::from_secs(1);
+const GOSSIP_INTERVAL: Span = Span::from_secs(1);
 
 /// How long to wait for a requested document before another VM may be asked.
-const WANT: Span = Span::from_millis(500);
+const DOCUMENT_TIMEOUT: Span = Span::from_millis(500);
 
 /// How long a VM that has just started waits for another VM to announce a later version than the
 /// one it read from the store.
-const PROBATION: Span = Span::from_secs(1);
+const FIRST_VERSION_TIMEOUT: Span = Span::from_secs(1);
 
 /// The largest document accepted, in uncompressed bytes: ten times that of 1,200 databases.
-const DOCUMENT_LIMIT: u64 = 4 << 20;
+const MAX_DOCUMENT_BYTES: u64 = 4 << 20;
 
 /// Finds and distributes the latest configuration.
 #[derive(Debug, Default)]
 pub(crate) struct Spread {
     /// The highest version that any VM has announced.
-    heard: Version,
+    highest: Version,
     /// A configuration that was received but not put in force yet, while a later one may exist.
     candidate: Option<Arc<Accepted>>,
-    probation: Option<Time>,
-    met: bool,
-    wanted_until: Time,
+    first_version_until: Option<Time>,
+    has_answer: bool,
+    requested_until: Time,
     gossip_at: Time,
     packed: Option<(Version, Bytes)>,
 }
@@ -52,7 +52,7 @@
 impl Spread {
     /// When the next tick is due.
     pub fn wake(&self) -> Time {
-        match self.probation {
+        match self.first_version_until {
             Some(until) if self.candidate.is_some() => until.min(self.gossip_at),
             _ => self.gossip_at,
         }
@@ -69,7 +69,7 @@
         if offered.version <= turn.version() || known >= Some(offered.version) {
             return None;
         }
-        self.heard = self.heard.max(offered.version);
+        self.highest = self.highest.max(offered.version);
         self.candidate = Some(offered);
         self.settle(turn)
     }
@@ -79,13 +79,15 @@
         let fresh = turn.world.config.is_none();
         let others = turn.world.members.iter().any(|m| m.vm != turn.world.me.vm);
         let candidate = self.candidate.as_ref()?;
-        if fresh && others && !self.met {
-            let until = *self.probation.get_or_insert(turn.now + PROBATION);
+        if fresh && others && !self.has_answer {
+            let until = *self
+                .first_version_until
+                .get_or_insert(turn.now + FIRST_VERSION_TIMEOUT);
             if until > turn.now {
                 return None;
             }
         }
-        if fresh && candidate.version < self.heard {
+        if fresh && candidate.version < self.highest {
             return None;
         }
         self.candidate.take()
@@ -94,37 +96,37 @@
     /// Announces a configuration that was put in force.
     pub fn accepted(&mut self, turn: &mut Turn) {
         self.packed = None;
-        self.wanted_until = Time::default();
+        self.requested_until = Time::default();
         for _ in 0..FANOUT {
-            self.greet_one(turn);
+            self.send_hello_to_random(turn);
         }
     }
 
     /// Records another VM's version and requests its document if it is newer.
-    pub fn heard(&mut self, turn: &mut Turn, from: &VmId, version: Version) {
-        self.heard = self.heard.max(version);
+    pub fn version_reported(&mut self, turn: &mut Turn, from: &VmId, version: Version) {
+        self.highest = self.highest.max(version);
         let candidate = self.candidate.as_ref().map(|known| known.version);
         let have = candidate.max(Some(turn.version()));
-        if Some(version) > have && self.wanted_until <= turn.now {
-            self.wanted_until = turn.now + WANT;
+        if Some(version) > have && self.requested_until <= turn.now {
+            self.requested_until = turn.now + DOCUMENT_TIMEOUT;
             let mine = have.unwrap_or_default();
-            turn.send(from, Message::Want(mine));
+            turn.send(from, Message::Fetch(mine));
         }
     }
 
     /// Sends this VM's version to a VM that announced an older one.
-    pub fn answer(&mut self, turn: &mut Turn, from: &VmId, version: Version) {
+    pub fn reply_if_newer(&mut self, turn: &mut Turn, from: &VmId, version: Version) {
         if version < turn.version() {
-            self.greet(turn, from);
+            self.send_hello(turn, from);
         }
     }
 
     /// Records that at least one other VM has announced its version.
-    pub fn meet(&mut self) {
-        self.met = true;
+    pub fn peer_answered(&mut self) {
+        self.has_answer = true;
     }
 
-    pub fn greet(&self, turn: &mut Turn, to: &VmId) {
+    pub fn send_hello(&self, turn: &mut Turn, to: &VmId) {
         let hello = Hello {
             life: turn.world.me.life,
             version: turn.version(),
@@ -134,7 +136,7 @@
     }
 
     /// Sends the configuration to a VM that asked for a later one than `version`.
-    pub fn want(&mut self, turn: &mut Turn, from: &VmId, version: Version) {
+    pub fn send_document(&mut self, turn: &mut Turn, from: &VmId, version: Version) {
         if version >= turn.version() {
             return;
         }
@@ -159,13 +161,13 @@
 
     pub fn tick(&mut self, turn: &mut Turn) {
         if self.gossip_at <= turn.now {
-            self.gossip_at = turn.now + GOSSIP;
-            self.greet_one(turn);
+            self.gossip_at = turn.now + GOSSIP_INTERVAL;
+            self.send_hello_to_random(turn);
         }
     }
 
     /// Sends a hello to one other VM at random, preferably one with an open stream.
-    fn greet_one(&mut self, turn: &mut Turn) {
+    fn send_hello_to_random(&mut self, turn: &mut Turn) {
         let me = &turn.world.me.vm;
         let listed = turn.world.members.iter().map(|member| &member.vm);
         let others: Vec<&VmId> = listed.filter(|vm| *vm != me).collect();
@@ -181,14 +183,14 @@
             return;
         }
         let index = turn.world.random(choice.len());
-        self.greet(turn, &choice[index]);
+        self.send_hello(turn, &choice[index]);
     }
 }
 
 /// Unpacks a document that another VM sent; `None` if it is malformed or too large.
 pub(crate) fn unpack(packed: &Bytes) -> Option<Accepted> {
     let mut json = Vec::new();
-    let mut decoder = GzDecoder::new(packed.as_ref()).take(DOCUMENT_LIMIT);
+    let mut decoder = GzDecoder::new(packed.as_ref()).take(MAX_DOCUMENT_BYTES);
     decoder.read_to_end(&mut json).ok()?;
     serde_json::from_slice(&json).ok()
 }
--- a/src/core/steward.rs
+++ b/src/core/steward.rs
@@ -23,7 +23,7 @@
 
 /// The number of entries that are notified as soon as there is a leader. Further entries ask again
 /// by themselves.
-const CURIOUS_LIMIT: usize = 1_024;
+const MAX_WAITING_ENTRIES: usize = 1_024;
 
 /// One VM's part in leading one group: the VM that leads it is the group's steward.
 #[derive(Debug)]
@@ -39,9 +39,9 @@
     served: Time,
     phase: Phase,
     /// The earliest time of the next takeover.
-    patience: Time,
-    curious: BTreeMap<VmId, RequestId>,
-    verdicts: Vec<Verdict>,
+    takeover_after: Time,
+    waiting_entries: BTreeMap<VmId, RequestId>,
+    completions: Vec<Completion>,
 }
 
 #[derive(Debug)]
@@ -84,13 +84,13 @@
     primary: DatabaseId,
     base: Position,
     request: RequestId,
-    again: Time,
+    retry_at: Time,
     until: Time,
 }
 
 /// A job whose answer the steward has decided on.
 #[derive(Debug)]
-pub(crate) struct Verdict {
+pub(crate) struct Completion {
     pub job: Job,
     pub outcome: Outcome,
     /// The end of the lease that the entry may go on using.
@@ -127,9 +127,9 @@
             term: Term::default(),
             served: turn.now,
             phase: Phase::Follow,
-            patience: Time::default(),
-            curious: BTreeMap::new(),
-            verdicts: Vec::new(),
+            takeover_after: Time::default(),
+            waiting_entries: BTreeMap::new(),
+            completions: Vec::new(),
             group,
         }
     }
@@ -160,8 +160,8 @@
         }
     }
 
-    pub fn take_verdicts(&mut self) -> Vec<Verdict> {
-        std::mem::take(&mut self.verdicts)
+    pub fn take_completions(&mut self) -> Vec<Completion> {
+        std::mem::take(&mut self.completions)
     }
 
     /// Whether this VM leads, or is about to.
@@ -176,10 +176,10 @@
     /// When the next tick is due.
     pub fn wake(&self) -> Time {
         match &self.phase {
-            Phase::Follow => self.watch.suspects_at().max(self.patience),
+            Phase::Follow => self.watch.suspects_at().max(self.takeover_after),
             Phase::Gather(evidence) => evidence.until,
             Phase::Raise(raising) => raising.wake(),
-            Phase::Open(opening) => opening.again.min(opening.until),
+            Phase::Open(opening) => opening.retry_at.min(opening.until),
             Phase::Lead(lead) => lead.wake(),
         }
     }
@@ -237,7 +237,7 @@
         }
         if probe.serving {
             self.served = turn.now;
-            self.tell_curious(turn);
+            self.notify_waiting(turn);
         }
     }
 
@@ -246,7 +246,7 @@
     /// The raising VM waits for a window before it leads. The raise counts as a response for that
     /// long; otherwise VMs that have received no probe would raise again, so that terms rise
     /// without end and no VM leads. If the raising VM fails, this costs one window.
-    pub fn saw_raise(&mut self, turn: &Turn, term: Term) {
+    pub fn raise_reported(&mut self, turn: &Turn, term: Term) {
         if term <= self.term {
             return;
         }
@@ -282,7 +282,7 @@
     }
 
     /// Sends the leader to an entry. If there is none, the entry is notified once there is one.
-    pub(super) fn inform(&mut self, turn: &mut Turn, from: &VmId, request: RequestId) {
+    pub(super) fn send_leader(&mut self, turn: &mut Turn, from: &VmId, request: RequestId) {
         let known = turn.world.leaders.get(&self.group).cloned();
         let live = match &self.phase {
             Phase::Lead(_) => true,
@@ -290,8 +290,8 @@
             _ => false,
         };
         let primary = known.filter(|_| live);
-        if primary.is_none() && self.curious.len() < CURIOUS_LIMIT {
-            self.curious.insert(from.clone(), request);
+        if primary.is_none() && self.waiting_entries.len() < MAX_WAITING_ENTRIES {
+            self.waiting_entries.insert(from.clone(), request);
         }
         let grant = Grant {
             request,
@@ -302,12 +302,12 @@
         turn.send(from, Message::Grant(grant));
     }
 
-    fn tell_curious(&mut self, turn: &mut Turn) {
-        if self.curious.is_empty() {
+    fn notify_waiting(&mut self, turn: &mut Turn) {
+        if self.waiting_entries.is_empty() {
             return;
         }
         let primary = turn.world.leaders.get(&self.group).cloned();
-        for (vm, request) in std::mem::take(&mut self.curious) {
+        for (vm, request) in std::mem::take(&mut self.waiting_entries) {
             let grant = Grant {
                 request,
                 group: self.group.clone(),
@@ -327,7 +327,7 @@
             return;
         };
         for waiting in lead.end() {
-            self.verdicts.push(Verdict {
+            self.completions.push(Completion {
                 job: waiting.job,
                 outcome: Outcome::Unknown(Unknown::Unconfirmed),
                 lease: None,
--- a/src/core/steward/election.rs
+++ b/src/core/steward/election.rs
@@ -13,26 +13,26 @@
 
 /// A VM that receives no answer from any other one takes over only after the steward has been
 /// silent for this many suspicion spans.
-const ALONE: u64 = 3;
+const SOLE_FACTOR: u64 = 3;
 
 /// The number of raises to higher terms before this VM backs off for another one.
-const TRIES: u32 = 3;
+const MAX_RAISES: u32 = 3;
 
 impl Steward {
     /// Starts a takeover once the steward has been silent for long enough. VMs wait according to
     /// their rank, so that two rarely raise the term at once; if they do, the higher term wins.
     pub(super) fn watch_steward(&mut self, turn: &mut Turn) {
-        if turn.world.stopping || turn.now < self.patience || !self.watch.suspects(turn.now) {
+        if turn.world.stopping || turn.now < self.takeover_after || !self.watch.suspects(turn.now) {
             return;
         }
         let Some(rank) = self.rank(turn) else {
-            self.patience = turn.now + turn.timing().suspicion;
+            self.takeover_after = turn.now + turn.timing().suspicion;
             return;
         };
-        let step = turn.timing().probe;
-        let turn_comes = self.watch.suspects_at() + Span(step.0 * rank);
-        if turn.now < turn_comes {
-            self.patience = turn_comes;
+        let interval = turn.timing().probe;
+        let starts_at = self.watch.suspects_at() + Span(interval.0 * rank);
+        if turn.now < starts_at {
+            self.takeover_after = starts_at;
             return;
         }
         self.gather(turn);
@@ -92,7 +92,7 @@
     /// several suspicion spans, since it may be the last VM and the list of VMs may be outdated.
     pub(super) fn decide_alone(&mut self, turn: &mut Turn) {
         let suspicion = turn.timing().suspicion;
-        let alone_at = self.watch.suspects_at() + Span(suspicion.0 * (ALONE - 1));
+        let alone_at = self.watch.suspects_at() + Span(suspicion.0 * (SOLE_FACTOR - 1));
         let Phase::Gather(evidence) = &self.phase else {
             return;
         };
@@ -101,7 +101,7 @@
         if enough && (turn.now >= alone_at || !others) {
             return self.raise(turn, self.term.next(), None, 0);
         }
-        self.rest(turn);
+        self.back_off(turn);
     }
 
     fn holders(&self, turn: &mut Turn) -> BTreeMap<VmId, Vec<DatabaseId>> {
@@ -126,17 +126,17 @@
         }
         evidence.asked.remove(&suspected.request);
         if suspected.heard {
-            return self.rest(turn);
+            return self.back_off(turn);
         }
-        let theirs = self.holders(turn).remove(from).unwrap_or_default();
+        let held = self.holders(turn).remove(from).unwrap_or_default();
         if let Phase::Gather(evidence) = &mut self.phase {
-            evidence.silent.extend(theirs);
+            evidence.silent.extend(held);
             evidence.witnesses += 1;
         }
-        self.weigh(turn);
+        self.check_evidence(turn);
     }
 
-    fn weigh(&mut self, turn: &mut Turn) {
+    fn check_evidence(&mut self, turn: &mut Turn) {
         let Phase::Gather(evidence) = &self.phase else {
             return;
         };
@@ -146,10 +146,10 @@
     }
 
     /// Backs off, because others receive the steward's probes or there is not enough evidence.
-    pub(super) fn rest(&mut self, turn: &mut Turn) {
+    pub(super) fn back_off(&mut self, turn: &mut Turn) {
         let spread = turn.timing().probe;
         let jitter = turn.world.random(spread.0.max(1) as usize) as u64;
-        self.patience = turn.now + spread + Span(jitter);
+        self.takeover_after = turn.now + spread + Span(jitter);
         self.phase = Phase::Follow;
     }
 
@@ -245,7 +245,7 @@
                 self.tick_raise(turn);
             }
             Some(Ok(_)) | None => {}
-            Some(Err(Refusal::Term(higher))) => self.outbid(turn, higher),
+            Some(Err(Refusal::Term(higher))) => self.retry_higher(turn, higher),
             Some(Err(_)) => {}
         }
     }
@@ -253,7 +253,7 @@
     /// Handles a database that is in a higher term, or in this one by another steward or by an order
     /// whose answer was lost. A term may be opened only if this VM alone raised it, so a higher
     /// one is tried, up to a few times.
-    fn outbid(&mut self, turn: &mut Turn, higher: Term) {
+    fn retry_higher(&mut self, turn: &mut Turn, higher: Term) {
         let Phase::Raise(raising) = &self.phase else {
             return;
         };
@@ -264,8 +264,8 @@
         let left_out = raising.promotion.left_out().cloned();
         turn.world.counters.promotions_abandoned += 1;
         self.term = self.term.max(higher);
-        if tries >= TRIES {
-            return self.rest(turn);
+        if tries >= MAX_RAISES {
+            return self.back_off(turn);
         }
         // A term above the one handed over may have confirmations of its own to wait for.
         self.raise(turn, self.term.next(), None, tries);
@@ -283,7 +283,7 @@
                 let term = raising.promotion.term();
                 turn.world.counters.promotions_abandoned += 1;
                 self.term = self.term.max(term);
-                self.rest(turn);
+                self.back_off(turn);
             }
             return;
         }
@@ -309,7 +309,7 @@
             primary,
             base,
             request,
-            again: turn.now + turn.timing().probe,
+            retry_at: turn.now + turn.timing().probe,
             until: turn.now + turn.timing().suspicion,
         });
     }
@@ -322,18 +322,18 @@
             // The chosen database has failed, or only another VM reaches it.
             self.term = self.term.max(opening.term);
             turn.world.counters.promotions_abandoned += 1;
-            return self.rest(turn);
+            return self.back_off(turn);
         }
-        if opening.again > turn.now {
+        if opening.retry_at > turn.now {
             return;
         }
         let (primary, term) = (opening.primary.clone(), opening.term);
         let request = turn.id();
         let me = turn.world.me.vm.clone();
         self.send_order(turn, &me, request, &primary, Order::Open(term));
-        let again = turn.now + turn.timing().probe;
+        let retry_at = turn.now + turn.timing().probe;
         if let Phase::Open(opening) = &mut self.phase {
-            (opening.request, opening.again) = (request, again);
+            (opening.request, opening.retry_at) = (request, retry_at);
         }
     }
 
@@ -354,7 +354,7 @@
             Some(Err(Refusal::Term(higher))) => {
                 self.term = self.term.max(higher).max(term);
                 turn.world.counters.promotions_abandoned += 1;
-                self.rest(turn);
+                self.back_off(turn);
             }
             _ => {}
         }
--- a/src/core/steward/handover.rs
+++ b/src/core/steward/handover.rs
@@ -1,6 +1,6 @@
 //! Periodic work of a leading steward: probes, detection of a lost primary, and planned handover.
 
-use super::lead::{Doubt, Replica};
+use super::lead::{Inquiry, Replica};
 use super::{Phase, Quiet, Steward};
 use crate::clock::Time;
 use crate::core::message::{Message, Suspect, Suspected, Yield};
@@ -51,12 +51,12 @@
             return;
         };
         if !lead.primary_watch.suspects(now) || lead.handover.is_some() {
-            lead.doubt = None;
+            lead.inquiry = None;
             return;
         }
-        match &lead.doubt {
+        match &lead.inquiry {
             None => self.ask_others(turn),
-            Some(doubt) if doubt.until > now && !doubt.asked.is_empty() => {}
+            Some(inquiry) if inquiry.until > now && !inquiry.asked.is_empty() => {}
             Some(_) if allowed > now => {}
             Some(_) => self.replace_primary(turn),
         }
@@ -82,8 +82,8 @@
         let stalled = lead.stall.look(now, waiting, progress, suspicion);
         let alive = |replica: &&Replica| replica.answered_since(now - suspicion);
         let enough = lead.replicas.values().filter(alive).count() >= needed;
-        let free = lead.handover.is_none() && !lead.acks.has_unshared();
-        if stalled && enough && free && allowed <= now {
+        let replaceable = lead.handover.is_none() && !lead.acks.has_unshared();
+        if stalled && enough && replaceable && allowed <= now {
             let primary = lead.leader.database.clone();
             log::warn!(group:% = self.group, primary:%; "its log reaches no replica: replacing it");
             self.step_down(turn);
@@ -113,7 +113,7 @@
             asked.insert(request, vm);
         }
         let until = now + turn.timing().probe;
-        lead.doubt = Some(Doubt { asked, until });
+        lead.inquiry = Some(Inquiry { asked, until });
     }
 
     /// Handles another holder's answer on whether it reaches the primary.
@@ -122,13 +122,13 @@
         let Some(lead) = self.lead() else {
             return;
         };
-        let Some(doubt) = &mut lead.doubt else {
+        let Some(inquiry) = &mut lead.inquiry else {
             return;
         };
-        if doubt.asked.get(&suspected.request) != Some(from) {
+        if inquiry.asked.get(&suspected.request) != Some(from) {
             return;
         }
-        doubt.asked.remove(&suspected.request);
+        inquiry.asked.remove(&suspected.request);
         // A handover skips the window, so granted leases would outlive the term.
         if suspected.reached == Some(true) && lead.sessions.leased_until() <= now {
             return self.yield_to(turn, from.clone());
@@ -143,15 +143,15 @@
 
     /// Advances a planned stop or the planned replacement of a primary by one step.
     fn check_handover(&mut self, turn: &mut Turn, quiet: Quiet) {
-        let leaving = self.has_to_go(turn);
+        let leaving = self.must_end(turn);
         let now = turn.now;
-        let patience = turn.timing().idle_transaction;
+        let timeout = turn.timing().idle_transaction;
         let Some(lead) = self.lead() else {
             return;
         };
         let Some(handover) = &mut lead.handover else {
             if leaving {
-                let drain_until = now + patience;
+                let drain_until = now + timeout;
                 lead.handover = Some(Handover {
                     drain_until,
                     frozen: false,
@@ -175,7 +175,7 @@
     /// An abandoned raise may leave one database in a higher term, where it follows no primary and
     /// the group has one database less until the next loss stops it. A planned handover moves the
     /// whole group to a term above, once this has lasted too long to be a takeover under way.
-    fn has_to_go(&mut self, turn: &Turn) -> bool {
+    fn must_end(&mut self, turn: &Turn) -> bool {
         if turn.world.stopping {
             return true;
         }
@@ -183,7 +183,7 @@
         let Some(lead) = self.lead() else {
             return false;
         };
-        if lead.has_stray(turn.now, turn.timing().suspicion) && allowed <= turn.now {
+        if lead.has_higher_term(turn.now, turn.timing().suspicion) && allowed <= turn.now {
             return true;
         }
         let leaving = |id| turn.world.database(id).is_some_and(|found| found.leaving);
--- a/src/core/steward/lead.rs
+++ b/src/core/steward/lead.rs
@@ -18,7 +18,7 @@
 
 /// The number of latest probes of one database whose reports are accepted. By then, the report of
 /// an older one proves less than a window.
-const ROUNDS_KEPT: usize = 8;
+const MAX_ROUNDS: usize = 8;
 
 /// The state of a steward while it leads: who leads the group, and under which term.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
     pub(super) lineage: Lineage,
     pub(super) probe_at: Time,
     pub(super) handover: Option<Handover>,
-    pub(super) doubt: Option<Doubt>,
+    pub(super) inquiry: Option<Inquiry>,
     pub(super) stall: Stall,
     served: bool,
 }
@@ -73,7 +73,7 @@
 
 /// Questions to other VMs on whether they reach a primary that does not respond here.
 #[derive(Debug)]
-pub(crate) struct Doubt {
+pub(crate) struct Inquiry {
     pub asked: BTreeMap<RequestId, VmId>,
     pub until: Time,
 }
@@ -118,10 +118,10 @@
         }
     }
 
-    /// Whether a database has been in a higher term for `patience` while this one serves.
-    pub(super) fn has_stray(&self, now: Time, patience: Span) -> bool {
+    /// Whether a database has been in a higher term for `duration` while this one serves.
+    pub(super) fn has_higher_term(&self, now: Time, duration: Span) -> bool {
         let mut higher = self.replicas.values().filter_map(|replica| replica.higher);
-        self.serves(now) && higher.any(|since| since + patience <= now)
+        self.serves(now) && higher.any(|since| since + duration <= now)
     }
 
     /// Whether writes are currently acknowledged.
@@ -130,8 +130,8 @@
     }
 
     pub fn wake(&self) -> Time {
-        let doubt = self.doubt.as_ref().map(|doubt| doubt.until);
-        doubt.unwrap_or(self.probe_at).min(self.probe_at)
+        let inquiry = self.inquiry.as_ref().map(|inquiry| inquiry.until);
+        inquiry.unwrap_or(self.probe_at).min(self.probe_at)
     }
 
     /// Ends the lead and returns the answers that still wait to be acknowledged.
@@ -170,7 +170,7 @@
             lineage: state.lineage,
             probe_at: turn.now,
             handover: None,
-            doubt: None,
+            inquiry: None,
             stall: Stall::default(),
             served: false,
             leader,
@@ -178,7 +178,7 @@
         turn.world.learn(&self.group, &lead.leader);
         turn.world.counters.promotions += 1;
         self.phase = super::Phase::Lead(Box::new(lead));
-        self.tell_curious(turn);
+        self.notify_waiting(turn);
         self.probe(turn);
     }
 
@@ -258,12 +258,12 @@
         } else {
             self.order(turn, &report.database, Order::Raise(term));
         }
-        self.note_service(turn);
+        self.record_service(turn);
         self.flush(turn);
     }
 
     /// Records that the group is served. The first time in a term ends the failover gap.
-    fn note_service(&mut self, turn: &mut Turn) {
+    fn record_service(&mut self, turn: &mut Turn) {
         let (now, since) = (turn.now, self.served);
         let Some(lead) = self.lead() else {
             return;
@@ -330,12 +330,12 @@
                 lead.primary_watch.heard(asked);
                 let primary = lead.leader.database.clone();
                 lead.confirmations.confirm(&primary, asked, window);
-                lead.doubt = None;
+                lead.inquiry = None;
                 lead.primary_log = Some(Log {
                     end: state.position,
                     asked,
                 });
-                self.note_service(turn);
+                self.record_service(turn);
                 self.flush(turn);
             }
             Some(Ok(state)) => {
@@ -366,7 +366,7 @@
     }
 
     fn asked(&mut self, round: RequestId, now: Time) {
-        if self.rounds.len() == ROUNDS_KEPT {
+        if self.rounds.len() == MAX_ROUNDS {
             self.rounds.pop_first();
         }
         self.rounds.insert(round, now);
--- a/src/core/steward/lease.rs
+++ b/src/core/steward/lease.rs
@@ -24,7 +24,9 @@
         let session = ask.session;
         let granted = match (self.lead(), &session) {
             (Some(lead), Some(session)) => lead.lease_end(now).map(|until| Leased {
-                floor: lead.sessions.grant(session, from, now, guarded(now, until)),
+                floor: lead
+                    .sessions
+                    .grant(session, from, now, with_drift(now, until)),
                 span: until.since(now),
                 lineage: lead.lineage.clone(),
             }),
@@ -32,7 +34,7 @@
         };
         if granted.is_none() {
             turn.world.counters.grants_refused += u64::from(session.is_some());
-            return self.inform(turn, from, ask.request);
+            return self.send_leader(turn, from, ask.request);
         }
         turn.world.counters.grants += 1;
         let grant = Grant {
@@ -75,13 +77,14 @@
             return None;
         }
         let vm = &waiting.job.origin;
-        self.sessions.grant(session, vm, now, guarded(now, until));
+        self.sessions
+            .grant(session, vm, now, with_drift(now, until));
         Some(until)
     }
 }
 
 /// When a lease until `until` has expired at the entry even if the entry's clock is slow.
-fn guarded(now: Time, until: Time) -> Time {
+fn with_drift(now: Time, until: Time) -> Time {
     now + until.since(now).percent(100 + DRIFT_PERCENT)
 }
 
--- a/src/core/steward/pass.rs
+++ b/src/core/steward/pass.rs
@@ -3,7 +3,7 @@
 
 use super::lead::Reach;
 use super::lease::revoke;
-use super::{Steward, Verdict};
+use super::{Completion, Steward};
 use crate::clock::Time;
 use crate::config::Durability;
 use crate::core::acknowledge::Waiting;
@@ -21,7 +21,7 @@
         let durability = turn.world.pool(&job.work.pool).map(|pool| pool.durability);
         let group = self.group.clone();
         let Some(lead) = self.lead().filter(|lead| lead.leader.term == term) else {
-            self.verdicts.push(Verdict::unconfirmed(job));
+            self.completions.push(Completion::unconfirmed(job));
             return;
         };
         let mut waiting = Waiting {
@@ -64,17 +64,17 @@
         let ready = lead.acks.ready(now, &lead.confirmations);
         let late = lead.acks.expire(now, &lead.confirmations);
         let until = lead.lease_end(now);
-        let mut verdicts = Vec::with_capacity(ready.len() + late.len());
+        let mut completions = Vec::with_capacity(ready.len() + late.len());
         for waiting in ready {
             let lease = until.and_then(|until| lead.renew(&waiting, now, until));
-            verdicts.push(Verdict::done(waiting, lease));
+            completions.push(Completion::done(waiting, lease));
         }
-        verdicts.extend(late.into_iter().map(|(waiting, cause)| Verdict {
+        completions.extend(late.into_iter().map(|(waiting, cause)| Completion {
             job: waiting.job,
             outcome: Outcome::Unknown(cause),
             lease: None,
         }));
-        self.verdicts.append(&mut verdicts);
+        self.completions.append(&mut completions);
         self.ask_replicas(turn);
     }
 
@@ -85,7 +85,7 @@
             return;
         };
         let term = lead.leader.term;
-        let patience = turn.timing().answer;
+        let timeout = turn.timing().answer;
         for (id, replica) in &mut lead.replicas {
             if replica
                 .reach
@@ -102,7 +102,7 @@
             replica.reach = Some(Reach {
                 request,
                 wanted,
-                until: now + patience,
+                until: now + timeout,
             });
             let control = Control {
                 request,
@@ -115,7 +115,7 @@
     }
 }
 
-impl Verdict {
+impl Completion {
     fn done(waiting: Waiting, lease: Option<Time>) -> Self {
         let reply = waiting.reply;
         let done = Done {
--- a/src/core/world.rs
+++ b/src/core/world.rs
@@ -19,15 +19,15 @@
 use std::sync::Arc;
 
 /// The number of VMs kept of a database's order: its holder and the VMs that may replace it.
-const ORDER_KEPT: usize = 4;
+const MAX_ORDER: usize = 4;
 
 /// How long a listed VM whose stream broke is not used. Long enough that not every request tries
 /// a dead VM, and short enough that one broken stream moves few databases.
-const SUSPECT_VM: Span = Span::from_secs(2);
+const SUSPECT_DURATION: Span = Span::from_secs(2);
 
 /// The number of orders to databases that may be under way. A database that does not answer gets a
 /// probe every 250 ms until its connections time out; this is enough for hundreds of these.
-const ERRANDS_LIMIT: usize = 8_192;
+const MAX_PENDING_ORDERS: usize = 8_192;
 
 /// What is known of another VM in addition to the platform's list.
 #[derive(Debug, Default)]
@@ -77,7 +77,7 @@
     groups: HashMap<DatabaseId, GroupId>,
     orders: HashMap<DatabaseId, Arc<[VmId]>>,
     /// The databases in whose orders this VM is; `None` until computed.
-    mine: Option<Vec<DatabaseId>>,
+    own_databases: Option<Vec<DatabaseId>>,
     last_id: u64,
 }
 
@@ -108,7 +108,7 @@
             errands: HashMap::new(),
             groups: HashMap::new(),
             orders: HashMap::new(),
-            mine: None,
+            own_databases: None,
             last_id,
         }
     }
@@ -169,21 +169,21 @@
         self.leaders.retain(|group, _| known.contains_key(group));
         self.timing = accepted.document.timing;
         self.config = Some(accepted);
-        self.forget_orders();
+        self.clear_orders();
     }
 
     /// Replaces the list of VMs with the platform's.
     pub fn list(&mut self, members: Vec<Member>) {
-        self.forget_orders();
+        self.clear_orders();
         let listed: HashSet<&VmId> = members.iter().map(|member| &member.vm).collect();
         self.peers.retain(|vm, peer| peer.up || listed.contains(vm));
         self.members = members;
         self.listed = true;
     }
 
-    fn forget_orders(&mut self) {
+    fn clear_orders(&mut self) {
         self.orders.clear();
-        self.mine = None;
+        self.own_databases = None;
     }
 
     /// The first few VMs that should hold `database`, in order of preference.
@@ -194,7 +194,7 @@
         let Some(domain) = self.database(database).map(|found| found.domain.clone()) else {
             return Arc::new([]);
         };
-        let first = member::first(&self.members, database, &domain, ORDER_KEPT);
+        let first = member::first(&self.members, database, &domain, MAX_ORDER);
         let mut order: Vec<VmId> = first.into_iter().map(|member| member.vm.clone()).collect();
         if order.is_empty() {
             order.push(self.me.vm.clone());
@@ -223,26 +223,29 @@
 
     /// The databases that this VM holds.
     pub fn held(&mut self, now: Time) -> BTreeSet<DatabaseId> {
-        if self.mine.is_none() {
-            self.mine = Some(self.find_mine());
+        if self.own_databases.is_none() {
+            self.own_databases = Some(self.find_own());
         }
-        let mine = self.mine.clone().unwrap_or_default();
-        mine.into_iter().filter(|id| self.holds(now, id)).collect()
+        let own_databases = self.own_databases.clone().unwrap_or_default();
+        own_databases
+            .into_iter()
+            .filter(|id| self.holds(now, id))
+            .collect()
     }
 
     /// The databases that this VM holds or may take over. The orders of all others are removed from
     /// the cache, so that an entry caches only those of the databases that its callers use.
-    fn find_mine(&mut self) -> Vec<DatabaseId> {
+    fn find_own(&mut self) -> Vec<DatabaseId> {
         let databases: Vec<DatabaseId> = self.groups.keys().cloned().collect();
-        let mut mine = Vec::new();
+        let mut own_databases = Vec::new();
         for database in databases {
             if self.order(&database).contains(&self.me.vm) {
-                mine.push(database);
+                own_databases.push(database);
             } else {
                 self.orders.remove(&database);
             }
         }
-        mine
+        own_databases
     }
 
     /// Whether work may be sent to `vm`.
@@ -259,7 +262,7 @@
     /// the stream had been open, in which case sent messages may have arrived.
     pub fn peer_down(&mut self, now: Time, vm: &VmId) -> bool {
         let peer = self.peers.entry(vm.clone()).or_default();
-        peer.suspect_until = now + SUSPECT_VM;
+        peer.suspect_until = now + SUSPECT_DURATION;
         std::mem::take(&mut peer.up)
     }
 
@@ -346,7 +349,7 @@
 
     /// Sends an order to a database for the purpose `errand`. Returns whether it was sent.
     pub fn order(&mut self, database: &DatabaseId, order: Order, errand: Errand) -> bool {
-        if self.world.errands.len() >= ERRANDS_LIMIT {
+        if self.world.errands.len() >= MAX_PENDING_ORDERS {
             return false;
         }
         let Some(address) = self.world.database(database).map(|found| found.address) else {
