--- a/tests/member.rs
+++ b/tests/member.rs
@@ -1,4 +1,4 @@
-//! The order of VMs for a database.
+//! The order in which VMs hold a database.
 
 use lentilspoke::clock::Time;
 use lentilspoke::config::Accepted;
@@ -31,17 +31,17 @@
 }
 
 #[test]
-fn a_vm_that_goes_moves_only_its_own_databases() {
+fn removing_a_vm_moves_only_its_own_databases() {
     let all = members(40);
     let mut fewer = all.clone();
-    let gone = fewer.remove(9);
+    let removed = fewer.remove(9);
     let domain: Domain = "x2".parse().unwrap();
     let holder = |members: &[Member], id: &DatabaseId| order(members, id, &domain)[0].vm.clone();
     let mut moved = 0;
     for database in 0..200 {
         let id: DatabaseId = format!("d{database}").parse().unwrap();
         let before = holder(&all, &id);
-        if before == gone.vm {
+        if before == removed.vm {
             moved += 1;
         } else {
             assert_eq!(holder(&fewer, &id), before);
@@ -53,11 +53,11 @@
     );
 }
 
-/// A VM has just started and hears of the configuration from a peer; the platform's list of VMs is
-/// late. Taking itself for the only VM, it would raise the terms of all groups, and every group
-/// would lose its steward. It does nothing to any database before the list is there.
+/// A VM that has just started receives the configuration from a peer before the platform's list of
+/// VMs. It must not send anything to a database before it has the list: if it assumed that it is the
+/// only VM, it would raise the terms of all groups, and every group would lose its steward.
 #[test]
-fn a_vm_without_a_list_takes_nothing_over() {
+fn a_vm_without_a_list_takes_over_nothing() {
     let document = lentilspoke::slopes::deployment::document(2).unwrap();
     let identity = Identity {
         vm: "vm-0".parse().unwrap(),
--- a/tests/node_guard.rs
+++ b/tests/node_guard.rs
@@ -1,4 +1,4 @@
-//! Safeguards that ordinary schedules seldom need, each shown by the inputs that need it.
+//! Safeguards that ordinary schedules rarely need, each tested with the inputs that need it.
 
 mod support;
 
@@ -13,13 +13,13 @@
 use std::sync::Arc;
 use support::{World, document, id};
 
-/// One node with a configuration and nobody else, driven by hand.
-struct Hand {
+/// A single node with a configuration, whose inputs the test supplies.
+struct Driver {
     node: Node,
     now: Time,
 }
 
-impl Hand {
+impl Driver {
     fn new() -> Self {
         let now = Time(1_000_000);
         let identity = Identity {
@@ -27,7 +27,7 @@
             domain: id("x"),
             life: Life(7),
         };
-        let mut hand = Self {
+        let mut driver = Self {
             node: Node::new(identity, now),
             now,
         };
@@ -35,17 +35,17 @@
             version: Version(1),
             document: document(),
         };
-        hand.give(Input::Accepted(Arc::new(accepted)));
-        hand
+        driver.input(Input::Accepted(Arc::new(accepted)));
+        driver
     }
 
-    fn give(&mut self, input: Input) -> Vec<Output> {
+    fn input(&mut self, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
         self.node.handle(self.now, input, &mut out);
         out
     }
 
-    /// Work of `vm`'s first caller for the replica `b`, until it runs on a connection.
+    /// Sends work of `vm`'s first caller for the replica `b` until it runs on a connection.
     fn run(&mut self, vm: &VmId, kind: Kind, floor: Option<Position>) -> (ConnId, RequestId) {
         let work = Work {
             request: RequestId(1),
@@ -66,10 +66,10 @@
             body: "r".into(),
         };
         let (from, message) = (vm.clone(), Message::Work(work));
-        let mut out = self.give(Input::Message { from, message });
+        let mut out = self.input(Input::Message { from, message });
         let conns: Vec<ConnId> = out.iter().filter_map(connecting).collect();
         for conn in conns {
-            out.extend(self.give(Input::Database(Event::Connected { conn })));
+            out.extend(self.input(Input::Database(Event::Connected { conn })));
         }
         out.iter().find_map(running).expect("the work runs")
     }
@@ -82,7 +82,7 @@
             applied: Position::new(Term(1), Offset(0)),
             wrote: None,
         };
-        self.give(Input::Database(Event::Answered { conn, reply }))
+        self.input(Input::Database(Event::Answered { conn, reply }))
     }
 }
 
@@ -117,23 +117,23 @@
     outcomes.collect()
 }
 
-/// A connection brings an answer to other work than it runs. Nobody hears that answer, the
-/// connection is closed, and the work that ran on it has an unknown outcome.
+/// A connection returns an answer to other work than it runs. That answer is dropped, the connection
+/// is closed, and the outcome of the work that ran on it is unknown.
 #[test]
 fn an_answer_to_other_work_closes_its_connection() {
-    let mut hand = Hand::new();
-    let (conn, request) = hand.run(&id("vm1"), Kind::Read, None);
-    let out = hand.answer(conn, RequestId(request.0 + 1), Status::Idle);
+    let mut driver = Driver::new();
+    let (conn, request) = driver.run(&id("vm1"), Kind::Read, None);
+    let out = driver.answer(conn, RequestId(request.0 + 1), Status::Idle);
     assert!(closes(&out, conn));
     assert_eq!(outcomes(&out), ["unknown: Broken"]);
-    assert!(outcomes(&hand.answer(conn, request, Status::Idle)).is_empty());
+    assert!(outcomes(&driver.answer(conn, request, Status::Idle)).is_empty());
 }
 
-/// A VM is replaced under its name, and its stream was never seen to break. Its predecessor's
-/// transaction is rolled back when the newcomer says hello.
+/// A VM is replaced by one of the same name, and its stream was never seen to break. The former
+/// process's transaction is rolled back when the new one sends its hello.
 #[test]
-fn a_newcomer_ends_its_predecessors_transactions() {
-    let mut hand = Hand::new();
+fn a_new_process_ends_its_predecessors_transactions() {
+    let mut driver = Driver::new();
     let vm: VmId = id("vm1");
     let hello = |life| Input::Message {
         from: id("vm1"),
@@ -143,15 +143,15 @@
             stopping: false,
         }),
     };
-    hand.give(hello(1));
-    let (conn, request) = hand.run(&vm, Kind::BeginRead, None);
-    hand.answer(conn, request, Status::Open);
-    assert!(!closes(&hand.give(hello(1)), conn));
-    assert!(closes(&hand.give(hello(2)), conn));
+    driver.input(hello(1));
+    let (conn, request) = driver.run(&vm, Kind::BeginRead, None);
+    driver.answer(conn, request, Status::Open);
+    assert!(!closes(&driver.input(hello(1)), conn));
+    assert!(closes(&driver.input(hello(2)), conn));
 }
 
-/// A statement of a transaction is refused unrun, and its caller goes on to commit all the
-/// same. The transaction is rolled back with the statement, so the commit commits nothing.
+/// A statement of a transaction is refused without being run, and its caller commits nevertheless.
+/// The transaction is rolled back with the statement, so the commit must commit nothing.
 #[test]
 fn a_statement_that_was_not_run_ends_its_transaction() {
     let mut world = World::ready(3);
@@ -168,10 +168,10 @@
     assert!(world.database("a").texts().is_empty());
 }
 
-/// A replica loses what it had applied after it showed it: it was restored from a backup. The
-/// answer itself shows too little, and the session's read is answered elsewhere.
+/// A replica is restored from a backup and loses data that it had reported as applied. The position
+/// in its answer is too low, so the session's read must not get that answer.
 #[test]
-fn a_replica_that_went_back_answers_no_session() {
+fn a_restored_replica_answers_no_session() {
     let mut world = World::ready(3);
     world.write_as("vm1", 1, "broker", "lot-1");
     world.wait(1, 1);
--- a/tests/node_path.rs
+++ b/tests/node_path.rs
@@ -1,4 +1,4 @@
-//! The core's ordinary path: one proxy or several, writes and reads, no failure.
+//! Writes and reads with one proxy or several, without failures.
 
 mod support;
 
--- a/tests/node_random.rs
+++ b/tests/node_random.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults over the core and small databases, with fixed seeds.
+//! Random fault schedules for the core with simulated databases, with fixed seeds.
 
 mod support;
 
@@ -14,22 +14,22 @@
 const VMS: usize = 4;
 const SESSIONS: u64 = 3;
 
-/// What a caller asked, and when.
+/// A caller's request and its time.
 struct Asked {
     session: u64,
     text: Option<String>,
     at: Time,
     vm: VmId,
-    /// Its proxy was killed before it was told.
+    /// Whether its proxy was killed before it answered.
     orphan: bool,
 }
 
-/// A transaction of one booking, by its link.
+/// A transaction with one write.
 struct Transaction {
     vm: String,
     text: String,
-    /// `begin`, the booking, `commit`: how many were submitted.
-    said: usize,
+    /// How many of `begin`, the write and `commit` were submitted.
+    submitted: usize,
 }
 
 struct Schedule {
@@ -78,14 +78,18 @@
         self.asked.insert(Link(link), asked);
     }
 
-    /// Begins a transaction, or goes on with those whose last statement was answered.
+    /// Begins a transaction, and continues those whose last statement was answered.
     fn transact(&mut self) {
         self.next += 1;
         let (link, vm) = (self.next, self.vm());
         if self.world.nodes.contains_key(&id::<VmId>(&vm)) {
             self.world.say(&vm, link, "begin");
             let text = format!("x{link}");
-            let transaction = Transaction { vm, text, said: 1 };
+            let transaction = Transaction {
+                vm,
+                text,
+                submitted: 1,
+            };
             self.transactions.insert(Link(link), transaction);
         }
         for (link, transaction) in &mut self.transactions {
@@ -94,20 +98,20 @@
                 .iter()
                 .all(|told| matches!(told.outcome, Outcome::Done(_)));
             let alive = self.world.nodes.contains_key(&id::<VmId>(&transaction.vm));
-            if !alive || !done || told.len() < transaction.said || transaction.said == 3 {
+            if !alive || !done || told.len() < transaction.submitted || transaction.submitted == 3 {
                 continue;
             }
-            let body = match transaction.said {
+            let body = match transaction.submitted {
                 1 => format!("w {}", transaction.text),
                 _ => "commit".into(),
             };
-            transaction.said += 1;
+            transaction.submitted += 1;
             self.world.say(&transaction.vm.clone(), link.0, &body);
         }
     }
 
-    /// A transaction's booking is there if its commit was acknowledged, and is not if it never
-    /// committed or was told that it was not run.
+    /// Checks that a transaction's write exists if its commit was acknowledged, and does not if the
+    /// transaction never committed or its commit was reported as not run.
     fn check_transactions(&self, seed: u64, texts: &[&str]) {
         for (link, transaction) in &self.transactions {
             let told = self.world.told.get(link).map_or(&[][..], Vec::as_slice);
@@ -116,12 +120,12 @@
                 .filter(|text| **text == transaction.text)
                 .count();
             let committed = told.get(2).map(|told| &told.outcome);
-            let least = usize::from(matches!(committed, Some(Outcome::Done(_))));
-            let never = transaction.said < 3 || matches!(committed, Some(Outcome::NotRun(_)));
-            let most = usize::from(!never);
+            let min = usize::from(matches!(committed, Some(Outcome::Done(_))));
+            let never = transaction.submitted < 3 || matches!(committed, Some(Outcome::NotRun(_)));
+            let max = usize::from(!never);
             let name = &transaction.text;
             assert!(
-                (least..=most).contains(&count),
+                (min..=max).contains(&count),
                 "seed {seed}: {name} {count} times, {told:?}"
             );
         }
@@ -158,9 +162,9 @@
         }
     }
 
-    /// Ends the processes that have stopped. What they had under way is answered by then, so
-    /// nobody is left an orphan.
-    fn bury(&mut self) {
+    /// Removes the processes that have stopped. All their requests were answered, so no request
+    /// becomes an orphan.
+    fn remove_stopped(&mut self) {
         for vm in std::mem::take(&mut self.world.stopped) {
             self.world.kill(vm.as_str());
         }
@@ -195,7 +199,7 @@
             if self.pick(8) == 0 {
                 self.fault();
             }
-            self.bury();
+            self.remove_stopped();
             self.ask();
             if self.pick(4) == 0 {
                 self.transact();
@@ -207,7 +211,7 @@
         self.world.run(Span::from_secs(20));
     }
 
-    /// What the last primary holds against what callers were told.
+    /// Compares the log of the last primary with the outcomes that callers received.
     fn check(&mut self, seed: u64) {
         let Some(primary) = self.world.primary() else {
             panic!("no primary with seed {seed}")
@@ -217,7 +221,7 @@
         for (link, asked) in &self.asked {
             let told = self.world.told.get(link).map_or(&[][..], Vec::as_slice);
             let Some(told) = told.first().filter(|_| told.len() == 1) else {
-                // A caller whose proxy was killed is told nothing.
+                // A caller whose proxy was killed receives no answer.
                 assert!(
                     told.is_empty() && asked.orphan,
                     "seed {seed}: {link} was told {told:?}"
@@ -236,7 +240,7 @@
         self.check_reads(seed);
     }
 
-    /// Each read that was answered shows all writes of its session acknowledged before it.
+    /// Checks that each answered read shows all writes of its session acknowledged before it.
     fn check_reads(&self, seed: u64) {
         for (link, asked) in self.asked.iter().filter(|(_, asked)| asked.text.is_none()) {
             let told = self.world.told.get(link).map(|told| &told[0].outcome);
@@ -282,7 +286,7 @@
 }
 
 #[test]
-fn what_callers_are_told_holds_under_random_faults() {
+fn reported_outcomes_hold_under_random_faults() {
     let seeds = std::env::var("LENTILSPOKE_SEEDS").ok();
     let seeds: u64 = seeds.and_then(|seeds| seeds.parse().ok()).unwrap_or(20);
     let (mut done, mut asked) = (0, 0);
--- a/tests/node_session.rs
+++ b/tests/node_session.rs
@@ -1,4 +1,4 @@
-//! Read-your-writes for sessions that roam between proxies.
+//! Read-your-writes for sessions that use several proxies.
 
 mod support;
 
@@ -11,10 +11,9 @@
 
 const LAG: Span = Span::from_millis(400);
 
-/// A broker is connected to two proxies at once and reads at both. It books at one and, once
-/// that is acknowledged, reads at the other, whose lease on the old floor would have run on.
-/// The replicas lag, so a read under the old floor would miss the booking. The steward takes
-/// the lease back before it acknowledges.
+/// A session writes at one proxy and then reads at another one, which has a lease on the old floor.
+/// The replicas lag, so a read under the old floor would miss the write. The steward revokes the
+/// lease before it acknowledges the write.
 #[test]
 fn a_write_at_one_proxy_is_seen_at_the_other() {
     let mut world = World::ready(3);
@@ -31,10 +30,10 @@
     assert_eq!(world.counter("vm0", "revokes"), 2);
 }
 
-/// As above, but what takes the lease back is lost. The acknowledgement waits until the lease
-/// has lapsed by itself, and the read at the other proxy comes after it.
+/// As above, but the revocation is lost. The acknowledgement waits until the lease has expired, and
+/// the read at the other proxy follows it.
 #[test]
-fn a_lease_that_cannot_be_taken_back_is_waited_for() {
+fn a_write_waits_for_a_lease_that_cannot_be_revoked() {
     let mut world = World::ready(3);
     world.write_as("vm0", 1, "broker", "lot-1");
     world.wait(1, 1);
@@ -54,9 +53,9 @@
     assert!(world.told(2)[1].ends_with("lot-1,lot-2"));
 }
 
-/// The steward is lost right after it acknowledged a booking. The session goes to a proxy that
-/// never met it, while both replicas have the booking in their logs and have not applied it.
-/// The new steward knows no session, and takes the start of its term for everybody's floor.
+/// The steward is lost right after it acknowledged a write. The session reads at a proxy that has no
+/// state of it, while both replicas have the write in their logs but have not applied it. The new
+/// steward has no sessions and uses the start of its term as the floor of all.
 #[test]
 fn a_session_sees_its_write_after_the_steward_is_lost() {
     let mut world = World::ready(4);
@@ -75,11 +74,11 @@
     assert_eq!(world.told(2)[0], "done by primary: lot-1");
 }
 
-/// A pool that acknowledges a write once the primary has it. The primary is cut from its
-/// replicas, acknowledges a booking, and dies with it. The session hears of the loss once, on
-/// its next request of any kind, and goes on from there.
+/// In a pool with primary durability, a primary that is cut off from its replicas acknowledges a
+/// write and fails. The loss is reported to the session once, on its next request of any kind, and
+/// the session then continues.
 #[test]
-fn a_lost_write_is_told_once() {
+fn a_lost_write_is_reported_once() {
     for next in [Kind::Read, Kind::Write] {
         let mut world = World::ready(3);
         let primary = world.primary().unwrap();
@@ -111,8 +110,8 @@
     }
 }
 
-/// A thousand phones read at an age while the group has no steward at all. They hear from the
-/// replicas, whose age was proven before, for as long as the age allows, and nobody waits.
+/// A read with a maximum age is served without waiting while the group has no steward, by a replica
+/// whose age was proven before.
 #[test]
 fn aged_reads_go_on_during_a_failover() {
     let mut world = World::ready(3);
@@ -130,8 +129,8 @@
     assert!(world.now.since(asked) < Span::from_millis(10));
 }
 
-/// Cuts the primary off from its replicas, writes `lot-1` where it need not reach them, and lets
-/// every proof of a replica's age grow old.
+/// Cuts the primary off from its replicas, writes `lot-1` with primary durability, and waits until
+/// the proofs of the replicas' ages are old.
 fn write_unreplicated(world: &mut World) {
     world.cut_replicas();
     let mut request = world.request(9, Kind::Write, "w lot-1");
@@ -141,8 +140,8 @@
     world.run(Span::from_secs(2));
 }
 
-/// Replicas cut off from their primary go on answering. Once their proven age is past what a
-/// phone accepts, its read goes to the primary, never to a replica.
+/// Replicas that are cut off from their primary still answer. Once their proven age exceeds a read's
+/// maximum age, the read must go to the primary.
 #[test]
 fn a_replica_without_proof_serves_no_aged_read() {
     let mut world = World::ready(3);
@@ -154,11 +153,11 @@
     assert_eq!(world.told(1)[0], "done by primary: lot-1");
 }
 
-/// A caller sets `lentilspoke.max_age` to zero in a pool that states an age: it asks for its own
-/// writes and no more. The entry put the pool's age back in, so that with replicas whose age
-/// nobody can prove the read went to the primary for nothing.
+/// A caller sets `lentilspoke.max_age` to zero in a pool with a maximum age, to require only its own
+/// writes. If the entry applied the pool's age again, the read would go to the primary needlessly
+/// when no replica's age can be proven.
 #[test]
-fn an_age_of_zero_goes_before_the_pool_s() {
+fn an_age_of_zero_overrides_the_pools_age() {
     let mut world = World::ready(3);
     let accepted = world.change(|document| {
         let pool = document.pools.get_mut(&id("safe")).unwrap();
@@ -172,10 +171,10 @@
     assert_eq!(world.told(1)[0], "done by replica: ");
 }
 
-/// Nobody can vouch for a named session's floor, for so long that no failover is under way any
-/// more. Its read is turned away at once and told when to come back.
+/// No steward has granted a session's floor for longer than a failover takes. The session's read is
+/// refused at once instead of waiting.
 #[test]
-fn a_session_read_without_hope_is_turned_away_at_once() {
+fn a_session_read_without_a_steward_is_refused_at_once() {
     let mut world = World::ready(3);
     for name in ["a", "b", "c"] {
         world.kill_database(name);
@@ -195,11 +194,11 @@
     );
 }
 
-/// A broker books at two proxies at the same time, and both bookings wait for the replicas. The
-/// second has taken the first proxy's lease back by then. Once both are acknowledged, the first
-/// proxy must not read under the floor of the first booking alone.
+/// A session writes at two proxies at the same time, and both writes wait for the replicas. The second
+/// write has revoked the first proxy's lease. Once both are acknowledged, the first proxy must not
+/// read under the floor of the first write.
 #[test]
-fn an_earlier_booking_renews_no_lease() {
+fn an_earlier_write_renews_no_lease() {
     let mut world = World::ready(3);
     world.write_as("vm1", 1, "broker", "lot-0");
     world.wait(1, 1);
--- a/tests/node_stop.rs
+++ b/tests/node_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops, databases that leave, and configurations.
+//! Planned stops, leaving databases, and the distribution of configurations.
 
 mod support;
 
@@ -9,11 +9,11 @@
 use lentilspoke::types::Link;
 use support::{World, id};
 
-/// The steward's VM is stopped while brokers book by way of it and of others. What is in
-/// flight is answered, the open transaction commits, idle callers are told to go, the group
-/// moves to another VM within a moment, and only then does the process end.
+/// The steward's VM is stopped while callers write by way of it and of others. Requests under way are
+/// answered, the open transaction commits, idle callers are dismissed, and the group moves to
+/// another VM before the process ends.
 #[test]
-fn a_planned_stop_cuts_nothing() {
+fn a_planned_stop_completes_requests_under_way() {
     let mut world = World::ready(4);
     let (steward, other) = world.steward_and_other();
     world.read(&steward, 7);
@@ -47,10 +47,10 @@
     );
 }
 
-/// Bookings go on through a handover: the longest wait is far below that of a failover, since
-/// the successor has no window to wait out.
+/// Writes continue during a handover. The longest wait is far below that of a failover, because the
+/// successor skips the window.
 #[test]
-fn a_handover_takes_a_moment() {
+fn a_handover_is_shorter_than_a_failover() {
     let mut world = World::ready(4);
     let (steward, other) = world.steward_and_other();
     world.input(&id(&steward), Input::Stop);
@@ -66,8 +66,8 @@
     assert!(longest < Span::from_millis(300), "{longest}");
 }
 
-/// A session reads and books by way of two proxies while its group is handed over. No lease of
-/// the former term outlives it.
+/// A session reads and writes by way of two proxies while its group is handed over. No lease may
+/// outlive the former term.
 #[test]
 fn a_session_sees_its_writes_through_a_handover() {
     let mut world = World::ready(4);
@@ -99,8 +99,8 @@
     world.input(&id(vm), Input::Accepted(changed));
 }
 
-/// An operator marks a replica as leaving. Within a few seconds it gets no new work and its
-/// connections are closed; its readers go elsewhere.
+/// Within a few seconds a leaving replica gets no new work and its connections are closed. Its reads
+/// are served by other databases.
 #[test]
 fn a_leaving_replica_gets_no_new_work() {
     let mut world = World::ready(3);
@@ -120,8 +120,7 @@
     assert!(world.database("b").connections.is_empty());
 }
 
-/// The primary is to leave. The group moves to another database without a failover: no booking
-/// fails, and none is lost.
+/// A leaving primary is replaced by a planned handover, without a failed or lost write.
 #[test]
 fn a_leaving_primary_is_replaced() {
     let mut world = World::ready(3);
@@ -139,8 +138,8 @@
     assert_eq!(world.database(&primary).log.rows.len(), 299);
 }
 
-/// A configuration is accepted at one proxy, and the store fails right after. The others hear
-/// of it from each other within seconds, and an old one that comes late reverts nothing.
+/// The store fails right after one proxy received a configuration. The other proxies receive it
+/// from each other within seconds, and an old one that arrives late does not revert it.
 #[test]
 fn a_configuration_spreads_and_never_reverts() {
     let mut world = World::ready(7);
@@ -161,10 +160,10 @@
     }
 }
 
-/// A fresh VM starts during an outage in which the store shows it an old configuration. It
-/// hears of the later one and never serves the old one.
+/// A VM starts during an outage in which the store returns an old configuration. It receives the
+/// later one from other VMs and never serves the old one.
 #[test]
-fn a_fresh_vm_serves_no_old_configuration() {
+fn a_new_vm_serves_no_old_configuration() {
     let mut world = World::ready(4);
     let old = world.accepted();
     world.kill("vm3");
@@ -188,7 +187,7 @@
     assert_eq!(world.dump("vm3")["version"], changed.version.0);
 }
 
-/// A VM sends a document that is damaged, or one that unpacks to far more than it should.
+/// A VM sends malformed or truncated documents, which must be dropped.
 #[test]
 fn a_damaged_document_is_dropped() {
     let mut world = World::ready(2);
--- a/tests/node_term.rs
+++ b/tests/node_term.rs
@@ -1,4 +1,4 @@
-//! Terms: who acknowledges, and what a change of primary or steward does to callers.
+//! Terms: who acknowledges writes, and how changes of primary or steward affect callers.
 
 mod support;
 
@@ -7,14 +7,14 @@
 use lentilspoke::types::VmId;
 use support::{World, id};
 
-/// The association's primary dies with its connections. Brokers who book meanwhile wait and
-/// are served by the next primary; nothing acknowledged is missing.
+/// The primary fails with its connections. Writes that arrive meanwhile wait and are served by the
+/// next primary, and no acknowledged write is lost.
 #[test]
 fn another_primary_is_promoted() {
     let mut world = World::ready(3);
     world.write("vm1", 1, "lot-1");
     world.wait(1, 1);
-    // The damping that follows the first promotion is over.
+    // Wait until the damping after the first promotion has ended.
     world.run(Span::from_secs(10));
     world.kill_database("a");
     world.run(Span::from_millis(300));
@@ -25,8 +25,8 @@
     assert_eq!(world.database(&primary).texts(), ["lot-1", "lot-2"]);
 }
 
-/// The steward's VM dies; its primary lives. Another VM takes the group over, and the same
-/// database, whose log goes furthest, stays the primary.
+/// The steward's VM fails, but its primary does not. Another VM takes over the group, and the same
+/// database stays the primary because its log goes furthest.
 #[test]
 fn another_vm_takes_the_group_over() {
     let mut world = World::ready(4);
@@ -43,23 +43,22 @@
     assert_ne!(world.steward().unwrap(), first);
 }
 
-/// The primary and its steward are cut off from everything but one caller, who goes on
-/// booking. The primary says that it committed. The steward has no confirmations any more, so
-/// the caller hears that the outcome is unknown, never that it is done; and the booking is
-/// not in the log of the primary that the others promoted.
+/// The primary and its steward are cut off from everything but one caller, whose write the primary
+/// commits. The steward's confirmations have expired, so the write is reported as unknown or not
+/// run, never as done, and the primary that the others promoted does not have it.
 #[test]
 fn a_primary_that_is_cut_off_acknowledges_nothing() {
     let mut world = World::ready(3);
     let steward = world.steward().unwrap().to_string();
     let primary = world.primary().unwrap();
-    let mine = [steward.as_str(), primary.as_str()];
+    let cut_off = [steward.as_str(), primary.as_str()];
     let all = ["vm0", "vm1", "vm2", "a", "b", "c"];
-    for other in all.iter().filter(|other| !mine.contains(other)) {
-        for one in mine {
+    for other in all.iter().filter(|other| !cut_off.contains(other)) {
+        for one in cut_off {
             world.cut(one, other);
         }
     }
-    // Older than the window, so that no confirmation from before the cut counts.
+    // Longer than the window, so that all confirmations from before the cut have expired.
     world.run(Span::from_millis(1_100));
     let mut request = world.request(1, Kind::Write, "w lot-1");
     request.pool = id("fast");
@@ -76,9 +75,8 @@
     assert!(!world.database(&next).texts().contains(&"lot-1"));
 }
 
-/// The steward's process is paused just after the primary answered a booking, and wakes when
-/// another steward leads. It finds the answer waiting and its confirmations lapsed, and says
-/// that the outcome is unknown.
+/// The steward's process is paused after the primary has answered a write, and resumes when another
+/// steward leads. Its confirmations have expired, so it reports the outcome as unknown.
 #[test]
 fn a_steward_that_was_paused_acknowledges_nothing() {
     let mut world = World::ready(3);
@@ -96,14 +94,14 @@
     assert_eq!(world.told(2), ["unknown: Unconfirmed"]);
 }
 
-/// No replica keeps up. A booking in a pool that waits for a majority is told as unknown at
-/// its deadline, with that cause; one in a pool that does not is acknowledged.
+/// No replica receives the log. A write in a pool with majority durability is reported as
+/// unreplicated at its deadline; one in a pool without it is acknowledged.
 #[test]
 fn a_write_without_a_majority_is_not_acknowledged() {
     let mut world = World::ready(3);
     world.cut_replicas();
     let mut request = world.request(1, Kind::Write, "w lot-1");
-    // Before the steward may suspect the primary for it.
+    // Shorter than the time after which the steward may suspect the primary.
     request.deadline = world.now + Span::from_millis(500);
     world.submit("vm1", request.clone());
     assert_eq!(world.wait(1, 1), Outcome::Unknown(Unknown::Unreplicated));
@@ -113,8 +111,8 @@
     assert!(matches!(world.wait(1, 2), Outcome::Done(_)));
 }
 
-/// The steward can't reach its primary, but another holder can. That VM gets the group, and
-/// the primary, which is alive, stays.
+/// The steward cannot reach its primary, but another holder can. The group is handed over to that
+/// VM, and the primary stays.
 #[test]
 fn a_primary_that_others_reach_is_not_replaced() {
     let mut world = World::ready(3);
@@ -128,10 +126,10 @@
     assert!(matches!(world.wait(1, 1), Outcome::Done(_)));
 }
 
-/// A replica's holder is cut from the steward, and nothing else is wrong. The other holders
-/// hear the steward, so the term stays.
+/// Only one replica's holder is cut off from the steward. The other holders still receive the
+/// steward's probes, so the term stays.
 #[test]
-fn one_vm_that_misses_the_steward_changes_nothing() {
+fn one_vm_cut_off_from_the_steward_changes_nothing() {
     let mut world = World::ready(3);
     let steward = world.steward().unwrap().to_string();
     let term = world.database("a").log.term;
@@ -142,10 +140,10 @@
     assert_eq!(world.steward().unwrap().to_string(), steward);
 }
 
-/// Two VMs find the steward missing at the same moment and raise the term against each other.
-/// One of them leads within seconds, in every order that their messages can take here.
+/// VMs that suspect the steward at the same time raise the term against each other. One of them
+/// must lead within seconds.
 #[test]
-fn duelling_vms_come_to_an_end() {
+fn competing_takeovers_end_with_a_leader() {
     let mut world = World::ready(4);
     let first = world.steward().unwrap();
     let others: Vec<VmId> = world
@@ -167,10 +165,10 @@
     assert!(matches!(world.wait(1, 1), Outcome::Done(_)));
 }
 
-/// The primary is cut off from its replicas, but answers its steward. A booking waits for a
-/// majority that never has it; the steward sees that no log moves, promotes a replica although the
-/// primary's log goes further, and the caller hears "outcome unknown" for the booking that stays
-/// behind. The next booking is done at the new primary.
+/// The primary is cut off from its replicas, but answers its steward, so a write waits for a majority
+/// that never has it. The steward finds that no log makes progress and promotes a replica although
+/// the primary's log goes further. The outcome of the write is reported as unknown, and the next
+/// write is done by the new primary.
 #[test]
 fn a_primary_that_no_replica_follows_is_replaced() {
     let mut world = World::ready(3);
@@ -192,8 +190,8 @@
     assert!(world.told(2)[0].starts_with("done"), "{:?}", world.told(2));
 }
 
-/// A replica is far behind and the other one dead. The log still moves, so that the primary is
-/// not to blame: the booking is done, late, and nobody is replaced.
+/// A primary whose replicas make slow progress must not be replaced. Only writes that wait for the
+/// whole suspicion span without any progress of a log count as a stall.
 #[test]
 fn a_primary_whose_replicas_lag_is_kept() {
     let mut stall = lentilspoke::core::detect::Stall::default();
--- a/tests/node_transaction.rs
+++ b/tests/node_transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions: one connection each, and what ends them.
+//! Transactions: each has its own connection, and failures roll it back.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use lentilspoke::types::Link;
 use support::{World, id};
 
-/// Two callers at different proxies interleave their statements. Each transaction has a
-/// connection of its own; what one rolls back does not touch the other.
+/// Two callers at different proxies interleave their statements. Each transaction has its own
+/// connection, so a rollback of one does not affect the other.
 #[test]
 fn transactions_do_not_mix() {
     let mut world = World::ready(3);
@@ -27,8 +27,8 @@
     assert_eq!(world.database("a").texts(), ["lot-2"]);
 }
 
-/// An entry dies in the middle of a transaction. Its connection to the database is closed,
-/// which rolls the booking back, and the next caller gets another one.
+/// An entry fails during a transaction. The transaction's connection to the database is closed, which
+/// rolls back its write, and the next caller gets another one.
 #[test]
 fn a_transaction_whose_entry_died_is_rolled_back() {
     let mut world = World::ready(4);
@@ -44,8 +44,7 @@
     assert_eq!(world.database("a").texts(), ["lot-2"]);
 }
 
-/// A caller goes to lunch in the middle of a transaction. It is rolled back once its time is
-/// over, and its commit is told so, truthfully: nothing of it was run.
+/// A transaction that is idle for too long is rolled back, and its commit is reported as rolled back.
 #[test]
 fn an_idle_transaction_is_rolled_back() {
     let mut world = World::ready(3);
@@ -57,7 +56,7 @@
     assert!(world.database("a").texts().is_empty());
 }
 
-/// A caller's connection is gone in the middle of a transaction.
+/// A caller disconnects during a transaction.
 #[test]
 fn a_transaction_whose_caller_left_is_rolled_back() {
     let mut world = World::ready(3);
@@ -68,8 +67,8 @@
     assert_eq!(world.database("a").open_transactions(), 0);
 }
 
-/// The group changes its steward while a transaction is open. Its commit is refused by the
-/// new term, so the caller hears that it was rolled back, and the booking is not there.
+/// The group changes its steward while a transaction is open. The database in the new term refuses the
+/// commit, which is reported as rolled back, and the write does not exist.
 #[test]
 fn a_transaction_of_an_old_term_is_rolled_back() {
     let mut world = World::ready(4);
@@ -92,8 +91,8 @@
     assert!(world.database(&primary).texts().is_empty());
 }
 
-/// The holder of a transaction is lost while its commit runs. The commit may have happened, so
-/// the caller hears that the outcome is unknown.
+/// The holder of a transaction is lost while its commit runs. The commit may have taken effect, so its
+/// outcome is reported as unknown.
 #[test]
 fn a_commit_whose_holder_was_lost_is_unknown() {
     let mut world = World::ready(3);
--- a/tests/term.rs
+++ b/tests/term.rs
@@ -1,4 +1,4 @@
-//! Terms: when a steward may acknowledge, and when and where it may open.
+//! Terms: when a steward may acknowledge writes, and which database it may open and when.
 
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::core::term::{Confirmations, Promotion, binding};
@@ -14,9 +14,9 @@
     Position::new(Term(term), Offset(offset))
 }
 
-/// The primary `b` and `a` were raised to a higher term and answer no more, while `c` was not
-/// and goes on confirming. Without the primary's own confirmation its former steward would
-/// vouch for floors, and for answers that it reads late, for ever.
+/// The primary `b` and `a` were raised to a higher term and no longer confirm, while `c` still does.
+/// If the primary's own confirmation were not needed, the former steward would go on granting
+/// floors and sending answers that it reads late.
 #[test]
 fn confirmations_lapse_with_the_primary() {
     let mut confirmations = Confirmations::new(Term(1), database("b"), 3);
@@ -29,8 +29,8 @@
     assert!(!confirmations.hold(Time(120)));
 }
 
-/// The order to open `b` is on its way, or was carried out and the answer lost, when `a` is
-/// raised, whose log goes further. Opening `a` too would give the term two primaries.
+/// `a`, whose log goes further, is raised while the order to open `b` is under way or its answer is
+/// lost. Opening `a` too would give the term two primaries.
 #[test]
 fn choice_is_kept_once_ordered() {
     let members = ["a", "b", "c"].map(database).into();
@@ -43,10 +43,10 @@
     assert_eq!(promotion.order(Time(130)), Some(&database("b")));
 }
 
-/// Term 1 was handed over, but term 2 has been opened since by another VM, whose steward may
-/// still acknowledge while term 3 opens.
+/// A late handover of term 1 must not skip the wait of term 3: another VM has opened term 2 since,
+/// and its steward may still acknowledge.
 #[test]
-fn late_handover_spares_no_wait() {
+fn late_handover_does_not_skip_the_wait() {
     let members = ["a", "b", "c"].map(database).into();
     let mut promotion = Promotion::new(Term(3), members);
     promotion.raised(&database("b"), end(2, 4), Time(0), WINDOW);
--- a/tests/token.rs
+++ b/tests/token.rs
@@ -1,4 +1,4 @@
-//! Session tokens: what reads back, and what is refused.
+//! Session tokens: which ones are verified, and which ones are refused.
 
 use lentilspoke::token::{Invalid, Key, Token};
 use lentilspoke::types::{GroupId, Offset, Position, Term};
@@ -34,8 +34,8 @@
         Token::verify(&text, &ours()).is_err()
     }
 
-    /// A caller, or something between, changes one character of a token. Had it passed, the
-    /// floor read back could be lower than the one that was shown.
+    /// A token with one changed character must be refused, or its floor could be lower than the
+    /// one that was issued.
     fn a_changed_token_is_refused(offset: u64, place: usize, to: u8) -> bool {
         let text = token(&[(1, 1, offset)]).sign(&ours());
         let mut bytes = text.clone().into_bytes();
