--- a/src/core/detect.rs
+++ b/src/core/detect.rs
@@ -29,7 +29,7 @@
     }
 
     /// Records a response to a probe that was sent at `sent`.
-    pub fn heard(&mut self, sent: Time) {
+    pub fn responded(&mut self, sent: Time) {
         self.heard = self.heard.max(sent);
     }
 
@@ -61,7 +61,7 @@
 impl Stall {
     /// Updates the state: whether writes wait for the replicas, and the sum of their log ends.
     /// Returns whether writes have waited for `suspicion` without any progress.
-    pub fn look(&mut self, now: Time, waiting: bool, progress: u64, suspicion: Span) -> bool {
+    pub fn update(&mut self, now: Time, waiting: bool, progress: u64, suspicion: Span) -> bool {
         if !waiting {
             self.suspicious = None;
             return false;
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -154,15 +154,15 @@
             .spread
             .version_reported(&mut turn, &from, probe.version);
         parts.spread.reply_if_newer(&mut turn, &from, probe.version);
-        let news = turn.world.learn(&probe.group, &probe.primary);
+        let changed = turn.world.learn(&probe.group, &probe.primary);
         let (group, database) = (probe.group.clone(), probe.database.clone());
-        if news {
+        if changed {
             parts.entry.leader_reported(&mut turn, &group);
         }
         let current = turn.world.leaders.get(&group) == Some(&probe.primary);
         self.join_steward(&group, out, |steward, turn| steward.probed(turn, &probe));
         self.with_holder(&database, out, |holder, turn| {
-            if news {
+            if changed {
                 holder.proofs.clear();
             }
             if let Some(fresh) = probe.fresh.as_ref().filter(|_| current) {
--- a/src/core/spread.rs
+++ b/src/core/spread.rs
@@ -76,10 +76,10 @@
 
     /// Removes and returns the candidate if it may be put in force now.
     pub fn settle(&mut self, turn: &mut Turn) -> Option<Arc<Accepted>> {
-        let fresh = turn.world.config.is_none();
+        let is_new = turn.world.config.is_none();
         let others = turn.world.members.iter().any(|m| m.vm != turn.world.me.vm);
         let candidate = self.candidate.as_ref()?;
-        if fresh && others && !self.has_answer {
+        if is_new && others && !self.has_answer {
             let until = *self
                 .first_version_until
                 .get_or_insert(turn.now + FIRST_VERSION_TIMEOUT);
@@ -87,7 +87,7 @@
                 return None;
             }
         }
-        if fresh && candidate.version < self.highest {
+        if is_new && candidate.version < self.highest {
             return None;
         }
         self.candidate.take()
--- a/src/core/steward.rs
+++ b/src/core/steward.rs
@@ -233,7 +233,7 @@
         }
         // A steward that waits for the damping of promotions must not be replaced for that.
         if probe.serving || turn.now < self.damper.allows_at() {
-            self.watch.heard(turn.now);
+            self.watch.responded(turn.now);
         }
         if probe.serving {
             self.served = turn.now;
@@ -253,7 +253,7 @@
         if matches!(self.phase, Phase::Follow | Phase::Gather(_)) {
             self.term = term;
             self.phase = Phase::Follow;
-            self.watch.heard(turn.now + turn.timing().window);
+            self.watch.responded(turn.now + turn.timing().window);
         }
     }
 
--- a/src/core/steward/election.rs
+++ b/src/core/steward/election.rs
@@ -297,7 +297,7 @@
             return;
         };
         let leaving = |id: &DatabaseId| turn.world.database(id).is_none_or(|found| found.leaving);
-        let Some((primary, base)) = raising.promotion.choice_with(leaving) else {
+        let Some((primary, base)) = raising.promotion.choice_avoiding(leaving) else {
             return;
         };
         let (term, primary) = (raising.promotion.term(), primary.clone());
--- a/src/core/steward/handover.rs
+++ b/src/core/steward/handover.rs
@@ -79,7 +79,7 @@
             .values()
             .map(|replica| replica.end.offset.0)
             .sum();
-        let stalled = lead.stall.look(now, waiting, progress, suspicion);
+        let stalled = lead.stall.update(now, waiting, progress, suspicion);
         let alive = |replica: &&Replica| replica.answered_since(now - suspicion);
         let enough = lead.replicas.values().filter(alive).count() >= needed;
         let replaceable = lead.handover.is_none() && !lead.acks.has_unshared();
--- a/src/core/steward/lead.rs
+++ b/src/core/steward/lead.rs
@@ -327,7 +327,7 @@
         }
         match controlled.result {
             Some(Ok(state)) if state.term == lead.leader.term && state.open => {
-                lead.primary_watch.heard(asked);
+                lead.primary_watch.responded(asked);
                 let primary = lead.leader.database.clone();
                 lead.confirmations.confirm(&primary, asked, window);
                 lead.inquiry = None;
--- a/src/core/term.rs
+++ b/src/core/term.rs
@@ -205,12 +205,12 @@
     /// This keeps every acknowledged write: any two majorities share a database that has the
     /// write, and a log that ends higher holds all of that database's log.
     pub fn choice(&self) -> Option<(&DatabaseId, Position)> {
-        self.choice_with(|_| false)
+        self.choice_avoiding(|_| false)
     }
 
     /// Like [`choice`](Self::choice), but among logs that go equally far it prefers a database that
     /// is not to be avoided.
-    pub fn choice_with(
+    pub fn choice_avoiding(
         &self,
         avoid: impl Fn(&DatabaseId) -> bool,
     ) -> Option<(&DatabaseId, Position)> {
--- a/tests/node_term.rs
+++ b/tests/node_term.rs
@@ -198,16 +198,19 @@
     let suspicion = Span::from_secs(1);
     let second = |n: u64| lentilspoke::clock::Time(n * 1_000_000);
     let moving: Vec<bool> = (0..5)
-        .map(|n| stall.look(second(n), true, n, suspicion))
+        .map(|n| stall.update(second(n), true, n, suspicion))
         .collect();
     assert_eq!(moving, [false; 5]);
-    assert!(!stall.look(second(5), false, 4, suspicion), "nothing waits");
     assert!(
-        !stall.look(second(6), true, 4, suspicion),
+        !stall.update(second(5), false, 4, suspicion),
+        "nothing waits"
+    );
+    assert!(
+        !stall.update(second(6), true, 4, suspicion),
         "a new wait starts afresh"
     );
     assert!(
-        stall.look(second(7), true, 4, suspicion),
+        stall.update(second(7), true, 4, suspicion),
         "no log moved for the whole span"
     );
 }
