--- a/benches/node.rs
+++ b/benches/node.rs
@@ -11,7 +11,7 @@
 use lentilspoke::core::lineage::Lineage;
 use lentilspoke::core::member::{Identity, Member};
 use lentilspoke::core::message::{
-    Answer, Controlled, Found, Grant, Hint, Leased, Message, Primary, Report, Suspected, Work,
+    Answer, Controlled, Grant, Hint, Leased, Message, Observation, Primary, Report, Suspected, Work,
 };
 use lentilspoke::core::node::{Input, Node};
 use lentilspoke::core::output::Output;
@@ -234,7 +234,7 @@
                 group: probe.group,
                 database: probe.database,
                 round: probe.round,
-                found: Some(Found {
+                observation: Some(Observation {
                     term: self.term,
                     position: self.position(),
                     open: false,
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -254,7 +254,7 @@
     /// The probe.
     pub round: RequestId,
     /// The state found; `None` if the database did not answer.
-    pub found: Option<Found>,
+    pub observation: Option<Observation>,
     /// The configuration's version at the holder.
     pub version: Version,
 }
@@ -263,7 +263,7 @@
 /// and which a steward needs only when it raises a term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub struct Found {
+pub struct Observation {
     /// The term that the database was raised to.
     pub term: Term,
     /// The end of its log.
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -4,8 +4,8 @@
 use crate::clock::Span;
 use crate::core::database::{Event, Order, Refusal, State};
 use crate::core::message::{
-    Answer, Ask, Control, Controlled, Found, Grant, Hello, Hint, Message, Probe, Report, Suspect,
-    Suspected, Work,
+    Answer, Ask, Control, Controlled, Grant, Hello, Hint, Message, Observation, Probe, Report,
+    Suspect, Suspected, Work,
 };
 use crate::core::output::Output;
 use crate::core::request::{Cause, NotRun, Outcome};
@@ -252,7 +252,7 @@
     }
 
     fn report(&mut self, from: VmId, probe: Probe, state: Option<State>, out: &mut Vec<Output>) {
-        let found = state.as_ref().map(|state| Found {
+        let observation = state.as_ref().map(|state| Observation {
             term: state.term,
             position: state.position,
             open: state.open,
@@ -266,7 +266,7 @@
             group: probe.group,
             database: probe.database,
             round: probe.round,
-            found,
+            observation,
             version: turn.version(),
         };
         turn.send(&from, Message::Report(report));
--- a/src/core/steward/lead.rs
+++ b/src/core/steward/lead.rs
@@ -240,21 +240,22 @@
             return;
         };
         replica.report = Some((report.round, now));
-        let Some(found) = report.found else {
+        let Some(observation) = report.observation else {
             return;
         };
         replica.answered = now;
-        replica.end = found.position;
-        replica.higher = (found.term > term).then(|| replica.higher.unwrap_or(now));
-        if found.term == term {
+        replica.end = observation.position;
+        replica.higher = (observation.term > term).then(|| replica.higher.unwrap_or(now));
+        if observation.term == term {
             lead.confirmations.confirm(&report.database, sent, window);
             // Only this term's primary writes entries of this term, so the log up to here is its log.
-            if found.position.term == term {
-                lead.acks.reached(&report.database, found.position.offset);
+            if observation.position.term == term {
+                lead.acks
+                    .reached(&report.database, observation.position.offset);
             }
-        } else if found.term > term {
+        } else if observation.term > term {
             lead.confirmations.withdraw(&report.database);
-            self.term = self.term.max(found.term);
+            self.term = self.term.max(observation.term);
         } else {
             self.order(turn, &report.database, Order::Raise(term));
         }
