--- a/benches/node.rs
+++ b/benches/node.rs
@@ -249,7 +249,7 @@
             Message::Suspect(suspect) => Message::Suspected(Suspected {
                 request: suspect.request,
                 group: suspect.group,
-                heard: false,
+                steward_responds: false,
                 reached: None,
                 primary: None,
             }),
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -327,7 +327,7 @@
     /// The group.
     pub group: GroupId,
     /// Whether the VM asked has recently received a probe of a serving steward.
-    pub heard: bool,
+    pub steward_responds: bool,
     /// Whether the VM asked can reach the primary; `None` if it did not try.
     pub reached: Option<bool>,
     /// The leader, as far as the VM asked knows.
--- a/src/core/steward.rs
+++ b/src/core/steward.rs
@@ -266,7 +266,7 @@
         suspect: Suspect,
         reached: Option<bool>,
     ) {
-        let heard = match &self.phase {
+        let steward_responds = match &self.phase {
             Phase::Lead(lead) => lead.serves(turn.now),
             Phase::Raise(_) | Phase::Open(_) => true,
             _ => !self.watch.suspects(turn.now),
@@ -275,7 +275,7 @@
             request: suspect.request,
             primary: turn.world.leaders.get(&self.group).cloned(),
             group: suspect.group,
-            heard,
+            steward_responds,
             reached,
         };
         turn.send(from, Message::Suspected(answer));
--- a/src/core/steward/election.rs
+++ b/src/core/steward/election.rs
@@ -125,7 +125,7 @@
             return;
         }
         evidence.asked.remove(&suspected.request);
-        if suspected.heard {
+        if suspected.steward_responds {
             return self.back_off(turn);
         }
         let held = self.holders(turn).remove(from).unwrap_or_default();
