--- a/src/core/age.rs
+++ b/src/core/age.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{Span, Time};
 use crate::core::lineage::Lineage;
-use crate::core::message::Fresh;
+use crate::core::message::Sample;
 use crate::core::term::DRIFT_PERCENT;
 use crate::types::{Position, RequestId};
 use serde::Serialize;
@@ -47,18 +47,22 @@
 
     /// Adds a proof from the primary's log position that the steward sent. Ignores it if the report
     /// that it refers to is not known, or if it is no newer than the last proof.
-    pub fn add(&mut self, fresh: &Fresh) {
-        let Some((_, sent)) = self.reports.iter().find(|(round, _)| *round == fresh.round) else {
+    pub fn add(&mut self, sample: &Sample) {
+        let Some((_, sent)) = self
+            .reports
+            .iter()
+            .find(|(round, _)| *round == sample.round)
+        else {
             return;
         };
-        let at = *sent - fresh.before.percent(100 + DRIFT_PERCENT);
+        let at = *sent - sample.before.percent(100 + DRIFT_PERCENT);
         if self.proofs.back().is_some_and(|last| last.at >= at) {
             return;
         }
         if self.proofs.len() == MAX_PROOFS {
             self.thin();
         }
-        let position = fresh.position;
+        let position = sample.position;
         self.proofs.push_back(Proof { position, at });
     }
 
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -224,7 +224,7 @@
     /// Whether writes are currently acknowledged.
     pub serving: bool,
     /// The primary's log, as last read.
-    pub fresh: Option<Fresh>,
+    pub sample: Option<Sample>,
     /// The configuration's version at the steward.
     pub version: Version,
 }
@@ -232,7 +232,7 @@
 /// The end of the primary's log, at a time that the holder can place on its own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub struct Fresh {
+pub struct Sample {
     /// The end of the primary's log.
     pub position: Position,
     /// The round of the holder's last report that reached the steward.
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -165,8 +165,8 @@
             if changed {
                 holder.proofs.clear();
             }
-            if let Some(fresh) = probe.fresh.as_ref().filter(|_| current) {
-                holder.proofs.add(fresh);
+            if let Some(sample) = probe.sample.as_ref().filter(|_| current) {
+                holder.proofs.add(sample);
             }
             turn.order(&database, Order::Report, Errand::Probe { from, probe });
         });
--- a/src/core/steward/lead.rs
+++ b/src/core/steward/lead.rs
@@ -7,7 +7,7 @@
 use crate::core::database::{Order, Refusal, State};
 use crate::core::detect::{Detector, Stall};
 use crate::core::lineage::Lineage;
-use crate::core::message::{Control, Controlled, Fresh, Message, Primary, Probe, Report};
+use crate::core::message::{Control, Controlled, Message, Primary, Probe, Report, Sample};
 use crate::core::role::Role;
 use crate::core::session::Sessions;
 use crate::core::term::Confirmations;
@@ -215,7 +215,7 @@
                 round,
                 primary: lead.leader.clone(),
                 serving,
-                fresh: replica.fresh(lead.primary_log),
+                sample: replica.sample(lead.primary_log),
                 version: turn.version(),
             };
             replica.asked(round, now);
@@ -374,10 +374,10 @@
     }
 
     /// The end of the primary's log, timed relative to the last report of this replica's holder.
-    fn fresh(&self, log: Option<Log>) -> Option<Fresh> {
+    fn sample(&self, log: Option<Log>) -> Option<Sample> {
         let log = log?;
         let (round, arrived) = self.report?;
-        Some(Fresh {
+        Some(Sample {
             position: log.end,
             round,
             before: arrived.since(log.asked),
