--- a/src/core/holder.rs
+++ b/src/core/holder.rs
@@ -15,7 +15,7 @@
 use crate::core::pool::Pool;
 use crate::core::request::Kind;
 use crate::core::role::Role;
-use crate::core::world::{Errand, Turn};
+use crate::core::world::{Purpose, Turn};
 use crate::types::{ConnId, DatabaseId, GroupId, Link, Position, RequestId, Term, VmId};
 use connection::{Connection, Transaction};
 use serde::Serialize;
@@ -272,8 +272,8 @@
         if self.refreshing || turn.now < self.refresh_at {
             return;
         }
-        let errand = Errand::Refresh(self.database.clone());
-        self.refreshing = turn.order(&self.database, Order::Report, errand);
+        let purpose = Purpose::Refresh(self.database.clone());
+        self.refreshing = turn.order(&self.database, Order::Report, purpose);
     }
 }
 
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -10,7 +10,7 @@
 use crate::core::output::Output;
 use crate::core::request::{Cause, NotRun, Outcome};
 use crate::core::spread;
-use crate::core::world::Errand;
+use crate::core::world::Purpose;
 use crate::types::{DatabaseId, Link, Term, VmId};
 use bytes::Bytes;
 use std::sync::Arc;
@@ -168,18 +168,18 @@
             if let Some(sample) = probe.sample.as_ref().filter(|_| current) {
                 holder.proofs.add(sample);
             }
-            turn.order(&database, Order::Report, Errand::Probe { from, probe });
+            turn.order(&database, Order::Report, Purpose::Probe { from, probe });
         });
     }
 
     fn control(&mut self, from: VmId, control: Control, out: &mut Vec<Output>) {
         let (mut turn, _) = self.turn(out);
         let (request, database) = (control.request, control.database.clone());
-        let errand = Errand::Relay {
+        let purpose = Purpose::Relay {
             from: from.clone(),
             control: control.clone(),
         };
-        if turn.order(&database, control.order, errand) {
+        if turn.order(&database, control.order, purpose) {
             return;
         }
         let controlled = Controlled {
@@ -199,12 +199,12 @@
             .filter(|leader| leader.steward == from);
         if let Some(leader) = leader {
             let database = leader.database.clone();
-            let errand = Errand::Reach {
+            let purpose = Purpose::Reach {
                 from: from.clone(),
                 suspect: suspect.clone(),
             };
             let (mut turn, _) = self.turn(out);
-            if turn.order(&database, Order::Report, errand) {
+            if turn.order(&database, Order::Report, purpose) {
                 return;
             }
         }
@@ -219,18 +219,18 @@
         let Event::Controlled { id, result } = event else {
             return;
         };
-        let Some(errand) = self.world.errands.remove(&id) else {
+        let Some(purpose) = self.world.pending_orders.remove(&id) else {
             return;
         };
         let state = result
             .as_ref()
             .and_then(|result| result.as_ref().ok())
             .cloned();
-        match errand {
-            Errand::Refresh(database) => self.observe(&database, state, out),
-            Errand::Probe { from, probe } => self.report(from, probe, state, out),
-            Errand::Relay { from, control } => self.relay(from, control, result, state, out),
-            Errand::Reach { from, suspect } => {
+        match purpose {
+            Purpose::Refresh(database) => self.observe(&database, state, out),
+            Purpose::Probe { from, probe } => self.report(from, probe, state, out),
+            Purpose::Relay { from, control } => self.relay(from, control, result, state, out),
+            Purpose::Reach { from, suspect } => {
                 let leads = |state: &State| {
                     state.open
                         && suspect
--- a/src/core/world.rs
+++ b/src/core/world.rs
@@ -44,7 +44,7 @@
 
 /// The purpose of an order to a database, which determines where its answer goes.
 #[derive(Debug, Clone)]
-pub(crate) enum Errand {
+pub(crate) enum Purpose {
     /// Its holder refreshes its state.
     Refresh(DatabaseId),
     /// A steward probes it.
@@ -73,7 +73,7 @@
     /// The database of each connection.
     pub connections: HashMap<ConnId, DatabaseId>,
     /// The orders to databases that are under way.
-    pub errands: HashMap<RequestId, Errand>,
+    pub pending_orders: HashMap<RequestId, Purpose>,
     groups: HashMap<DatabaseId, GroupId>,
     orders: HashMap<DatabaseId, Arc<[VmId]>>,
     /// The databases in whose orders this VM is; `None` until computed.
@@ -105,7 +105,7 @@
             rng,
             inbox: VecDeque::new(),
             connections: HashMap::new(),
-            errands: HashMap::new(),
+            pending_orders: HashMap::new(),
             groups: HashMap::new(),
             orders: HashMap::new(),
             own_databases: None,
@@ -347,16 +347,16 @@
         });
     }
 
-    /// Sends an order to a database for the purpose `errand`. Returns whether it was sent.
-    pub fn order(&mut self, database: &DatabaseId, order: Order, errand: Errand) -> bool {
-        if self.world.errands.len() >= MAX_PENDING_ORDERS {
+    /// Sends an order to a database for `purpose`. Returns whether it was sent.
+    pub fn order(&mut self, database: &DatabaseId, order: Order, purpose: Purpose) -> bool {
+        if self.world.pending_orders.len() >= MAX_PENDING_ORDERS {
             return false;
         }
         let Some(address) = self.world.database(database).map(|found| found.address) else {
             return false;
         };
         let id = self.id();
-        self.world.errands.insert(id, errand);
+        self.world.pending_orders.insert(id, purpose);
         self.database(Command::Control {
             id,
             database: database.clone(),
