--- a/src/core/entry/floor.rs
+++ b/src/core/entry/floor.rs
@@ -3,7 +3,7 @@
 
 use super::{Entry, Lease, LeaseRequest, Pending};
 use crate::clock::{Span, Time};
-use crate::core::lineage::Standing;
+use crate::core::lineage::Relation;
 use crate::core::message::{Ask, Grant, Leased, Message, Revoke};
 use crate::core::request::{Cause, Request};
 use crate::core::world::Turn;
@@ -150,7 +150,7 @@
         let token_floor = pending.request.token_floor;
         let lease = self.lease(&key);
         let known = highest(Some(lease.floor), token_floor);
-        let lost = known.is_some_and(|floor| leased.lineage.standing(floor) == Standing::Lost);
+        let lost = known.is_some_and(|floor| leased.lineage.relation(floor) == Relation::Lost);
         lease.floor = leased.floor;
         lease.until = lease_request.at + leased.span;
         if lost {
--- a/src/core/holder.rs
+++ b/src/core/holder.rs
@@ -10,7 +10,7 @@
 use crate::core::database::{Command, Order, State};
 use crate::core::gate::Gate;
 use crate::core::job::{Ended, Job};
-use crate::core::lineage::Standing;
+use crate::core::lineage::Relation;
 use crate::core::message::{Hint, Primary, Work};
 use crate::core::pool::Pool;
 use crate::core::request::Kind;
@@ -229,11 +229,11 @@
             };
         };
         if let Some(floor) = work.floor {
-            match state.lineage.standing(floor) {
-                Standing::Lost => return Fit::Lost,
-                Standing::Ahead => return Fit::Soon,
-                Standing::Kept if state.applied.offset < floor.offset => return Fit::Soon,
-                Standing::Kept => {}
+            match state.lineage.relation(floor) {
+                Relation::Lost => return Fit::Lost,
+                Relation::Ahead => return Fit::Soon,
+                Relation::Kept if state.applied.offset < floor.offset => return Fit::Soon,
+                Relation::Kept => {}
             }
         }
         // A primary's answer is passed on only while its term is confirmed, so its data has no age.
@@ -262,7 +262,7 @@
         let current = |state: &&State| state.lineage.last() >= self.role.term();
         match self.state.as_ref().filter(current) {
             None => Fit::Soon,
-            Some(state) if state.lineage.standing(floor) == Standing::Lost => Fit::Lost,
+            Some(state) if state.lineage.relation(floor) == Relation::Lost => Fit::Lost,
             Some(_) => Fit::Ready,
         }
     }
--- a/src/core/holder/connection.rs
+++ b/src/core/holder/connection.rs
@@ -4,7 +4,7 @@
 use crate::clock::Time;
 use crate::core::database::{Command, Event, Refusal, Reply, Run};
 use crate::core::job::End;
-use crate::core::lineage::Standing;
+use crate::core::lineage::Relation;
 use crate::core::pool::Demand;
 use crate::core::request::{Cause, Status, Unknown};
 use crate::core::role::Role;
@@ -204,7 +204,7 @@
         let Some(state) = &self.state else {
             return true;
         };
-        state.lineage.standing(floor) != Standing::Kept || reply.applied.offset < floor.offset
+        state.lineage.relation(floor) != Relation::Kept || reply.applied.offset < floor.offset
     }
 
     fn hold(&mut self, turn: &mut Turn, owner: (VmId, Link), conn: ConnId) {
--- a/src/core/lineage.rs
+++ b/src/core/lineage.rs
@@ -22,7 +22,7 @@
 
 /// How a position relates to a log with a given lineage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Relation {
     /// It is part of the log's history, provided that the log is long enough.
     Kept,
     /// A later term started below it, so it is not part of the history and never will be.
@@ -59,12 +59,12 @@
     /// A term that was opened but is missing from the lineage was skipped by a later one, so
     /// everything that it wrote past its start is lost. Terms below the first start were trimmed;
     /// their positions are compared by offset only.
-    pub fn standing(&self, position: Position) -> Standing {
+    pub fn relation(&self, position: Position) -> Relation {
         if position.offset == Offset(0) {
-            return Standing::Kept;
+            return Relation::Kept;
         }
         if self.last().is_none_or(|last| last < position.term) {
-            return Standing::Ahead;
+            return Relation::Ahead;
         }
         let index = self
             .starts
@@ -75,15 +75,15 @@
             .get(index)
             .is_some_and(|next| position.offset > next.base.offset);
         if skipped || cut {
-            Standing::Lost
+            Relation::Lost
         } else {
-            Standing::Kept
+            Relation::Kept
         }
     }
 
     /// Whether a log of this lineage that ends at `end` holds `position`.
     pub fn holds(&self, end: Position, position: Position) -> bool {
-        self.standing(position) == Standing::Kept && end.offset >= position.offset
+        self.relation(position) == Relation::Kept && end.offset >= position.offset
     }
 
     /// Removes all but the last `keep` starts. Every log that reached those holds all older
--- a/src/model/terms.rs
+++ b/src/model/terms.rs
@@ -12,7 +12,7 @@
 mod lead;
 
 use crate::clock::{Span, Time};
-use crate::core::lineage::Standing;
+use crate::core::lineage::Relation;
 use crate::model::search::{Report, Step, search};
 use crate::types::{DatabaseId, Invalid, Position};
 use attempt::Attempt;
@@ -337,7 +337,7 @@
         let database = &next.databases[d];
         let before = state.told.iter().filter(|told| told.term < term);
         for told in before.filter(|told| database.find(told.write).is_none()) {
-            let known = database.lineage().standing(told.position) == Standing::Lost;
+            let known = database.lineage().relation(told.position) == Relation::Lost;
             let broken = match (self.scope.majority, known) {
                 (true, _) => Some(LOST),
                 (false, false) => Some(UNTOLD),
