--- a/src/core/entry/answer.rs
+++ b/src/core/entry/answer.rs
@@ -29,7 +29,7 @@
         };
         if let Some(primary) = &answer.hint.primary {
             let group = sent.pending.request.group.clone();
-            turn.world.learn(&group, primary);
+            turn.world.record_leader(&group, primary);
             self.leader_reported(turn, &group);
         }
         match answer.outcome {
--- a/src/core/entry/leader.rs
+++ b/src/core/entry/leader.rs
@@ -141,7 +141,7 @@
         let Some(primary) = primary else {
             return;
         };
-        turn.world.learn(group, primary);
+        turn.world.record_leader(group, primary);
         let Some(view) = self.groups.get_mut(group) else {
             return;
         };
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -87,7 +87,7 @@
     fn suspected(&mut self, from: &VmId, suspected: Suspected, out: &mut Vec<Output>) {
         let group = suspected.group.clone();
         if let Some(primary) = &suspected.primary {
-            self.world.learn(&group, primary);
+            self.world.record_leader(&group, primary);
         }
         self.with_steward(&group, out, |steward, turn| {
             steward.evidence(turn, from, suspected);
@@ -154,7 +154,7 @@
             .spread
             .version_reported(&mut turn, &from, probe.version);
         parts.spread.reply_if_newer(&mut turn, &from, probe.version);
-        let changed = turn.world.learn(&probe.group, &probe.primary);
+        let changed = turn.world.record_leader(&probe.group, &probe.primary);
         let (group, database) = (probe.group.clone(), probe.database.clone());
         if changed {
             parts.entry.leader_reported(&mut turn, &group);
--- a/src/core/steward/lead.rs
+++ b/src/core/steward/lead.rs
@@ -175,7 +175,7 @@
             served: false,
             leader,
         };
-        turn.world.learn(&self.group, &lead.leader);
+        turn.world.record_leader(&self.group, &lead.leader);
         turn.world.counters.promotions += 1;
         self.phase = super::Phase::Lead(Box::new(lead));
         self.notify_waiting(turn);
--- a/src/core/world.rs
+++ b/src/core/world.rs
@@ -276,7 +276,7 @@
     /// Records who leads a group, if `primary` has a higher term than the known leader. Returns
     /// whether it does. A term belongs to one steward and one primary, so an equal one adds
     /// nothing.
-    pub fn learn(&mut self, group: &GroupId, primary: &Primary) -> bool {
+    pub fn record_leader(&mut self, group: &GroupId, primary: &Primary) -> bool {
         if self.group(group).is_none() {
             return false;
         }
