--- a/benches/node.rs
+++ b/benches/node.rs
@@ -220,7 +220,7 @@
                 self.answers += 1;
                 return;
             }
-            Message::Ask(ask) => Message::Grant(Grant {
+            Message::FloorRequest(ask) => Message::Grant(Grant {
                 request: ask.request,
                 group: ask.group.clone(),
                 floor: ask.session.map(|_| Leased {
--- a/src/core/entry/floor.rs
+++ b/src/core/entry/floor.rs
@@ -4,7 +4,7 @@
 use super::{Entry, Lease, LeaseRequest, Pending};
 use crate::clock::{Span, Time};
 use crate::core::lineage::Relation;
-use crate::core::message::{Ask, Grant, Leased, Message, Revoke};
+use crate::core::message::{FloorRequest, Grant, Leased, Message, Revoke};
 use crate::core::request::{Cause, Request};
 use crate::core::world::Turn;
 use crate::types::{GroupId, Position, SessionId, VmId};
@@ -107,7 +107,7 @@
             return self.wait_for_leader(turn, pending);
         };
         let request = turn.id();
-        let ask = Ask {
+        let ask = FloorRequest {
             request,
             group: key.0,
             session: Some(key.1.clone()),
@@ -120,7 +120,7 @@
             until: turn.now + turn.timing().probe,
         };
         self.asks.insert(request, lease_request);
-        turn.send(&leader.steward, Message::Ask(ask));
+        turn.send(&leader.steward, Message::FloorRequest(ask));
     }
 
     /// Handles a steward's answer to a request for a floor, or its report of a group's leader.
--- a/src/core/entry/leader.rs
+++ b/src/core/entry/leader.rs
@@ -2,7 +2,7 @@
 
 use super::{Entry, LeaseRequest, Pending};
 use crate::clock::{Span, Time};
-use crate::core::message::{Ask, Message, Primary};
+use crate::core::message::{FloorRequest, Message, Primary};
 use crate::core::request::{Cause, Kind, Unknown};
 use crate::core::world::Turn;
 use crate::types::{GroupId, Link, RequestId, Term, VmId};
@@ -122,12 +122,12 @@
         };
         let vm = turn.world.holder(now, &database);
         let request = turn.id();
-        let ask = Ask {
+        let ask = FloorRequest {
             request,
             group: group.clone(),
             session: None,
         };
-        turn.send(&vm, Message::Ask(ask));
+        turn.send(&vm, Message::FloorRequest(ask));
     }
 
     /// Handles a report of a group's leader. A suspected leader is used again once a VM that is in
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -26,7 +26,7 @@
     /// The caller's connection was closed: the holder rolls back its open transaction.
     Depart(Link),
     /// An entry asks a steward for a session's floor.
-    Ask(Ask),
+    FloorRequest(FloorRequest),
     /// The steward's answer, a lease on the floor.
     Grant(Grant),
     /// The steward revokes a lease because the session wrote by way of another entry.
@@ -62,7 +62,10 @@
             Message::Work(_) | Message::Answer(_) | Message::Cancel(_) | Message::Depart(_) => {
                 false
             }
-            Message::Ask(_) | Message::Grant(_) | Message::Revoke(_) | Message::Revoked(_) => false,
+            Message::FloorRequest(_)
+            | Message::Grant(_)
+            | Message::Revoke(_)
+            | Message::Revoked(_) => false,
             Message::Control(control) => !matches!(control.order, Order::Reach(_)),
             _ => true,
         }
@@ -161,7 +164,7 @@
 /// An entry's request for a lease on a session's floor.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub struct Ask {
+pub struct FloorRequest {
     /// Identifies the answer.
     pub request: RequestId,
     /// The group.
@@ -170,7 +173,7 @@
     pub session: Option<SessionId>,
 }
 
-/// The answer to [`Ask`], with a lease on the floor that counts from when the request was sent.
+/// The answer to [`FloorRequest`]. Its lease on the floor counts from when the request was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Grant {
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -4,8 +4,8 @@
 use crate::clock::Span;
 use crate::core::database::{Event, Order, Refusal, State};
 use crate::core::message::{
-    Answer, Ask, Control, Controlled, Grant, Hello, Hint, Message, Observation, Probe, Report,
-    Suspect, Suspected, Work,
+    Answer, Control, Controlled, FloorRequest, Grant, Hello, Hint, Message, Observation, Probe,
+    Report, Suspect, Suspected, Work,
 };
 use crate::core::output::Output;
 use crate::core::request::{Cause, NotRun, Outcome};
@@ -25,7 +25,7 @@
                 self.each_holder(out, |holder, turn| holder.cancel(turn, &from, request));
             }
             Message::Depart(link) => self.departed(&from, Some(link), out),
-            Message::Ask(ask) => self.ask(&from, ask, out),
+            Message::FloorRequest(ask) => self.ask(&from, ask, out),
             Message::Grant(grant) => parts.entry.granted(&mut turn, &from, grant),
             Message::Revoke(revoke) => parts.entry.revoked(&mut turn, &from, revoke),
             Message::Revoked(revoke) => {
@@ -60,7 +60,7 @@
     }
 
     /// Handles an entry's request for a session's floor. Without a steward here, the answer is empty.
-    fn ask(&mut self, from: &VmId, ask: Ask, out: &mut Vec<Output>) {
+    fn ask(&mut self, from: &VmId, ask: FloorRequest, out: &mut Vec<Output>) {
         let (group, request) = (ask.group.clone(), ask.request);
         if self.with_steward(&group, out, |steward, turn| steward.ask(turn, from, ask)) {
             return;
--- a/src/core/steward/lease.rs
+++ b/src/core/steward/lease.rs
@@ -4,7 +4,7 @@
 use super::lead::Lead;
 use crate::clock::{Span, Time};
 use crate::core::acknowledge::Waiting;
-use crate::core::message::{Ask, Grant, Leased, Message, Revoke};
+use crate::core::message::{FloorRequest, Grant, Leased, Message, Revoke};
 use crate::core::term::DRIFT_PERCENT;
 use crate::core::world::Turn;
 use crate::types::{GroupId, Position, SessionId, VmId};
@@ -19,7 +19,7 @@
     /// A lease ends with the confirmations that allow it, and the entry counts it from when it
     /// asked, so no lease outlives its term. Otherwise two stewards, or one that was paused,
     /// could grant different floors, and a session would not see its write.
-    pub fn ask(&mut self, turn: &mut Turn, from: &VmId, ask: Ask) {
+    pub fn ask(&mut self, turn: &mut Turn, from: &VmId, ask: FloorRequest) {
         let now = turn.now;
         let session = ask.session;
         let granted = match (self.lead(), &session) {
