--- a/benches/node.rs
+++ b/benches/node.rs
@@ -320,7 +320,7 @@
             floor: None,
             max_age: None,
             key: None,
-            patience: Span::from_secs(5),
+            timeout: Span::from_secs(5),
             leader: Some(self.term),
             body: request.body,
         };
--- a/src/core/entry/dispatch.rs
+++ b/src/core/entry/dispatch.rs
@@ -108,7 +108,7 @@
             floor: pending.floor,
             max_age: request.max_age,
             key: request.key.clone(),
-            patience: left.percent(100 - DEADLINE_MARGIN_PERCENT),
+            timeout: left.percent(100 - DEADLINE_MARGIN_PERCENT),
             leader: leader.map(|leader| leader.term),
             body: request.body.clone(),
         };
--- a/src/core/holder/queue.rs
+++ b/src/core/holder/queue.rs
@@ -22,7 +22,7 @@
         let job = Job {
             id: turn.id(),
             origin,
-            deadline: turn.now + work.patience,
+            deadline: turn.now + work.timeout,
             term: self.role.term(),
             abandoned: false,
             work,
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -108,7 +108,7 @@
     /// The request key, which is stored with the work.
     pub key: Option<RequestKey>,
     /// How much of the caller's timeout was left when the work was sent.
-    pub patience: Span,
+    pub timeout: Span,
     /// The highest term whose leader the entry knows, so that the answer names a leader only if
     /// it is a later one.
     pub leader: Option<Term>,
--- a/tests/node_guard.rs
+++ b/tests/node_guard.rs
@@ -61,7 +61,7 @@
             floor,
             max_age: None,
             key: None,
-            patience: Span::from_secs(5),
+            timeout: Span::from_secs(5),
             leader: None,
             body: "r".into(),
         };
