--- a/benches/node.rs
+++ b/benches/node.rs
@@ -11,7 +11,7 @@
 use lentilspoke::core::lineage::Lineage;
 use lentilspoke::core::member::{Identity, Member};
 use lentilspoke::core::message::{
-    Answer, Controlled, Found, Grant, Hint, Leased, Message, Primary, Report, Suspected, Work,
+    Answer, Controlled, Grant, Hint, Leased, Message, Observation, Primary, Report, Suspected, Work,
 };
 use lentilspoke::core::node::{Input, Node};
 use lentilspoke::core::output::Output;
@@ -220,7 +220,7 @@
                 self.answers += 1;
                 return;
             }
-            Message::Ask(ask) => Message::Grant(Grant {
+            Message::FloorRequest(ask) => Message::Grant(Grant {
                 request: ask.request,
                 group: ask.group.clone(),
                 floor: ask.session.map(|_| Leased {
@@ -234,7 +234,7 @@
                 group: probe.group,
                 database: probe.database,
                 round: probe.round,
-                found: Some(Found {
+                observation: Some(Observation {
                     term: self.term,
                     position: self.position(),
                     open: false,
@@ -249,7 +249,7 @@
             Message::Suspect(suspect) => Message::Suspected(Suspected {
                 request: suspect.request,
                 group: suspect.group,
-                heard: false,
+                steward_responds: false,
                 reached: None,
                 primary: None,
             }),
@@ -320,7 +320,7 @@
             floor: None,
             max_age: None,
             key: None,
-            patience: Span::from_secs(5),
+            timeout: Span::from_secs(5),
             leader: Some(self.term),
             body: request.body,
         };
--- a/src/core/entry/floor.rs
+++ b/src/core/entry/floor.rs
@@ -3,8 +3,8 @@
 
 use super::{Entry, Lease, LeaseRequest, Pending};
 use crate::clock::{Span, Time};
-use crate::core::lineage::Standing;
-use crate::core::message::{Ask, Grant, Leased, Message, Revoke};
+use crate::core::lineage::Relation;
+use crate::core::message::{FloorRequest, Grant, Leased, Message, Revoke};
 use crate::core::request::{Cause, Request};
 use crate::core::world::Turn;
 use crate::types::{GroupId, Position, SessionId, VmId};
@@ -107,7 +107,7 @@
             return self.wait_for_leader(turn, pending);
         };
         let request = turn.id();
-        let ask = Ask {
+        let ask = FloorRequest {
             request,
             group: key.0,
             session: Some(key.1.clone()),
@@ -120,7 +120,7 @@
             until: turn.now + turn.timing().probe,
         };
         self.asks.insert(request, lease_request);
-        turn.send(&leader.steward, Message::Ask(ask));
+        turn.send(&leader.steward, Message::FloorRequest(ask));
     }
 
     /// Handles a steward's answer to a request for a floor, or its report of a group's leader.
@@ -150,7 +150,7 @@
         let token_floor = pending.request.token_floor;
         let lease = self.lease(&key);
         let known = highest(Some(lease.floor), token_floor);
-        let lost = known.is_some_and(|floor| leased.lineage.standing(floor) == Standing::Lost);
+        let lost = known.is_some_and(|floor| leased.lineage.relation(floor) == Relation::Lost);
         lease.floor = leased.floor;
         lease.until = lease_request.at + leased.span;
         if lost {
--- a/src/core/node/peer.rs
+++ b/src/core/node/peer.rs
@@ -1,16 +1,16 @@
-//! Messages of other proxies, and of this one to itself.
+//! Handling of messages from other proxies and from this proxy to itself.
 
 use super::Node;
 use crate::clock::Span;
 use crate::core::database::{Event, Order, Refusal, State};
 use crate::core::message::{
-    Answer, Ask, Control, Controlled, Found, Grant, Hello, Hint, Message, Probe, Report, Suspect,
-    Suspected, Work,
+    Answer, Control, Controlled, FloorRequest, Grant, Hello, Hint, Message, Observation, Probe,
+    Report, Suspect, Suspected, Work,
 };
 use crate::core::output::Output;
 use crate::core::request::{Cause, NotRun, Outcome};
 use crate::core::spread;
-use crate::core::world::Errand;
+use crate::core::world::Purpose;
 use crate::types::{DatabaseId, Link, Term, VmId};
 use bytes::Bytes;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
                 self.each_holder(out, |holder, turn| holder.cancel(turn, &from, request));
             }
             Message::Depart(link) => self.departed(&from, Some(link), out),
-            Message::Ask(ask) => self.ask(&from, ask, out),
+            Message::FloorRequest(ask) => self.ask(&from, ask, out),
             Message::Grant(grant) => parts.entry.granted(&mut turn, &from, grant),
             Message::Revoke(revoke) => parts.entry.revoked(&mut turn, &from, revoke),
             Message::Revoked(revoke) => {
@@ -54,13 +54,13 @@
             Message::Suspect(suspect) => self.suspect(from, suspect, out),
             Message::Suspected(suspected) => self.suspected(&from, suspected, out),
             Message::Hello(hello) => self.hello(from, hello, out),
-            Message::Want(version) => parts.spread.want(&mut turn, &from, version),
+            Message::Fetch(version) => parts.spread.send_document(&mut turn, &from, version),
             Message::Document(packed) => self.document(&packed, out),
         }
     }
 
-    /// An entry asks for a session's floor. Where nobody here knows the group, it is told so.
-    fn ask(&mut self, from: &VmId, ask: Ask, out: &mut Vec<Output>) {
+    /// Handles an entry's request for a session's floor. Without a steward here, the answer is empty.
+    fn ask(&mut self, from: &VmId, ask: FloorRequest, out: &mut Vec<Output>) {
         let (group, request) = (ask.group.clone(), ask.request);
         if self.with_steward(&group, out, |steward, turn| steward.ask(turn, from, ask)) {
             return;
@@ -76,8 +76,10 @@
 
     fn reported(&mut self, from: &VmId, report: Report, out: &mut Vec<Output>) {
         let (mut turn, parts) = self.turn(out);
-        parts.spread.heard(&mut turn, from, report.version);
-        parts.spread.answer(&mut turn, from, report.version);
+        parts
+            .spread
+            .version_reported(&mut turn, from, report.version);
+        parts.spread.reply_if_newer(&mut turn, from, report.version);
         let group = report.group.clone();
         self.with_steward(&group, out, |steward, turn| steward.reported(turn, report));
     }
@@ -85,7 +87,7 @@
     fn suspected(&mut self, from: &VmId, suspected: Suspected, out: &mut Vec<Output>) {
         let group = suspected.group.clone();
         if let Some(primary) = &suspected.primary {
-            self.world.learn(&group, primary);
+            self.world.record_leader(&group, primary);
         }
         self.with_steward(&group, out, |steward, turn| {
             steward.evidence(turn, from, suspected);
@@ -113,7 +115,7 @@
         }
     }
 
-    /// A VM, or one caller at it, is gone: what it has under way here is dropped.
+    /// Drops the work here of a VM, or of one of its callers, that disconnected.
     fn departed(&mut self, vm: &VmId, link: Option<Link>, out: &mut Vec<Output>) {
         for steward in self.stewards.values_mut() {
             steward.departed(vm, link);
@@ -145,37 +147,39 @@
         turn.send(&to, Message::Answer(answer));
     }
 
-    /// A steward probes a database that it takes this VM for the holder of.
+    /// Handles a steward's probe of a database whose holder should be this VM.
     fn probe(&mut self, from: VmId, probe: Probe, out: &mut Vec<Output>) {
         let (mut turn, parts) = self.turn(out);
-        parts.spread.heard(&mut turn, &from, probe.version);
-        parts.spread.answer(&mut turn, &from, probe.version);
-        let news = turn.world.learn(&probe.group, &probe.primary);
+        parts
+            .spread
+            .version_reported(&mut turn, &from, probe.version);
+        parts.spread.reply_if_newer(&mut turn, &from, probe.version);
+        let changed = turn.world.record_leader(&probe.group, &probe.primary);
         let (group, database) = (probe.group.clone(), probe.database.clone());
-        if news {
+        if changed {
             parts.entry.leader_reported(&mut turn, &group);
         }
         let current = turn.world.leaders.get(&group) == Some(&probe.primary);
         self.join_steward(&group, out, |steward, turn| steward.probed(turn, &probe));
         self.with_holder(&database, out, |holder, turn| {
-            if news {
+            if changed {
                 holder.proofs.clear();
             }
-            if let Some(fresh) = probe.fresh.as_ref().filter(|_| current) {
-                holder.proofs.add(fresh);
+            if let Some(sample) = probe.sample.as_ref().filter(|_| current) {
+                holder.proofs.add(sample);
             }
-            turn.order(&database, Order::Report, Errand::Probe { from, probe });
+            turn.order(&database, Order::Report, Purpose::Probe { from, probe });
         });
     }
 
     fn control(&mut self, from: VmId, control: Control, out: &mut Vec<Output>) {
         let (mut turn, _) = self.turn(out);
         let (request, database) = (control.request, control.database.clone());
-        let errand = Errand::Relay {
+        let purpose = Purpose::Relay {
             from: from.clone(),
             control: control.clone(),
         };
-        if turn.order(&database, control.order, errand) {
+        if turn.order(&database, control.order, purpose) {
             return;
         }
         let controlled = Controlled {
@@ -186,8 +190,8 @@
         turn.send(&from, Message::Controlled(controlled));
     }
 
-    /// Another VM asks for evidence on a group's leader. A leader that asks about its own
-    /// primary wants it tried from here.
+    /// Handles a question about a group's leader. If the leader itself asks about its primary, this
+    /// VM first tries to reach that primary.
     fn suspect(&mut self, from: VmId, suspect: Suspect, out: &mut Vec<Output>) {
         let leader = suspect
             .primary
@@ -195,12 +199,12 @@
             .filter(|leader| leader.steward == from);
         if let Some(leader) = leader {
             let database = leader.database.clone();
-            let errand = Errand::Reach {
+            let purpose = Purpose::Reach {
                 from: from.clone(),
                 suspect: suspect.clone(),
             };
             let (mut turn, _) = self.turn(out);
-            if turn.order(&database, Order::Report, errand) {
+            if turn.order(&database, Order::Report, purpose) {
                 return;
             }
         }
@@ -210,23 +214,23 @@
         });
     }
 
-    /// A database answered an order.
+    /// Handles a database's answer to an order.
     pub(super) fn controlled(&mut self, event: Event, out: &mut Vec<Output>) {
         let Event::Controlled { id, result } = event else {
             return;
         };
-        let Some(errand) = self.world.errands.remove(&id) else {
+        let Some(purpose) = self.world.pending_orders.remove(&id) else {
             return;
         };
         let state = result
             .as_ref()
             .and_then(|result| result.as_ref().ok())
             .cloned();
-        match errand {
-            Errand::Refresh(database) => self.observe(&database, state, out),
-            Errand::Probe { from, probe } => self.report(from, probe, state, out),
-            Errand::Relay { from, control } => self.relay(from, control, result, state, out),
-            Errand::Reach { from, suspect } => {
+        match purpose {
+            Purpose::Refresh(database) => self.observe(&database, state, out),
+            Purpose::Probe { from, probe } => self.report(from, probe, state, out),
+            Purpose::Relay { from, control } => self.relay(from, control, result, state, out),
+            Purpose::Reach { from, suspect } => {
                 let leads = |state: &State| {
                     state.open
                         && suspect
@@ -248,7 +252,7 @@
     }
 
     fn report(&mut self, from: VmId, probe: Probe, state: Option<State>, out: &mut Vec<Output>) {
-        let found = state.as_ref().map(|state| Found {
+        let observation = state.as_ref().map(|state| Observation {
             term: state.term,
             position: state.position,
             open: state.open,
@@ -262,15 +266,17 @@
             group: probe.group,
             database: probe.database,
             round: probe.round,
-            found,
+            observation,
             version: turn.version(),
         };
         turn.send(&from, Message::Report(report));
     }
 
-    fn saw_raise(&mut self, database: &DatabaseId, term: Term, out: &mut Vec<Output>) {
+    fn raise_reported(&mut self, database: &DatabaseId, term: Term, out: &mut Vec<Output>) {
         if let Some(group) = self.world.group_of(database).cloned() {
-            self.with_steward(&group, out, |steward, turn| steward.saw_raise(turn, term));
+            self.with_steward(&group, out, |steward, turn| {
+                steward.raise_reported(turn, term)
+            });
         }
     }
 
@@ -286,7 +292,7 @@
             self.observe(&control.database, state, out);
         }
         if let (Order::Raise(term), Some(Ok(_))) = (control.order, &result) {
-            self.saw_raise(&control.database, term, out);
+            self.raise_reported(&control.database, term, out);
         }
         let (mut turn, _) = self.turn(out);
         let controlled = Controlled {
@@ -297,11 +303,11 @@
         turn.send(&from, Message::Controlled(controlled));
     }
 
-    /// Another VM tells of itself.
+    /// Handles another VM's announcement of its state.
     ///
-    /// Failure: a VM was replaced by another of its name before its stream was seen to break.
-    /// Symptom: its predecessor's transactions stay open and get the newcomer's statements.
-    /// Enough, because another life ends whatever the former one had here.
+    /// A VM may be replaced by one of the same name before its stream is seen to break. A changed
+    /// life therefore ends everything that the former process had here; otherwise its transactions
+    /// would stay open and receive statements of the new process.
     fn hello(&mut self, from: VmId, hello: Hello, out: &mut Vec<Output>) {
         let peer = self.world.peers.entry(from.clone()).or_default();
         let replaced = peer.life.is_some_and(|life| life != hello.life);
@@ -311,9 +317,11 @@
             self.peer_lost(&from, true, out);
         }
         let (mut turn, parts) = self.turn(out);
-        parts.spread.meet();
-        parts.spread.heard(&mut turn, &from, hello.version);
-        parts.spread.answer(&mut turn, &from, hello.version);
+        parts.spread.peer_answered();
+        parts
+            .spread
+            .version_reported(&mut turn, &from, hello.version);
+        parts.spread.reply_if_newer(&mut turn, &from, hello.version);
         let settled = parts.spread.settle(&mut turn);
         self.put_in_force(settled, out);
     }
--- a/src/core/steward/election.rs
+++ b/src/core/steward/election.rs
@@ -1,5 +1,5 @@
-//! Taking a group over: evidence from the holders of a majority, then a raise of the term at a
-//! majority of its databases, then the wait for the former term's confirmations to lapse.
+//! Takeover of a group: collects evidence from the holders of a majority, raises the term at a
+//! majority of its databases, and waits until the former term's confirmations have expired.
 
 use super::{Evidence, Opening, Phase, Raising, Steward};
 use crate::clock::{Span, Time};
@@ -11,35 +11,35 @@
 use crate::types::{DatabaseId, RequestId, Term, VmId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many times longer than usual the steward is missed before a VM that hears from no
-/// other one takes its group over.
-const ALONE: u64 = 3;
+/// A VM that receives no answer from any other one takes over only after the steward has been
+/// silent for this many suspicion spans.
+const SOLE_FACTOR: u64 = 3;
 
-/// Tries with ever higher terms before the field is left to another VM.
-const TRIES: u32 = 3;
+/// The number of raises to higher terms before this VM backs off for another one.
+const MAX_RAISES: u32 = 3;
 
 impl Steward {
-    /// Suspects the steward once it was silent for long enough. VMs wait by rank, so that two
-    /// seldom raise the term against each other; if they do, the higher term wins.
+    /// Starts a takeover once the steward has been silent for long enough. VMs wait according to
+    /// their rank, so that two rarely raise the term at once; if they do, the higher term wins.
     pub(super) fn watch_steward(&mut self, turn: &mut Turn) {
-        if turn.world.stopping || turn.now < self.patience || !self.watch.suspects(turn.now) {
+        if turn.world.stopping || turn.now < self.takeover_after || !self.watch.suspects(turn.now) {
             return;
         }
         let Some(rank) = self.rank(turn) else {
-            self.patience = turn.now + turn.timing().suspicion;
+            self.takeover_after = turn.now + turn.timing().suspicion;
             return;
         };
-        let step = turn.timing().probe;
-        let turn_comes = self.watch.suspects_at() + Span(step.0 * rank);
-        if turn.now < turn_comes {
-            self.patience = turn_comes;
+        let interval = turn.timing().probe;
+        let starts_at = self.watch.suspects_at() + Span(interval.0 * rank);
+        if turn.now < starts_at {
+            self.takeover_after = starts_at;
             return;
         }
         self.gather(turn);
     }
 
-    /// This VM's place among the holders of the group's databases, the primary's first; `None`
-    /// if it holds none.
+    /// This VM's rank among the holders of the group's databases, the primary's holder first;
+    /// `None` if it holds none of them.
     fn rank(&self, turn: &mut Turn) -> Option<u64> {
         let primary = self.leader(turn).map(|leader| leader.database);
         let first = primary.iter().filter(|id| self.members.contains(*id));
@@ -52,11 +52,11 @@
         Some(place as u64)
     }
 
-    /// Asks the holders of the other databases whether they miss the steward too.
+    /// Asks the holders of the other databases whether they suspect the steward too.
     ///
-    /// Failure: one VM is cut from a steward that serves everybody else. Symptom: a promotion
-    /// for nothing, and a gap for all. Enough, because a steward that serves probes a majority
-    /// of the databases, and their holders say so.
+    /// A serving steward probes a majority of the databases, whose holders then contradict. One VM
+    /// that is cut off from it therefore causes no needless promotion, which would interrupt all
+    /// callers.
     fn gather(&mut self, turn: &mut Turn) {
         let mut silent = BTreeSet::new();
         let mut asked = BTreeMap::new();
@@ -88,11 +88,11 @@
         }
     }
 
-    /// Nobody else has answered. This VM goes on alone once the steward was missed for several
-    /// times as long: it may be the last one, and the list of VMs lags.
+    /// Decides without enough answers. This VM takes over alone once the steward has been silent for
+    /// several suspicion spans, since it may be the last VM and the list of VMs may be outdated.
     pub(super) fn decide_alone(&mut self, turn: &mut Turn) {
         let suspicion = turn.timing().suspicion;
-        let alone_at = self.watch.suspects_at() + Span(suspicion.0 * (ALONE - 1));
+        let alone_at = self.watch.suspects_at() + Span(suspicion.0 * (SOLE_FACTOR - 1));
         let Phase::Gather(evidence) = &self.phase else {
             return;
         };
@@ -101,7 +101,7 @@
         if enough && (turn.now >= alone_at || !others) {
             return self.raise(turn, self.term.next(), None, 0);
         }
-        self.rest(turn);
+        self.back_off(turn);
     }
 
     fn holders(&self, turn: &mut Turn) -> BTreeMap<VmId, Vec<DatabaseId>> {
@@ -113,7 +113,7 @@
         holders
     }
 
-    /// A holder's evidence arrived.
+    /// Handles a holder's evidence.
     pub fn evidence(&mut self, turn: &mut Turn, from: &VmId, suspected: Suspected) {
         if self.leads() {
             return self.reachable(turn, from, suspected);
@@ -125,18 +125,18 @@
             return;
         }
         evidence.asked.remove(&suspected.request);
-        if suspected.heard {
-            return self.rest(turn);
+        if suspected.steward_responds {
+            return self.back_off(turn);
         }
-        let theirs = self.holders(turn).remove(from).unwrap_or_default();
+        let held = self.holders(turn).remove(from).unwrap_or_default();
         if let Phase::Gather(evidence) = &mut self.phase {
-            evidence.silent.extend(theirs);
+            evidence.silent.extend(held);
             evidence.witnesses += 1;
         }
-        self.weigh(turn);
+        self.check_evidence(turn);
     }
 
-    fn weigh(&mut self, turn: &mut Turn) {
+    fn check_evidence(&mut self, turn: &mut Turn) {
         let Phase::Gather(evidence) = &self.phase else {
             return;
         };
@@ -145,11 +145,11 @@
         }
     }
 
-    /// Gives up for now: the steward is heard by others, or there is not enough evidence.
-    pub(super) fn rest(&mut self, turn: &mut Turn) {
+    /// Backs off, because others receive the steward's probes or there is not enough evidence.
+    pub(super) fn back_off(&mut self, turn: &mut Turn) {
         let spread = turn.timing().probe;
         let jitter = turn.world.random(spread.0.max(1) as usize) as u64;
-        self.patience = turn.now + spread + Span(jitter);
+        self.takeover_after = turn.now + spread + Span(jitter);
         self.phase = Phase::Follow;
     }
 
@@ -170,7 +170,7 @@
         });
     }
 
-    /// Raises the term to replace `primary`, whose log does not reach the others.
+    /// Raises the term to replace `primary`, whose log does not reach the replicas.
     pub(super) fn raise_without(&mut self, turn: &mut Turn, primary: DatabaseId) {
         self.raise(turn, self.term.next(), None, 0);
         if let Phase::Raise(raising) = &mut self.phase {
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Sends an order to a database by way of its holder, unless that is the VM under suspicion.
+    /// Sends an order to a database by way of its holder, or directly if the holder is the group's
+    /// steward, which is suspected.
     pub(super) fn order(&self, turn: &mut Turn, id: &DatabaseId, order: Order) -> RequestId {
         let request = turn.id();
         let holder = turn.world.holder(turn.now, id);
@@ -210,7 +211,7 @@
         turn.send(to, Message::Control(control));
     }
 
-    /// A database answered an order of this steward.
+    /// Handles a database's answer to an order of this steward.
     pub fn controlled(&mut self, turn: &mut Turn, controlled: Controlled) {
         match &self.phase {
             Phase::Raise(_) => self.raised(turn, controlled),
@@ -244,15 +245,15 @@
                 self.tick_raise(turn);
             }
             Some(Ok(_)) | None => {}
-            Some(Err(Refusal::Term(higher))) => self.outbid(turn, higher),
+            Some(Err(Refusal::Term(higher))) => self.retry_higher(turn, higher),
             Some(Err(_)) => {}
         }
     }
 
-    /// A database is in a higher term, or in this one by an order whose answer was lost or by
-    /// another steward. Only a term that this VM alone raised may be opened, so a higher one is
-    /// tried, a few times.
-    fn outbid(&mut self, turn: &mut Turn, higher: Term) {
+    /// Handles a database that is in a higher term, or in this one by another steward or by an order
+    /// whose answer was lost. A term may be opened only if this VM alone raised it, so a higher
+    /// one is tried, up to a few times.
+    fn retry_higher(&mut self, turn: &mut Turn, higher: Term) {
         let Phase::Raise(raising) = &self.phase else {
             return;
         };
@@ -263,10 +264,10 @@
         let left_out = raising.promotion.left_out().cloned();
         turn.world.counters.promotions_abandoned += 1;
         self.term = self.term.max(higher);
-        if tries >= TRIES {
-            return self.rest(turn);
+        if tries >= MAX_RAISES {
+            return self.back_off(turn);
         }
-        // A higher term than the one handed over may have confirmations of its own.
+        // A term above the one handed over may have confirmations of its own to wait for.
         self.raise(turn, self.term.next(), None, tries);
         if let (Phase::Raise(raising), Some(primary)) = (&mut self.phase, left_out) {
             raising.promotion.leave_out(primary);
@@ -282,7 +283,7 @@
                 let term = raising.promotion.term();
                 turn.world.counters.promotions_abandoned += 1;
                 self.term = self.term.max(term);
-                self.rest(turn);
+                self.back_off(turn);
             }
             return;
         }
@@ -296,7 +297,7 @@
             return;
         };
         let leaving = |id: &DatabaseId| turn.world.database(id).is_none_or(|found| found.leaving);
-        let Some((primary, base)) = raising.promotion.choice_with(leaving) else {
+        let Some((primary, base)) = raising.promotion.choice_avoiding(leaving) else {
             return;
         };
         let (term, primary) = (raising.promotion.term(), primary.clone());
@@ -308,7 +309,7 @@
             primary,
             base,
             request,
-            again: turn.now + turn.timing().probe,
+            retry_at: turn.now + turn.timing().probe,
             until: turn.now + turn.timing().suspicion,
         });
     }
@@ -318,21 +319,21 @@
             return;
         };
         if opening.until <= turn.now {
-            // The chosen database went away meanwhile, or only another VM reaches it.
+            // The chosen database has failed, or only another VM reaches it.
             self.term = self.term.max(opening.term);
             turn.world.counters.promotions_abandoned += 1;
-            return self.rest(turn);
+            return self.back_off(turn);
         }
-        if opening.again > turn.now {
+        if opening.retry_at > turn.now {
             return;
         }
         let (primary, term) = (opening.primary.clone(), opening.term);
         let request = turn.id();
         let me = turn.world.me.vm.clone();
         self.send_order(turn, &me, request, &primary, Order::Open(term));
-        let again = turn.now + turn.timing().probe;
+        let retry_at = turn.now + turn.timing().probe;
         if let Phase::Open(opening) = &mut self.phase {
-            (opening.request, opening.again) = (request, again);
+            (opening.request, opening.retry_at) = (request, retry_at);
         }
     }
 
@@ -353,17 +354,17 @@
             Some(Err(Refusal::Term(higher))) => {
                 self.term = self.term.max(higher).max(term);
                 turn.world.counters.promotions_abandoned += 1;
-                self.rest(turn);
+                self.back_off(turn);
             }
             _ => {}
         }
     }
 
-    /// A stopping steward hands the group over: there is nothing to wait out.
+    /// Takes over a group from a steward that handed it over, without waiting for a window.
     ///
-    /// Failure: the message is old, and another term has begun since. Symptom: a steward that
-    /// still acknowledges is not waited for. Enough, because only the leader known here can
-    /// hand over, and a raise above any later term fails at the databases that follow it.
+    /// The message may be late, and a steward of another term may still acknowledge. So a handover
+    /// of a term below the highest known one is ignored, and the raise to the very next term fails
+    /// at databases that are in a later one.
     pub fn yielded(&mut self, turn: &mut Turn, from: &VmId, handover: Yield) {
         let term = handover.primary.term;
         if turn.world.stopping || handover.primary.steward != *from || term < self.term {
@@ -377,7 +378,7 @@
         self.raise(turn, term.next(), Some(term), 0);
     }
 
-    /// A stream broke: what was asked over it is not waited for.
+    /// Stops waiting for answers of a VM whose stream broke.
     pub fn peer_down(&mut self, turn: &mut Turn, vm: &VmId) {
         let Phase::Gather(evidence) = &mut self.phase else {
             return;
@@ -390,9 +391,9 @@
 }
 
 impl Raising {
-    /// When the choice is made: not before the former term's confirmations have lapsed, and
-    /// not before every database was heard or had a fair time to answer, because a log that
-    /// goes further than the majority's holds writes that callers may ask after.
+    /// When the primary is chosen: after the former term's confirmations have expired, and after
+    /// every database has answered or had time to. A log that goes further than the majority's
+    /// holds writes whose outcome callers may still query.
     fn opens(&self) -> Option<Time> {
         let opens = self.promotion.opens()?;
         if self.promotion.complete() {
--- a/src/core/steward/lead.rs
+++ b/src/core/steward/lead.rs
@@ -7,7 +7,7 @@
 use crate::core::database::{Order, Refusal, State};
 use crate::core::detect::{Detector, Stall};
 use crate::core::lineage::Lineage;
-use crate::core::message::{Control, Controlled, Fresh, Message, Primary, Probe, Report};
+use crate::core::message::{Control, Controlled, Message, Primary, Probe, Report, Sample};
 use crate::core::role::Role;
 use crate::core::session::Sessions;
 use crate::core::term::Confirmations;
@@ -16,16 +16,16 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Probes of one database whose reports are still taken. A report of an older one proves less
-/// than a window by then.
-const ROUNDS_KEPT: usize = 8;
+/// The number of latest probes of one database whose reports are accepted. By then, the report of
+/// an older one proves less than a window.
+const MAX_ROUNDS: usize = 8;
 
-/// What a steward keeps while it leads.
+/// The state of a steward while it leads: who leads the group, and under which term.
 #[derive(Debug)]
 pub(crate) struct Lead {
     pub(super) leader: Primary,
     pub(super) confirmations: Confirmations,
-    /// Watches the primary by its own answers.
+    /// Suspects the primary when it stops answering.
     pub(super) primary_watch: Detector,
     pub(super) primary_log: Option<Log>,
     primary_asked: Option<(RequestId, Time)>,
@@ -35,12 +35,12 @@
     pub(super) lineage: Lineage,
     pub(super) probe_at: Time,
     pub(super) handover: Option<Handover>,
-    pub(super) doubt: Option<Doubt>,
+    pub(super) inquiry: Option<Inquiry>,
     pub(super) stall: Stall,
     served: bool,
 }
 
-/// The primary's log as it was found.
+/// The end of the primary's log when it was last read.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(crate) struct Log {
     pub end: Position,
@@ -48,19 +48,19 @@
     asked: Time,
 }
 
-/// A replica as its reports show it.
+/// The state of a replica according to its reports.
 #[derive(Debug, Default)]
 pub(crate) struct Replica {
     rounds: BTreeMap<RequestId, Time>,
-    /// The last report's round, and when it arrived.
+    /// The round of the last report, and when that report arrived.
     report: Option<(RequestId, Time)>,
-    /// When its database answered a probe last.
+    /// When its database last answered a probe.
     answered: Time,
     /// The end of its log.
     pub end: Position,
-    /// Since when it has been found in a higher term, which nobody leads.
+    /// Since when it has been in a higher term than this one.
     pub(super) higher: Option<Time>,
-    /// The order to tell when the log has reached a position, while it is under way.
+    /// The `Order::Reach` that is under way, if any.
     pub(super) reach: Option<Reach>,
 }
 
@@ -71,14 +71,14 @@
     pub until: Time,
 }
 
-/// The primary is silent here: others are asked whether they reach it.
+/// Questions to other VMs on whether they reach a primary that does not respond here.
 #[derive(Debug)]
-pub(crate) struct Doubt {
+pub(crate) struct Inquiry {
     pub asked: BTreeMap<RequestId, VmId>,
     pub until: Time,
 }
 
-/// A lead's state for `dump`.
+/// The state of a lead for `dump`.
 #[derive(Debug, Serialize)]
 pub(crate) struct Dump<'a> {
     leader: &'a Primary,
@@ -118,30 +118,30 @@
         }
     }
 
-    /// Whether a database has been in a higher term for `patience`, although this one serves.
-    pub(super) fn has_stray(&self, now: Time, patience: Span) -> bool {
+    /// Whether a database has been in a higher term for `duration` while this one serves.
+    pub(super) fn has_higher_term(&self, now: Time, duration: Span) -> bool {
         let mut higher = self.replicas.values().filter_map(|replica| replica.higher);
-        self.serves(now) && higher.any(|since| since + patience <= now)
+        self.serves(now) && higher.any(|since| since + duration <= now)
     }
 
-    /// Whether writes are acknowledged just now.
+    /// Whether writes are currently acknowledged.
     pub fn serves(&self, now: Time) -> bool {
         now < self.confirmations.deadline() && !self.primary_watch.suspects(now)
     }
 
     pub fn wake(&self) -> Time {
-        let doubt = self.doubt.as_ref().map(|doubt| doubt.until);
-        doubt.unwrap_or(self.probe_at).min(self.probe_at)
+        let inquiry = self.inquiry.as_ref().map(|inquiry| inquiry.until);
+        inquiry.unwrap_or(self.probe_at).min(self.probe_at)
     }
 
-    /// Ends the lead; what still waits for its acknowledgement is returned.
+    /// Ends the lead and returns the answers that still wait to be acknowledged.
     pub fn end(mut self) -> Vec<Waiting> {
         self.acks.abandon()
     }
 }
 
 impl Steward {
-    /// The primary is open in a term that this VM raised.
+    /// Starts to lead with a primary that was opened in a term that this VM raised.
     pub(super) fn take_lead(
         &mut self,
         turn: &mut Turn,
@@ -154,7 +154,7 @@
         let replicas = others.map(|id| (id.clone(), Replica::default())).collect();
         let members = self.members.len();
         self.term = leader.term;
-        // A first term, or another steward for the same primary, is no change of primary.
+        // A first term and another steward for the same primary are not changes of primary.
         let former = turn.world.leaders.get(&self.group);
         if former.is_some_and(|former| former.database != leader.database) {
             self.damper.promoted(turn.now, timing.damping);
@@ -170,15 +170,15 @@
             lineage: state.lineage,
             probe_at: turn.now,
             handover: None,
-            doubt: None,
+            inquiry: None,
             stall: Stall::default(),
             served: false,
             leader,
         };
-        turn.world.learn(&self.group, &lead.leader);
+        turn.world.record_leader(&self.group, &lead.leader);
         turn.world.counters.promotions += 1;
         self.phase = super::Phase::Lead(Box::new(lead));
-        self.tell_curious(turn);
+        self.notify_waiting(turn);
         self.probe(turn);
     }
 
@@ -215,7 +215,7 @@
                 round,
                 primary: lead.leader.clone(),
                 serving,
-                fresh: replica.fresh(lead.primary_log),
+                sample: replica.sample(lead.primary_log),
                 version: turn.version(),
             };
             replica.asked(round, now);
@@ -225,7 +225,7 @@
         }
     }
 
-    /// What a probe found.
+    /// Handles the report of a probe.
     pub fn reported(&mut self, turn: &mut Turn, report: Report) {
         let window = turn.timing().window;
         let now = turn.now;
@@ -240,30 +240,31 @@
             return;
         };
         replica.report = Some((report.round, now));
-        let Some(found) = report.found else {
+        let Some(observation) = report.observation else {
             return;
         };
         replica.answered = now;
-        replica.end = found.position;
-        replica.higher = (found.term > term).then(|| replica.higher.unwrap_or(now));
-        if found.term == term {
+        replica.end = observation.position;
+        replica.higher = (observation.term > term).then(|| replica.higher.unwrap_or(now));
+        if observation.term == term {
             lead.confirmations.confirm(&report.database, sent, window);
-            // An entry of this term was written by its one primary, so the log up to it is ours.
-            if found.position.term == term {
-                lead.acks.reached(&report.database, found.position.offset);
+            // Only this term's primary writes entries of this term, so the log up to here is its log.
+            if observation.position.term == term {
+                lead.acks
+                    .reached(&report.database, observation.position.offset);
             }
-        } else if found.term > term {
+        } else if observation.term > term {
             lead.confirmations.withdraw(&report.database);
-            self.term = self.term.max(found.term);
+            self.term = self.term.max(observation.term);
         } else {
             self.order(turn, &report.database, Order::Raise(term));
         }
-        self.note_service(turn);
+        self.record_service(turn);
         self.flush(turn);
     }
 
-    /// The first confirmed moment of a term ends the failover gap.
-    fn note_service(&mut self, turn: &mut Turn) {
+    /// Records that the group is served. The first time in a term ends the failover gap.
+    fn record_service(&mut self, turn: &mut Turn) {
         let (now, since) = (turn.now, self.served);
         let Some(lead) = self.lead() else {
             return;
@@ -277,7 +278,7 @@
         self.served = now;
     }
 
-    /// A database answered an order given while leading.
+    /// Handles a database's answer to an order that was sent while leading.
     pub(super) fn lead_controlled(&mut self, turn: &mut Turn, controlled: Controlled) {
         let Some(lead) = self.lead() else {
             return;
@@ -304,8 +305,8 @@
         {
             lead.acks.reached(&controlled.database, reach.wanted);
         } else {
-            // Asked again with the next round of probes, not at once: it can't be reached, or
-            // answers before it has the position, and would be asked in a tight loop.
+            // Retried with the next round of probes: a database that is unreachable, or answers
+            // before it has the position, would otherwise be asked in a busy loop.
             replica.reach = Some(Reach {
                 until: turn.now + turn.timing().probe,
                 ..reach
@@ -327,15 +328,15 @@
         }
         match controlled.result {
             Some(Ok(state)) if state.term == lead.leader.term && state.open => {
-                lead.primary_watch.heard(asked);
+                lead.primary_watch.responded(asked);
                 let primary = lead.leader.database.clone();
                 lead.confirmations.confirm(&primary, asked, window);
-                lead.doubt = None;
+                lead.inquiry = None;
                 lead.primary_log = Some(Log {
                     end: state.position,
                     asked,
                 });
-                self.note_service(turn);
+                self.record_service(turn);
                 self.flush(turn);
             }
             Some(Ok(state)) => {
@@ -350,7 +351,7 @@
         }
     }
 
-    /// The primary refused work for its term.
+    /// Handles a primary's refusal of work because it is in a higher term.
     pub fn refused(&mut self, turn: &mut Turn, higher: Term) {
         if self.lead().is_some_and(|lead| lead.leader.term < higher) {
             self.term = self.term.max(higher);
@@ -366,17 +367,17 @@
     }
 
     fn asked(&mut self, round: RequestId, now: Time) {
-        if self.rounds.len() == ROUNDS_KEPT {
+        if self.rounds.len() == MAX_ROUNDS {
             self.rounds.pop_first();
         }
         self.rounds.insert(round, now);
     }
 
-    /// The primary's log, placed on the clock of this replica's holder by its last report.
-    fn fresh(&self, log: Option<Log>) -> Option<Fresh> {
+    /// The end of the primary's log, timed relative to the last report of this replica's holder.
+    fn sample(&self, log: Option<Log>) -> Option<Sample> {
         let log = log?;
         let (round, arrived) = self.report?;
-        Some(Fresh {
+        Some(Sample {
             position: log.end,
             round,
             before: arrived.since(log.asked),
--- a/src/core/steward/pass.rs
+++ b/src/core/steward/pass.rs
@@ -1,9 +1,9 @@
-//! Passing a primary's answers on: once its term is confirmed, a majority has the write, and no
-//! other entry reads under an older floor of the session.
+//! Sending a primary's answers to the entries, once its term is confirmed, a majority has the
+//! write, and no other entry reads under an older floor of the session.
 
 use super::lead::Reach;
 use super::lease::revoke;
-use super::{Steward, Verdict};
+use super::{Completion, Steward};
 use crate::clock::Time;
 use crate::config::Durability;
 use crate::core::acknowledge::Waiting;
@@ -15,13 +15,13 @@
 use crate::types::{Link, Position, Term, VmId};
 
 impl Steward {
-    /// The primary answered `job`, which ran under `term`.
+    /// Handles the primary's answer to `job`, which ran under `term`.
     pub fn answered(&mut self, turn: &mut Turn, term: Term, job: Job, reply: Reply) {
         let now = turn.now;
         let durability = turn.world.pool(&job.work.pool).map(|pool| pool.durability);
         let group = self.group.clone();
         let Some(lead) = self.lead().filter(|lead| lead.leader.term == term) else {
-            self.verdicts.push(Verdict::unconfirmed(job));
+            self.completions.push(Completion::unconfirmed(job));
             return;
         };
         let mut waiting = Waiting {
@@ -44,14 +44,15 @@
         self.flush(turn);
     }
 
-    /// An entry is gone, or one of its callers: what would be told to it is dropped.
+    /// Drops the answers for an entry, or for one of its callers, that disconnected.
     pub fn departed(&mut self, vm: &VmId, link: Option<Link>) {
         if let Some(lead) = self.lead() {
             lead.acks.depart(vm, link);
         }
     }
 
-    /// Passes on what may be, ends what waited too long, and asks the replicas for the rest.
+    /// Sends the answers that are ready, ends those past their deadline, and asks the replicas to
+    /// report their progress for the rest.
     pub(super) fn flush(&mut self, turn: &mut Turn) {
         let now = turn.now;
         let Some(lead) = self.lead() else {
@@ -63,28 +64,28 @@
         let ready = lead.acks.ready(now, &lead.confirmations);
         let late = lead.acks.expire(now, &lead.confirmations);
         let until = lead.lease_end(now);
-        let mut verdicts = Vec::with_capacity(ready.len() + late.len());
+        let mut completions = Vec::with_capacity(ready.len() + late.len());
         for waiting in ready {
             let lease = until.and_then(|until| lead.renew(&waiting, now, until));
-            verdicts.push(Verdict::done(waiting, lease));
+            completions.push(Completion::done(waiting, lease));
         }
-        verdicts.extend(late.into_iter().map(|(waiting, cause)| Verdict {
+        completions.extend(late.into_iter().map(|(waiting, cause)| Completion {
             job: waiting.job,
             outcome: Outcome::Unknown(cause),
             lease: None,
         }));
-        self.verdicts.append(&mut verdicts);
+        self.completions.append(&mut completions);
         self.ask_replicas(turn);
     }
 
-    /// Asks each replica to tell when it holds all that waits, one order at a time.
+    /// Asks each replica to report when it holds all waiting writes, one order at a time.
     fn ask_replicas(&mut self, turn: &mut Turn) {
         let now = turn.now;
         let Some(lead) = self.lead() else {
             return;
         };
         let term = lead.leader.term;
-        let patience = turn.timing().answer;
+        let timeout = turn.timing().answer;
         for (id, replica) in &mut lead.replicas {
             if replica
                 .reach
@@ -101,7 +102,7 @@
             replica.reach = Some(Reach {
                 request,
                 wanted,
-                until: now + patience,
+                until: now + timeout,
             });
             let control = Control {
                 request,
@@ -114,7 +115,7 @@
     }
 }
 
-impl Verdict {
+impl Completion {
     fn done(waiting: Waiting, lease: Option<Time>) -> Self {
         let reply = waiting.reply;
         let done = Done {
