--- a/src/model/floors.rs
+++ b/src/model/floors.rs
@@ -1,8 +1,8 @@
-//! Floors and leases of one session that is alive on two proxies, across a change of steward.
+//! Floors and leases of one session that uses two proxies, across a change of steward.
 //!
-//! The session writes by way of its group's steward and reads at another entry, from a replica
-//! that has applied no more than the floor asks for. The steward's memory is the real
-//! `core::session`; this module plays the messages, the entry and the time.
+//! The session writes through its group's steward and reads at another entry, from a replica that
+//! has applied nothing beyond the floor. The steward's session state is the production
+//! `core::session`; this module simulates the messages, the entry and the clock.
 
 use crate::clock::{Span, Time};
 use crate::core::session::Sessions;
@@ -10,27 +10,27 @@
 use crate::types::{Invalid, Offset, Position, SessionId, Term, VmId};
 use std::fmt;
 
-/// The window W in ticks; a lease is never longer.
+/// The window W in ticks, which is the maximum length of a lease.
 const WINDOW: u8 = 2;
 const TICK: Span = Span(100);
 const NOW: Time = Time(10_000);
 
-/// A rule that keeps a session's reads from going back; one can be taken out.
+/// A rule that keeps a session's reads from going back in time; a search can disable one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Safeguard {
-    /// A write waits until other entries' leases were given back or have lapsed.
+    /// A write is acknowledged only once other entries' leases are released or have expired.
     Revoke,
-    /// A lease ends with the confirmations of its term.
+    /// A lease ends no later than the confirmations of its term.
     WithinConfirmations,
-    /// A lease counts from when it was asked for.
+    /// A lease counts from when the entry asked for it.
     FromQuestion,
-    /// A grant that was given before a revocation is not used after it.
+    /// A grant given before a revocation is not used after it.
     StaleGrant,
-    /// A lease is ended only by the answer to a revocation that came after it.
+    /// A lease is ended only by the answer to a revocation sent after its grant.
     LateRelease,
     /// A term is handed over only once no lease is left.
     LeasesBeforeYield,
-    /// The floor of all sessions starts at the base of the new term.
+    /// In a new term every session's floor starts at the base of that term.
     Horizon,
 }
 
@@ -41,20 +41,20 @@
     /// The steward's own entry, and the other one.
     vms: [VmId; 2],
     writes: u8,
-    out: Option<Safeguard>,
+    disabled: Option<Safeguard>,
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct Steward {
     leads: bool,
-    /// The session's floor, and what is below it for all.
+    /// The session's floor, and the horizon that bounds all floors from below.
     floor: u8,
     horizon: u8,
-    /// The lease of the other entry: its floor, and the ticks until it has lapsed.
+    /// The lease of the other entry: its floor, and the ticks until it expires.
     lease: Option<Grant>,
-    /// Ticks until the confirmations lapse.
+    /// Ticks until the confirmations expire.
     confirmed: u8,
-    /// A write that waits for its acknowledgement.
+    /// A write that is not acknowledged yet.
     pending: Option<u8>,
 }
 
@@ -65,26 +65,26 @@
 }
 
 impl Grant {
-    /// A tick later, unless it has lapsed.
-    fn older(self) -> Option<Self> {
+    /// Returns the grant a tick later, or none if it has expired.
+    fn after_tick(self) -> Option<Self> {
         let span = self.span.checked_sub(1).filter(|span| *span > 0)?;
         Some(Self { span, ..self })
     }
 }
 
-/// A state of both stewards, the other entry, and what is on its way.
+/// A state of both stewards, the other entry, and the messages in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     stewards: [Steward; 2],
-    /// Ticks until the second steward may open, once the majority was raised.
-    opens: Option<u8>,
-    /// How long ago the entry asked, and whom.
-    asked: Option<(u8, usize)>,
-    /// A grant under way, and how long ago it was asked for.
+    /// Ticks until the second steward may open its term, once a majority is raised.
+    opens_in: Option<u8>,
+    /// Ticks since the entry asked for a floor, and the steward it asked.
+    question: Option<(u8, usize)>,
+    /// A grant in flight, and the ticks since the entry asked for it.
     grant: Option<(Grant, u8)>,
-    /// A revocation and its answer: the steward, and the write that revoked.
-    revoke: Option<(usize, u8)>,
-    revoked: Option<(usize, u8)>,
+    /// A revocation and its answer, in flight: the steward, and the write that caused it.
+    revocation: Option<(usize, u8)>,
+    release: Option<(usize, u8)>,
     /// The entry's lease: its floor, and the ticks left.
     lease: Option<Grant>,
     written: u8,
@@ -92,7 +92,7 @@
     broken: Option<&'static str>,
 }
 
-/// What happens in one step; stewards by index.
+/// An event; stewards by index.
 #[derive(Debug, Clone, Copy)]
 pub enum Event {
     /// Time passes.
@@ -101,16 +101,16 @@
     Ask(usize),
     /// A steward grants a lease.
     Grant(usize),
-    /// The grant arrives.
-    Hear,
+    /// The entry receives the grant.
+    Receive,
     /// A steward's confirmations are renewed.
     Confirm(usize),
-    /// The session writes by way of a steward.
+    /// The session writes through a steward.
     Write(usize),
-    /// The entry gives its lease back.
-    Revoke(usize),
-    /// The steward hears of that.
-    Revoked(usize),
+    /// The entry releases its lease.
+    Release(usize),
+    /// The steward receives the release.
+    ReceiveRelease(usize),
     /// The write is acknowledged.
     Acknowledge(usize),
     /// The second steward has raised a majority.
@@ -130,11 +130,11 @@
             Event::Tick => write!(f, "half a window passes"),
             Event::Ask(s) => write!(f, "the entry asks vm{} for the floor", vm(s)),
             Event::Grant(s) => write!(f, "vm{} grants a lease", vm(s)),
-            Event::Hear => write!(f, "the entry hears the grant"),
+            Event::Receive => write!(f, "the entry hears the grant"),
             Event::Confirm(s) => write!(f, "vm{}'s term is confirmed", vm(s)),
             Event::Write(s) => write!(f, "the session writes by way of vm{}", vm(s)),
-            Event::Revoke(s) => write!(f, "the entry gives the lease of vm{} back", vm(s)),
-            Event::Revoked(s) => write!(f, "vm{} hears that the lease is given back", vm(s)),
+            Event::Release(s) => write!(f, "the entry gives the lease of vm{} back", vm(s)),
+            Event::ReceiveRelease(s) => write!(f, "vm{} hears that the lease is given back", vm(s)),
             Event::Acknowledge(s) => write!(f, "vm{} acknowledges the write", vm(s)),
             Event::Raise => write!(f, "vm2 has raised a majority"),
             Event::Yield => write!(f, "vm1 hands over"),
@@ -144,8 +144,8 @@
     }
 }
 
-/// A session read less than it had been told was done.
-pub const STALE: &str = "a session did not read its acknowledged write";
+/// A session's read misses a write that was acknowledged to it.
+pub const STALE_READ: &str = "a session did not read its acknowledged write";
 
 fn position(floor: u8) -> Position {
     Position::new(Term(1), Offset(floor.into()))
@@ -156,21 +156,21 @@
 }
 
 impl Spec {
-    /// A search with one safeguard taken `out`, or none.
-    pub fn new(writes: u8, out: Option<Safeguard>) -> Result<Self, Invalid> {
+    /// Creates a specification with one safeguard `disabled` or none.
+    pub fn new(writes: u8, disabled: Option<Safeguard>) -> Result<Self, Invalid> {
         Ok(Self {
             session: "broker".parse()?,
             vms: ["vm1".parse()?, "vm3".parse()?],
             writes,
-            out,
+            disabled,
         })
     }
 
-    fn kept(&self, safeguard: Safeguard) -> bool {
-        self.out != Some(safeguard)
+    fn enforces(&self, safeguard: Safeguard) -> bool {
+        self.disabled != Some(safeguard)
     }
 
-    /// The first steward leads, and nobody has asked.
+    /// The initial state: the first steward leads, and no lease is requested.
     pub fn start(&self) -> State {
         let first = Steward {
             leads: true,
@@ -178,11 +178,11 @@
         };
         State {
             stewards: [first, Steward::default()],
-            opens: None,
-            asked: None,
+            opens_in: None,
+            question: None,
             grant: None,
-            revoke: None,
-            revoked: None,
+            revocation: None,
+            release: None,
             lease: None,
             written: 0,
             acknowledged: 0,
@@ -195,7 +195,7 @@
         search(self.start(), limit, |s| self.next(s), |s| s.broken)
     }
 
-    /// The real memory of a steward, rebuilt.
+    /// Rebuilds the production session state of a steward.
     fn sessions(&self, steward: &Steward) -> Sessions {
         let mut sessions = Sessions::new(position(steward.horizon));
         let [own, other] = &self.vms;
@@ -212,27 +212,27 @@
         sessions
     }
 
-    /// The steps out of `state`.
+    /// Returns all steps from `state`.
     pub fn next(&self, state: &State) -> Vec<Step<State, Event>> {
         let mut steps = Vec::new();
-        let mut take = |event, next: Option<State>| {
+        let mut add = |event, next: Option<State>| {
             steps.extend(next.map(|state| Step { event, state }));
         };
-        take(Event::Tick, self.tick(state));
+        add(Event::Tick, self.tick(state));
         for s in 0..state.stewards.len() {
-            take(Event::Ask(s), self.ask(state, s));
-            take(Event::Grant(s), self.grant(state, s));
-            take(Event::Confirm(s), self.confirm(state, s));
-            take(Event::Write(s), self.write(state, s));
-            take(Event::Revoke(s), self.revoke(state, s));
-            take(Event::Revoked(s), self.revoked(state, s));
-            take(Event::Acknowledge(s), self.acknowledge(state, s));
+            add(Event::Ask(s), self.ask(state, s));
+            add(Event::Grant(s), self.grant(state, s));
+            add(Event::Confirm(s), self.confirm(state, s));
+            add(Event::Write(s), self.write(state, s));
+            add(Event::Release(s), self.release(state, s));
+            add(Event::ReceiveRelease(s), self.receive_release(state, s));
+            add(Event::Acknowledge(s), self.acknowledge(state, s));
         }
-        take(Event::Hear, self.hear(state));
-        take(Event::Raise, self.raise(state));
-        take(Event::Yield, self.hand_over(state));
-        take(Event::Open, self.open(state));
-        take(Event::Read, self.read(state));
+        add(Event::Receive, self.receive(state));
+        add(Event::Raise, self.raise(state));
+        add(Event::Yield, self.hand_over(state));
+        add(Event::Open, self.open(state));
+        add(Event::Read, self.read(state));
         steps
     }
 
@@ -240,26 +240,26 @@
         let mut next = state.clone();
         for steward in &mut next.stewards {
             steward.confirmed = steward.confirmed.saturating_sub(1);
-            steward.lease = steward.lease.and_then(Grant::older);
+            steward.lease = steward.lease.and_then(Grant::after_tick);
         }
-        next.opens = next.opens.map(|left| left.saturating_sub(1));
-        next.asked = next.asked.map(|(age, s)| (WINDOW.min(age + 1), s));
+        next.opens_in = next.opens_in.map(|left| left.saturating_sub(1));
+        next.question = next.question.map(|(age, s)| (WINDOW.min(age + 1), s));
         next.grant = next.grant.map(|(grant, age)| (grant, WINDOW.min(age + 1)));
-        next.lease = next.lease.and_then(Grant::older);
+        next.lease = next.lease.and_then(Grant::after_tick);
         (next != *state).then_some(next)
     }
 
     fn ask(&self, state: &State, s: usize) -> Option<State> {
         let mut next = state.clone();
-        next.asked = Some((0, s));
+        next.question = Some((0, s));
         next.grant = None;
-        (state.asked.is_none() && state.stewards[s].leads).then_some(next)
+        (state.question.is_none() && state.stewards[s].leads).then_some(next)
     }
 
     fn grant(&self, state: &State, s: usize) -> Option<State> {
-        let (age, asked) = state.asked?;
+        let (age, asked) = state.question?;
         let steward = state.stewards[s];
-        let span = match self.kept(Safeguard::WithinConfirmations) {
+        let span = match self.enforces(Safeguard::WithinConfirmations) {
             true => steward.confirmed,
             false => WINDOW,
         };
@@ -277,24 +277,24 @@
         Some(next)
     }
 
-    fn hear(&self, state: &State) -> Option<State> {
+    fn receive(&self, state: &State) -> Option<State> {
         let (grant, age) = state.grant?;
         let mut next = state.clone();
         next.grant = None;
-        let asked = next.asked.take().is_some();
-        let age = match self.kept(Safeguard::FromQuestion) {
+        let asked = next.question.take().is_some();
+        let age = match self.enforces(Safeguard::FromQuestion) {
             true => age,
             false => 0,
         };
         let span = grant.span.saturating_sub(age);
-        let used = asked || !self.kept(Safeguard::StaleGrant);
+        let used = asked || !self.enforces(Safeguard::StaleGrant);
         next.lease = (used && span > 0).then_some(Grant { span, ..grant });
         Some(next)
     }
 
-    /// Only a term that no majority was raised over is confirmed.
+    /// A term is confirmed only while no majority is raised to a newer one.
     fn confirm(&self, state: &State, s: usize) -> Option<State> {
-        let current = s == 1 || state.opens.is_none();
+        let current = s == 1 || state.opens_in.is_none();
         let mut next = state.clone();
         next.stewards[s].confirmed = WINDOW;
         (state.stewards[s].leads && current && next != *state).then_some(next)
@@ -302,9 +302,9 @@
 
     fn write(&self, state: &State, s: usize) -> Option<State> {
         let steward = state.stewards[s];
-        let current = s == 1 || state.opens.is_none();
-        let may = steward.leads && current && steward.pending.is_none();
-        if !may || state.written == self.writes {
+        let current = s == 1 || state.opens_in.is_none();
+        let allowed = steward.leads && current && steward.pending.is_none();
+        if !allowed || state.written == self.writes {
             return None;
         }
         let mut next = state.clone();
@@ -315,28 +315,28 @@
         next.stewards[s].floor = next.written;
         next.stewards[s].pending = Some(next.written);
         if !holders.is_empty() {
-            next.revoke = Some((s, next.written));
+            next.revocation = Some((s, next.written));
         }
         Some(next)
     }
 
-    fn revoke(&self, state: &State, s: usize) -> Option<State> {
-        let (_, write) = state.revoke.filter(|(by, _)| *by == s)?;
+    fn release(&self, state: &State, s: usize) -> Option<State> {
+        let (_, write) = state.revocation.filter(|(by, _)| *by == s)?;
         let mut next = state.clone();
-        next.revoke = None;
-        next.revoked = Some((s, write));
+        next.revocation = None;
+        next.release = Some((s, write));
         next.lease = None;
-        if self.kept(Safeguard::StaleGrant) {
-            next.asked = None;
+        if self.enforces(Safeguard::StaleGrant) {
+            next.question = None;
         }
         Some(next)
     }
 
-    fn revoked(&self, state: &State, s: usize) -> Option<State> {
-        let (_, write) = state.revoked.filter(|(by, _)| *by == s)?;
+    fn receive_release(&self, state: &State, s: usize) -> Option<State> {
+        let (_, write) = state.release.filter(|(by, _)| *by == s)?;
         let mut next = state.clone();
-        next.revoked = None;
-        let floor = match self.kept(Safeguard::LateRelease) {
+        next.release = None;
+        let floor = match self.enforces(Safeguard::LateRelease) {
             true => position(write),
             false => position(u8::MAX),
         };
@@ -351,7 +351,7 @@
     fn acknowledge(&self, state: &State, s: usize) -> Option<State> {
         let steward = state.stewards[s];
         let write = steward.pending?;
-        let free = steward.lease.is_none() || !self.kept(Safeguard::Revoke);
+        let free = steward.lease.is_none() || !self.enforces(Safeguard::Revoke);
         if !free || steward.confirmed == 0 || !steward.leads {
             return None;
         }
@@ -363,29 +363,29 @@
 
     fn raise(&self, state: &State) -> Option<State> {
         let mut next = state.clone();
-        next.opens = Some(WINDOW);
-        state.opens.is_none().then_some(next)
+        next.opens_in = Some(WINDOW);
+        state.opens_in.is_none().then_some(next)
     }
 
     fn hand_over(&self, state: &State) -> Option<State> {
         let first = state.stewards[0];
-        let free = first.lease.is_none() || !self.kept(Safeguard::LeasesBeforeYield);
-        if !first.leads || !free || state.opens.is_some() {
+        let free = first.lease.is_none() || !self.enforces(Safeguard::LeasesBeforeYield);
+        if !first.leads || !free || state.opens_in.is_some() {
             return None;
         }
         let mut next = state.clone();
         next.stewards[0].leads = false;
-        next.opens = Some(0);
+        next.opens_in = Some(0);
         Some(next)
     }
 
     fn open(&self, state: &State) -> Option<State> {
-        if state.opens != Some(0) || state.stewards[1].leads {
+        if state.opens_in != Some(0) || state.stewards[1].leads {
             return None;
         }
         let mut next = state.clone();
         next.stewards[1].leads = true;
-        if self.kept(Safeguard::Horizon) {
+        if self.enforces(Safeguard::Horizon) {
             next.stewards[1].horizon = state.written;
         }
         Some(next)
@@ -394,7 +394,7 @@
     fn read(&self, state: &State) -> Option<State> {
         let lease = state.lease?;
         let mut next = state.clone();
-        next.broken = (lease.floor < state.acknowledged).then_some(STALE);
+        next.broken = (lease.floor < state.acknowledged).then_some(STALE_READ);
         next.broken.is_some().then_some(next)
     }
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,8 +1,8 @@
-//! The core protocol as small specifications, searched exhaustively.
+//! Model checking of the core protocol: small specifications, searched exhaustively.
 //!
-//! Each specification runs the real transition functions of `core` between processes that may
-//! stop, restart and lose messages at any point. Each of its safeguards can be taken out; the
-//! search then has to find how the property breaks.
+//! Each specification runs the production transition functions between simulated processes that may
+//! stop, restart and lose messages at any point. Each safeguard of the protocol can be disabled; the
+//! search then has to find how a property breaks.
 
 pub mod ages;
 pub mod floors;
--- a/src/model/outcomes.rs
+++ b/src/model/outcomes.rs
@@ -1,93 +1,94 @@
-//! One booking's way from its entry through a holder to a database, and what its caller is told.
+//! A booking, which is one write, sent from its entry through a holder to a database, and the
+//! outcome reported to its caller.
 //!
-//! Streams and connections may break at any point, with what they carried or without; answers
-//! may be lost after their effect. The rules are those of `core::entry`, `core::holder` and
-//! `net::target`, which scenarios and random schedules run for real.
+//! Streams and connections may break at any point, before or after delivery; an answer may be lost
+//! after the work took effect. The rules are those of `core::entry`, `core::holder` and
+//! `net::target`, whose own code is tested by scenarios and random schedules.
 
 use crate::model::search::{Report, Step, search};
 use std::fmt;
 
-/// A rule that keeps what a caller is told true; one can be taken out.
+/// A rule that keeps the reported outcome correct; a search can disable one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Safeguard {
-    /// What was sent to a holder that is lost is told as unknown, not as not run.
+    /// Work sent to a holder that was then lost is reported as unknown, not as not run.
     UnknownOnceSent,
-    /// What was sent is sent again only under a request key.
+    /// Work that was sent is retried only under a request key.
     KeyForRetry,
     /// The key is written in the same transaction as the work.
     OneTransaction,
-    /// Work that its holder turned away is not run later.
+    /// Work that its holder rejected is not run later.
     TurnedAwayIsGone,
 }
 
-/// The specification: a booking with a request key, or without.
+/// The specification of a booking with or without a request key.
 #[derive(Debug, Clone, Copy)]
 pub struct Spec {
     keyed: bool,
     tries: u8,
-    out: Option<Safeguard>,
+    disabled: Option<Safeguard>,
 }
 
-/// Where one try of the booking is.
+/// The stage that one try of the booking has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Place {
-    /// On its way to the holder.
+enum Stage {
+    /// In flight to the holder.
     Sent,
     /// In the holder's queue.
     Queued,
-    /// On its way to the database.
+    /// In flight to the database.
     Issued,
-    /// The work ran, and its key is not written yet.
-    Half,
-    /// It ran, or its key was found: the answer is on its way.
+    /// The work ran, but its key is not written yet.
+    KeyPending,
+    /// It ran, or its key was found; the answer is in flight.
     Answered,
-    /// The holder turned it away: that answer is on its way.
-    TurnedAway,
+    /// The holder rejected it; that answer is in flight.
+    Rejected,
 }
 
-/// What a caller was told.
+/// The outcome reported to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Told {
+enum Outcome {
     Done,
     NotRun,
     Unknown,
 }
 
-/// A state of the booking's tries, the log, and its caller.
+/// A state of the booking's tries, the log and the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The tries that are still somewhere; the entry listens to the last one sent.
-    tries: Vec<(u8, Place)>,
+    /// Tries in progress, by number; the entry accepts an answer only to the last one sent.
+    tries: Vec<(u8, Stage)>,
     sent: u8,
-    /// How often the booking is in the log, and whether its key is.
+    /// How often the booking is in the log, and whether its key is written.
     log: u8,
     key: bool,
-    told: Option<Told>,
+    outcome: Option<Outcome>,
 }
 
-/// What happens in one step, to a try of a number.
+/// An event, with the number of the try.
 #[derive(Debug, Clone, Copy)]
 pub enum Event {
     /// The entry sends the booking.
     Send(u8),
-    /// It arrives at the holder.
+    /// The try arrives at the holder.
     Arrive(u8),
-    /// The holder turns it away.
-    TurnAway(u8),
-    /// The holder hands it to a connection.
+    /// The holder rejects the try.
+    Reject(u8),
+    /// The holder sends the try on a database connection.
     Issue(u8),
-    /// The database runs it.
+    /// The database runs the try.
     Run(u8),
-    /// The database writes its key.
+    /// The database writes the try's key.
     WriteKey(u8),
-    /// The database finds its key and gives the first answer.
+    /// The database finds the key and returns the first try's answer.
     FindKey(u8),
-    /// What carries it breaks.
+    /// The stream or connection that carries the try breaks.
     Lose(u8),
-    /// The entry hears the answer.
-    Hear(u8),
-    /// The entry sees its stream break, or its deadline pass.
-    GiveUp(u8),
+    /// The entry receives the answer.
+    Receive(u8),
+    /// The entry's stream breaks, or its deadline passes.
+    Abandon(u8),
 }
 
 impl fmt::Display for Event {
@@ -95,43 +96,47 @@
         match self {
             Event::Send(n) => write!(f, "the entry sends try {n}"),
             Event::Arrive(n) => write!(f, "try {n} arrives at the holder"),
-            Event::TurnAway(n) => write!(f, "the holder turns try {n} away"),
+            Event::Reject(n) => write!(f, "the holder turns try {n} away"),
             Event::Issue(n) => write!(f, "the holder issues try {n}"),
             Event::Run(n) => write!(f, "the database runs try {n}"),
             Event::WriteKey(n) => write!(f, "the database writes the key of try {n}"),
             Event::FindKey(n) => write!(f, "the database finds the key of try {n}"),
             Event::Lose(n) => write!(f, "try {n} is lost with its connection"),
-            Event::Hear(n) => write!(f, "the entry hears of try {n}"),
-            Event::GiveUp(n) => write!(f, "the entry loses sight of try {n}"),
+            Event::Receive(n) => write!(f, "the entry hears of try {n}"),
+            Event::Abandon(n) => write!(f, "the entry loses sight of try {n}"),
         }
     }
 }
 
 /// The booking is in the log twice.
-pub const DOUBLED: &str = "a booking was run twice";
-/// The caller was told that nothing was run.
-pub const RAN: &str = "a booking was told not run, and it ran";
-/// The caller was told that it is done.
-pub const MISSING: &str = "a booking was told done, and it did not run";
+pub const DUPLICATE: &str = "a booking was run twice";
+/// The caller was told that the booking did not run, but it ran.
+pub const FALSE_NOT_RUN: &str = "a booking was told not run, and it ran";
+/// The caller was told that the booking is done, but it did not run.
+pub const FALSE_DONE: &str = "a booking was told done, and it did not run";
 
 impl Spec {
-    /// A search of a booking that is sent up to `tries` times.
-    pub fn new(keyed: bool, tries: u8, out: Option<Safeguard>) -> Self {
-        Self { keyed, tries, out }
+    /// Creates a specification of a booking sent up to `tries` times, with one safeguard `disabled` or none.
+    pub fn new(keyed: bool, tries: u8, disabled: Option<Safeguard>) -> Self {
+        Self {
+            keyed,
+            tries,
+            disabled,
+        }
     }
 
-    fn kept(&self, safeguard: Safeguard) -> bool {
-        self.out != Some(safeguard)
+    fn enforces(&self, safeguard: Safeguard) -> bool {
+        self.disabled != Some(safeguard)
     }
 
-    /// Nothing has been sent.
+    /// The initial state: nothing has been sent.
     pub fn start(&self) -> State {
         State {
             tries: Vec::new(),
             sent: 0,
             log: 0,
             key: false,
-            told: None,
+            outcome: None,
         }
     }
 
@@ -140,106 +145,106 @@
         search(self.start(), limit, |s| self.next(s), broken)
     }
 
-    /// The steps out of `state`.
+    /// Returns all steps from `state`.
     pub fn next(&self, state: &State) -> Vec<Step<State, Event>> {
         let mut steps = Vec::new();
-        let mut take = |event, state| steps.push(Step { event, state });
+        let mut add = |event, state| steps.push(Step { event, state });
         if state.sent == 0 {
-            take(Event::Send(1), sent(state));
+            add(Event::Send(1), send(state));
         }
-        for (index, &(number, place)) in state.tries.iter().enumerate() {
-            let moved = |to: Place| {
+        for (index, &(number, stage)) in state.tries.iter().enumerate() {
+            let advanced = |to: Stage| {
                 let mut next = state.clone();
                 next.tries[index].1 = to;
                 next
             };
-            let mut gone = state.clone();
-            gone.tries.remove(index);
-            let listens = number == state.sent && state.told.is_none();
-            match place {
-                Place::Sent => take(Event::Arrive(number), moved(Place::Queued)),
-                Place::Queued => {
-                    take(Event::TurnAway(number), moved(Place::TurnedAway));
-                    take(Event::Issue(number), moved(Place::Issued));
+            let mut removed = state.clone();
+            removed.tries.remove(index);
+            let awaited = number == state.sent && state.outcome.is_none();
+            match stage {
+                Stage::Sent => add(Event::Arrive(number), advanced(Stage::Queued)),
+                Stage::Queued => {
+                    add(Event::Reject(number), advanced(Stage::Rejected));
+                    add(Event::Issue(number), advanced(Stage::Issued));
                 }
-                Place::Issued if self.keyed && state.key => {
-                    take(Event::FindKey(number), moved(Place::Answered));
+                Stage::Issued if self.keyed && state.key => {
+                    add(Event::FindKey(number), advanced(Stage::Answered));
                 }
-                Place::Issued => {
-                    let whole = self.kept(Safeguard::OneTransaction);
-                    let mut next = moved(match self.keyed && !whole {
-                        true => Place::Half,
-                        false => Place::Answered,
+                Stage::Issued => {
+                    let one_transaction = self.enforces(Safeguard::OneTransaction);
+                    let mut next = advanced(match self.keyed && !one_transaction {
+                        true => Stage::KeyPending,
+                        false => Stage::Answered,
                     });
                     next.log += 1;
-                    next.key = self.keyed && whole;
-                    take(Event::Run(number), next);
+                    next.key = self.keyed && one_transaction;
+                    add(Event::Run(number), next);
                 }
-                Place::Half => {
-                    let mut next = moved(Place::Answered);
+                Stage::KeyPending => {
+                    let mut next = advanced(Stage::Answered);
                     next.key = true;
-                    take(Event::WriteKey(number), next);
+                    add(Event::WriteKey(number), next);
                 }
-                Place::Answered if listens => {
-                    let mut next = gone.clone();
-                    next.told = Some(Told::Done);
-                    take(Event::Hear(number), next);
+                Stage::Answered if awaited => {
+                    let mut next = removed.clone();
+                    next.outcome = Some(Outcome::Done);
+                    add(Event::Receive(number), next);
                 }
-                Place::TurnedAway => {
-                    if listens {
-                        let mut next = gone.clone();
-                        next.told = Some(Told::NotRun);
+                Stage::Rejected => {
+                    if awaited {
+                        let mut next = removed.clone();
+                        next.outcome = Some(Outcome::NotRun);
                         if state.sent > 1 {
                             // An earlier try may still run.
-                            next.told = Some(Told::Unknown);
+                            next.outcome = Some(Outcome::Unknown);
                         }
-                        take(Event::Hear(number), next);
+                        add(Event::Receive(number), next);
                     }
-                    if !self.kept(Safeguard::TurnedAwayIsGone) {
+                    if !self.enforces(Safeguard::TurnedAwayIsGone) {
                         let mut next = state.clone();
-                        next.tries.push((number, Place::Issued));
+                        next.tries.push((number, Stage::Issued));
                         next.tries.sort_unstable();
                         next.tries.dedup();
-                        take(Event::Issue(number), next);
+                        add(Event::Issue(number), next);
                     }
                 }
-                Place::Answered => {}
+                Stage::Answered => {}
             }
-            take(Event::Lose(number), gone);
+            add(Event::Lose(number), removed);
         }
-        if state.sent > 0 && state.told.is_none() {
-            take(Event::GiveUp(state.sent), self.give_up(state));
+        if state.sent > 0 && state.outcome.is_none() {
+            add(Event::Abandon(state.sent), self.abandon(state));
         }
         steps
     }
 
-    /// The entry can't know how far its last try came.
-    fn give_up(&self, state: &State) -> State {
-        let again = self.keyed || !self.kept(Safeguard::KeyForRetry);
+    /// Abandons the last try, whose progress the entry can't know: retries, or reports an outcome.
+    fn abandon(&self, state: &State) -> State {
+        let again = self.keyed || !self.enforces(Safeguard::KeyForRetry);
         if again && state.sent < self.tries {
-            return sent(state);
+            return send(state);
         }
         let mut next = state.clone();
-        next.told = Some(match self.kept(Safeguard::UnknownOnceSent) {
-            true => Told::Unknown,
-            false => Told::NotRun,
+        next.outcome = Some(match self.enforces(Safeguard::UnknownOnceSent) {
+            true => Outcome::Unknown,
+            false => Outcome::NotRun,
         });
         next
     }
 }
 
-fn sent(state: &State) -> State {
+fn send(state: &State) -> State {
     let mut next = state.clone();
     next.sent += 1;
-    next.tries.push((next.sent, Place::Sent));
+    next.tries.push((next.sent, Stage::Sent));
     next
 }
 
 fn broken(state: &State) -> Option<&'static str> {
-    match (state.told, state.log) {
-        (_, 2..) => Some(DOUBLED),
-        (Some(Told::NotRun), 1) => Some(RAN),
-        (Some(Told::Done), 0) => Some(MISSING),
+    match (state.outcome, state.log) {
+        (_, 2..) => Some(DUPLICATE),
+        (Some(Outcome::NotRun), 1) => Some(FALSE_NOT_RUN),
+        (Some(Outcome::Done), 0) => Some(FALSE_DONE),
         _ => None,
     }
 }
--- a/src/model/search.rs
+++ b/src/model/search.rs
@@ -1,38 +1,38 @@
 //! Exhaustive breadth-first search over the states of a small specification.
 //!
-//! The first broken state found is one of the nearest, so its trace is as short as any.
+//! Breadth-first order makes the trace to a broken property one of the shortest.
 
 use pathfinding::directed::bfs::bfs;
 use std::cell::Cell;
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-/// A state that a specification may go to, and the event that leads there.
+/// A transition: an event and the state after it.
 #[derive(Debug, Clone)]
 pub struct Step<S, E> {
-    /// What happens.
+    /// The event.
     pub event: E,
-    /// The state after it.
+    /// The state after the event.
     pub state: S,
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// How many different states were looked at.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// The most events between the start and a state that was looked at.
+    /// The most events between the start and a visited state.
     pub depth: usize,
-    /// Whether the search ended because nothing was left, and not at its depth limit.
+    /// Whether all reachable states were visited, without stopping at the depth limit.
     pub complete: bool,
-    /// The shortest way to a broken property, if there is one.
+    /// A shortest trace to a broken property, if one was found.
     pub trace: Option<Trace>,
 }
 
 /// The events that lead from the start to a broken property.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Trace {
-    /// The property.
+    /// The description of the broken property.
     pub broken: &'static str,
     /// The events, first to last.
     pub events: Vec<Box<str>>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// A state with the way it was reached; two are the same if their states are.
+/// A state with its last event and depth; compared and hashed by the state alone.
 #[derive(Debug, Clone)]
 struct Node<S, E> {
     state: S,
@@ -71,7 +71,7 @@
 
 /// Searches all states within `limit` events of `start`.
 ///
-/// `next` lists the steps out of a state; `broken` names the property that a state breaks.
+/// `next` returns the steps from a state; `broken` returns the property that a state breaks.
 pub fn search<S, E>(
     start: S,
     limit: usize,
@@ -89,24 +89,24 @@
     };
     let states = Cell::new(0);
     let depth = Cell::new(0);
-    let cut = Cell::new(false);
+    let truncated = Cell::new(false);
     let successors = |node: &Node<S, E>| {
         states.set(states.get() + 1);
         depth.set(node.depth);
-        let inside = node.depth < limit;
-        if !inside && cut.get() {
+        let within_limit = node.depth < limit;
+        if !within_limit && truncated.get() {
             return Vec::new();
         }
         let steps = next(&node.state);
-        cut.set(cut.get() || (!inside && !steps.is_empty()));
-        let below = node.depth + 1;
+        truncated.set(truncated.get() || (!within_limit && !steps.is_empty()));
+        let next_depth = node.depth + 1;
         steps
             .into_iter()
-            .take_while(move |_| inside)
+            .take_while(move |_| within_limit)
             .map(move |step| Node {
                 state: step.state,
                 event: Some(step.event),
-                depth: below,
+                depth: next_depth,
             })
             .collect::<Vec<_>>()
     };
@@ -122,7 +122,7 @@
     Report {
         states: states.get(),
         depth: depth.get() + usize::from(trace.is_some()),
-        complete: trace.is_none() && !cut.get(),
+        complete: trace.is_none() && !truncated.get(),
         trace,
     }
 }
