--- a/src/model/leads.rs
+++ b/src/model/leads.rs
@@ -1,20 +1,19 @@
-//! How each VM knows who leads, and how a primary is replaced, as a specification to search.
+//! Specification of leases on a group's primary, and of how a primary is replaced.
 //!
-//! Some VMs, of which two may be steward, the rows in the store, one group of three databases, and
-//! the platform that is ordered to promote. What a VM believes is the real `direct::lead::Book`.
-//! Nothing at a database fences anyone: a replaced primary goes on for ever.
+//! It has up to three VMs, of which two may be steward, the rows in the store, one group of three
+//! databases, and the platform that carries out promotions. A VM's leases are held by the production
+//! code of `direct::lead`. Databases fence nobody: a replaced primary goes on working for ever.
 //!
-//! Leases are those of one reading, of [`lead::TERM`](crate::direct::lead::TERM); that they go on by
-//! the word of other VMs is searched in [`vouch`](crate::model::vouch).
+//! A lease comes from one reading of the rows and lasts [`lead::TERM`](crate::direct::lead::TERM).
+//! Its extension by a quorum of other VMs is specified in [`vouch`](crate::model::vouch).
 //!
-//! A step that does not happen was lost, cut off, or asleep, so loss, delay, partition and pause
-//! need no event of their own. The end of a process, a write that the store does long after it was
-//! given up, and a clock that misses a pause have theirs. An order leaves in the same step in which
-//! the clock was looked at: a pause between the two is beyond what any clock can guard against,
-//! where the platform checks no token.
+//! Any step may fail to happen, so loss, delay, partition and pause need no event of their own.
+//! The end of a process, a write that the store applies after its sender abandoned it, and a clock
+//! that misses a pause have one. An order is sent in the same step in which the clock is read: no
+//! clock guards against a pause between the two if the platform checks no token.
 
-mod belief;
 mod event;
+mod lease;
 mod steward;
 mod store;
 mod vm;
@@ -23,94 +22,95 @@
 use crate::types::{DatabaseId, GroupId, Invalid};
 pub use event::Event;
 use store::{Age, DutyRow, LeadRow, MemberRow, Rows, Write};
-use vm::{Intent, Members, Notes, Vm, Watch, older};
+use vm::{Intent, Members, Reading, Vm, Watch, increment};
 
 const VMS: usize = 3;
-/// The VMs that may be steward.
+/// Number of VMs that may be steward.
 const CANDIDATES: usize = 2;
 const DATABASES: [&str; 3] = ["a", "b", "c"];
-/// How long a lease is without the word of other VMs, in ticks.
-const LEASE: Age = 2;
-/// How long a renewal of the duty counts, in ticks.
-const DUTY: Age = 1;
-/// A rule that keeps a property; the search can be run with one of them taken out.
+/// Length of a lease that no peers extend, in ticks.
+const LEASE_TICKS: Age = 2;
+/// How long a renewal of the duty is valid, in ticks.
+const DUTY_TICKS: Age = 1;
+
+/// A rule that a property depends on; a search can disable one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Safeguard {
-    /// A reading counts from when it was asked, not from its answer.
+    /// A reading's age counts from the question, not from its answer.
     AskedTime,
-    /// What the steward tells counts from when it was asked, so that time on the way is in it.
+    /// The age of a steward's update counts from the reading, and includes the time in flight.
     ToldAge,
     /// The clock counts pauses.
     PauseCounted,
-    /// The lease is looked at again after the database's answer was read.
+    /// The lease is checked again after the database's answer was read.
     CheckAfter,
-    /// A reading is a lease only for a VM whose row it shows.
+    /// A reading gives a lease only to a VM whose row it shows.
     RowInReading,
-    /// The steward tells a VM only what shows that VM's row.
+    /// The steward sends a VM only readings that show that VM's row.
     RowInNews,
     /// The steward reads the VMs' rows after its intent is written.
     RowsAfterIntent,
-    /// A VM that drops an epoch says so.
+    /// A VM that confirms the drop of an epoch has dropped it.
     DropConfirmed,
-    /// A drop counts also for a VM that has read nothing yet.
+    /// A drop also takes effect at a VM that has read nothing yet.
     DropBeforeReading,
-    /// A VM that does not answer is waited for.
+    /// The steward waits until the lease of a VM that does not answer has expired.
     WaitOut,
-    /// The wait counts from the answer to the intent, not from when that was asked.
+    /// The wait counts from the answer to the write of the intent, not from its request.
     WaitFromAnswer,
-    /// The wait counts from the intent, not from when the VM last spoke to the steward.
+    /// The wait counts from the intent, not from the VM's last contact with the steward.
     WaitFromIntent,
-    /// A new steward waits anew.
+    /// A new steward starts the wait again.
     WaitAgain,
-    /// A newer epoch is never gone back from.
+    /// A VM never goes back to an older epoch.
     NeverBack,
     /// The order follows a renewal of the duty.
     RenewBeforeOrder,
-    /// The renewal counts from when it was asked, not from its answer.
+    /// The renewal counts from its request, not from its answer.
     RenewalAsked,
-    /// An order that has not arrived by its deadline is reset.
+    /// An order that has not arrived by its deadline is cancelled.
     Deadline,
-    /// The end of a process resets its order.
+    /// The end of a process cancels its order.
     EndResets,
-    /// The duty is taken over only from a holder that has ended, or whose row has not changed.
+    /// The duty is taken over only from a holder that has ended, or whose row has stayed unchanged.
     TakeOverWaits,
     /// The duty's row changes by compare-and-set.
     CompareAndSet,
     /// The fencing token rises when the duty is taken over.
     TokenRises,
-    /// Who offered the duty renews it before the next order.
+    /// A steward that has offered its duty renews it before its next order.
     OfferEnds,
-    /// Who is offered the duty takes it only as it was then.
+    /// An offered duty is taken over only if its row is unchanged since the offer.
     OfferCompared,
-    /// The new primary is named only by who still has the duty.
+    /// The new primary is published only by the VM that still holds the duty.
     PublishUnderDuty,
-    /// A row is removed only as it was.
+    /// A row is removed only if its version is unchanged.
     RemoveCompared,
-    /// A row is removed, or passed over, only once a lease is over since it was marked.
+    /// A row is removed, or ignored, only a lease's length after it was marked as evicted.
     EvictionWaits,
 }
 
 /// The bounds of a search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Scope {
-    /// How many VMs there are.
+    /// Number of VMs.
     pub vms: usize,
-    /// How many of them have a row and a lease at the start.
+    /// Number of VMs that have a row and a lease at the start.
     pub known: usize,
-    /// How often the primary is replaced.
+    /// Maximum number of changes of primary.
     pub changes: u8,
-    /// The highest token.
+    /// The highest fencing token.
     pub tokens: u8,
-    /// How often the duty's row is written.
+    /// Maximum number of writes of the duty's row.
     pub renewals: u8,
-    /// How many processes may end and start again.
+    /// Maximum number of process restarts.
     pub restarts: u8,
-    /// How many writes may be done after they were given up.
+    /// Maximum number of abandoned writes that are applied late.
     pub late: u8,
-    /// How many rows the steward may mark.
+    /// Maximum number of rows that the steward marks as evicted.
     pub evictions: u8,
-    /// Whether to start where the steward's order was just done, all VMs having dropped the epoch,
-    /// and another VM has long seen the duty's row unchanged.
+    /// Whether to start right after the platform carried out the steward's order, where all VMs have
+    /// dropped the epoch and another VM has long seen the duty's row unchanged.
     pub ordered: bool,
 }
 
@@ -118,19 +118,19 @@
 #[derive(Debug, Clone)]
 pub struct Spec {
     scope: Scope,
-    out: Option<Safeguard>,
+    disabled: Option<Safeguard>,
     group: GroupId,
     databases: [DatabaseId; DATABASES.len()],
 }
 
-/// An order to promote that has not arrived.
+/// A promotion order in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Order {
     vm: u8,
     life: u8,
     token: u8,
     database: u8,
-    /// Since the renewal under which it was given was asked.
+    /// Ticks since the request of the renewal under which the order was given.
     age: Age,
 }
 
@@ -140,47 +140,47 @@
     rows: Rows,
     vms: [Vm; VMS],
     orders: Vec<Order>,
-    /// Writes that were given up and are not done.
+    /// Abandoned writes that are not applied yet.
     late: Vec<Write>,
-    /// Who leads, as the platform has it.
+    /// The primary according to the platform.
     leader: u8,
-    /// The highest token that the platform has seen, with its holder and that one's life.
-    seen: (u8, u8, u8),
+    /// Token, holder and life of the last order that arrived; at first those of the first steward.
+    last_order: (u8, u8, u8),
     restarts: u8,
-    lates: u8,
+    late_left: u8,
     evictions: u8,
     broken: Option<&'static str>,
 }
 
-/// A write is acknowledged, or a read passed on, by way of a primary that was replaced.
+/// A write is acknowledged, or a read returned, from a primary that was replaced.
 pub const REPLACED: &str = "a replaced primary is acted on";
 /// Two holders have the same token.
-pub const SHARED: &str = "two holders share a token";
-/// The platform sees a lower token than it has seen.
-pub const LOWER: &str = "the platform sees a lower token after a higher one";
-/// A holder orders a promotion while another has the duty.
-pub const TURN: &str = "a holder promotes within the other's term";
-/// Not a fault: the last change of primary within the scope is over, and all VMs know.
-pub const CHANGED: &str = "all VMs have a lease on the last primary";
+pub const SHARED_TOKEN: &str = "two holders share a token";
+/// The platform receives a token lower than an earlier one.
+pub const LOWER_TOKEN: &str = "the platform sees a lower token after a higher one";
+/// A holder orders a promotion while another VM holds the duty.
+pub const OUTSIDE_DUTY: &str = "a holder promotes within the other's term";
+/// Not a fault: the last change of primary within the scope is complete, and all VMs hold a lease.
+pub const CHANGE_COMPLETE: &str = "all VMs have a lease on the last primary";
 
 impl Spec {
-    /// A search within `scope`, with one safeguard taken `out`, or none.
-    pub fn new(scope: Scope, out: Option<Safeguard>) -> Result<Self, Invalid> {
+    /// Creates a specification bounded by `scope`, with one safeguard `disabled` or none.
+    pub fn new(scope: Scope, disabled: Option<Safeguard>) -> Result<Self, Invalid> {
         let [a, b, c] = DATABASES;
         Ok(Self {
             scope,
-            out,
+            disabled,
             group: "ledger".parse()?,
             databases: [a.parse()?, b.parse()?, c.parse()?],
         })
     }
 
-    fn kept(&self, safeguard: Safeguard) -> bool {
-        self.out != Some(safeguard)
+    fn enforces(&self, safeguard: Safeguard) -> bool {
+        self.disabled != Some(safeguard)
     }
 
-    /// The first VM is steward, and those that are known have just read that the first database
-    /// leads.
+    /// The initial state: the first VM is steward, and the first `known` VMs have just read that the
+    /// first database leads.
     pub fn start(&self) -> State {
         let lead = LeadRow {
             epoch: 1,
@@ -207,23 +207,23 @@
                 life: 0,
                 evicted: false,
             });
-            vm.began = lead.epoch;
-            vm.notes = Some(Notes {
+            vm.leased_epoch = lead.epoch;
+            vm.reading = Some(Reading {
                 lead,
                 age: 0,
                 shows: (1 << known) - 1,
             });
         }
-        vms[0].duty = Some(self.duty(1, 1, LEASE));
+        vms[0].duty = Some(self.duty(1, 1, LEASE_TICKS));
         let state = State {
             rows,
             vms,
             orders: Vec::new(),
             late: Vec::new(),
             leader: 0,
-            seen: (1, 0, 0),
+            last_order: (1, 0, 0),
             restarts: self.scope.restarts,
-            lates: self.scope.late,
+            late_left: self.scope.late,
             evictions: self.scope.evictions,
             broken: None,
         };
@@ -239,73 +239,73 @@
         search(self.start(), limit, next, |state| state.broken)
     }
 
-    /// Searches for the end of the last change of primary, which has to be reached.
+    /// Searches for the end of the last change of primary, which has to be reachable.
     pub fn search_change(&self, limit: usize) -> Report {
         let last = self.scope.changes + 1;
         let next = |state: &State| self.next(state);
         search(self.start(), limit, next, |state| {
             let holds = |vm: &Vm| self.lease(vm).is_some_and(|(epoch, _)| epoch == last);
             let all = state.vms[..self.scope.vms].iter().all(holds);
-            state.broken.or(all.then_some(CHANGED))
+            state.broken.or(all.then_some(CHANGE_COMPLETE))
         })
     }
 
-    /// The steps out of `state`.
+    /// Returns all steps from `state`.
     pub fn next(&self, state: &State) -> Vec<Step<State, Event>> {
         let mut steps = Vec::new();
-        let mut take = |event, next: Option<State>| {
-            let moved = next.filter(|next| next != state);
-            steps.extend(moved.map(|state| Step { event, state }));
+        let mut add = |event, next: Option<State>| {
+            let changed = next.filter(|next| next != state);
+            steps.extend(changed.map(|state| Step { event, state }));
         };
-        take(Event::Tick, Some(self.tick(state, None)));
+        add(Event::Tick, Some(self.tick(state, None)));
         for v in 0..self.scope.vms {
-            if !self.kept(Safeguard::PauseCounted) {
-                take(Event::TickWhilePaused(v), Some(self.tick(state, Some(v))));
+            if !self.enforces(Safeguard::PauseCounted) {
+                add(Event::TickWhilePaused(v), Some(self.tick(state, Some(v))));
             }
-            take(Event::Read(v), self.read(state, v));
-            take(Event::Hear(v), self.hear(state, v));
-            take(Event::GiveUp(v), self.give_up(state, v));
-            take(Event::Register(v), self.register(state, v));
-            take(Event::HearNews(v), self.hear_news(state, v));
-            take(Event::HearOffer(v), self.hear_offer(state, v));
-            take(Event::Restart(v), self.restart(state, v));
-            take(Event::StopAndStart(v), self.stop_and_start(state, v));
-            take(Event::Send(v), self.send(state, v));
+            add(Event::Read(v), self.read(state, v));
+            add(Event::Receive(v), self.receive(state, v));
+            add(Event::Abandon(v), self.abandon(state, v));
+            add(Event::Register(v), self.register(state, v));
+            add(Event::ReceiveUpdate(v), self.receive_update(state, v));
+            add(Event::ReceiveOffer(v), self.receive_offer(state, v));
+            add(Event::Restart(v), self.restart(state, v));
+            add(Event::StopAndStart(v), self.stop_and_start(state, v));
+            add(Event::Send(v), self.send(state, v));
             if let Some((database, next)) = self.acknowledge(state, v) {
-                take(Event::Acknowledge(v, database), Some(next));
+                add(Event::Acknowledge(v, database), Some(next));
             }
         }
         for s in 0..CANDIDATES.min(self.scope.vms) {
-            self.steward_steps(state, s, &mut take);
+            self.steward_steps(state, s, &mut add);
         }
         for order in &state.orders {
             let event = Event::Arrive(order.token, order.database);
-            take(event, Some(self.arrive(state, *order)));
+            add(event, Some(self.arrive(state, *order)));
         }
         for n in 0..state.late.len() {
-            take(Event::Late, Some(late(state, n)));
+            add(Event::ApplyLate, Some(apply_late(state, n)));
         }
         steps
     }
 
     fn tick(&self, state: &State, paused: Option<usize>) -> State {
         let mut next = state.clone();
-        let (asked, told) = (
-            self.kept(Safeguard::AskedTime),
-            self.kept(Safeguard::ToldAge),
+        let (age_readings, age_updates) = (
+            self.enforces(Safeguard::AskedTime),
+            self.enforces(Safeguard::ToldAge),
         );
         for (v, vm) in next.vms.iter_mut().enumerate() {
             if paused != Some(v) {
-                vm.tick(asked, told);
+                vm.tick(age_readings, age_updates);
             }
         }
         for order in &mut next.orders {
             if paused != Some(order.vm.into()) {
-                older(&mut order.age);
+                increment(&mut order.age);
             }
         }
-        if self.kept(Safeguard::Deadline) {
-            next.orders.retain(|order| order.age < DUTY);
+        if self.enforces(Safeguard::Deadline) {
+            next.orders.retain(|order| order.age < DUTY_TICKS);
         }
         next
     }
@@ -313,21 +313,21 @@
     fn arrive(&self, state: &State, order: Order) -> State {
         let mut next = state.clone();
         next.orders.retain(|other| *other != order);
-        let (token, vm, life) = state.seen;
+        let (token, vm, life) = state.last_order;
         let same = (order.vm, order.life) == (vm, life);
         next.broken = match order.token.cmp(&token) {
-            std::cmp::Ordering::Less => Some(LOWER),
-            std::cmp::Ordering::Equal if !same => Some(SHARED),
-            _ if order.token < state.rows.duty.token => Some(TURN),
+            std::cmp::Ordering::Less => Some(LOWER_TOKEN),
+            std::cmp::Ordering::Equal if !same => Some(SHARED_TOKEN),
+            _ if order.token < state.rows.duty.token => Some(OUTSIDE_DUTY),
             _ => None,
         };
-        next.seen = (order.token, order.vm, order.life);
+        next.last_order = (order.token, order.vm, order.life);
         next.leader = order.database;
         let sender = &mut next.vms[usize::from(order.vm)];
         let duty = sender.duty.as_mut().filter(|_| sender.life == order.life);
         let intent = duty.and_then(|duty| duty.intent.as_mut());
         if let Some(intent) = intent.filter(|i| i.ordered == Some(order.database)) {
-            intent.done = true;
+            intent.carried_out = true;
         }
         next
     }
@@ -339,12 +339,12 @@
     state.leader = 1;
     let row = state.rows.duty;
     for vm in &mut state.vms {
-        vm.dropped = vm.began;
+        vm.dropped = vm.leased_epoch;
     }
     state.vms[1].watch = Some(Watch {
         version: row.version,
         token: row.token,
-        age: LEASE,
+        age: LEASE_TICKS,
     });
     if let Some(duty) = &mut state.vms[0].duty {
         duty.version = row.version;
@@ -354,30 +354,30 @@
             members: Some(Members::of(&state.rows)),
             confirmed: u8::MAX,
             ordered: Some(state.leader),
-            done: true,
+            carried_out: true,
         });
     }
     state
 }
 
-fn with(state: &State, v: usize, change: impl FnOnce(&mut Vm)) -> State {
+fn with_vm(state: &State, v: usize, change: impl FnOnce(&mut Vm)) -> State {
     let mut next = state.clone();
     change(&mut next.vms[v]);
     next
 }
 
-/// Keeps a write that nobody waits for any more, if the scope has room for it.
-fn give_up(state: &mut State, write: Write) -> bool {
-    let Some(lates) = state.lates.checked_sub(1) else {
+/// Keeps an abandoned write to be applied late, unless the scope's maximum is reached.
+fn abandon(state: &mut State, write: Write) -> bool {
+    let Some(late_left) = state.late_left.checked_sub(1) else {
         return false;
     };
-    state.lates = lates;
+    state.late_left = late_left;
     state.late.push(write);
     state.late.sort_unstable();
     true
 }
 
-fn late(state: &State, n: usize) -> State {
+fn apply_late(state: &State, n: usize) -> State {
     let mut next = state.clone();
     let write = next.late.remove(n);
     next.rows.apply(write);
--- a/src/model/leads/event.rs
+++ b/src/model/leads/event.rs
@@ -1,31 +1,31 @@
-//! What happens in one step.
+//! The events of the specification, and their text in traces.
 
 use std::fmt;
 
 /// An event; VMs by index, 0 being the steward at the start.
 #[derive(Debug, Clone, Copy)]
 pub enum Event {
-    /// Time passes: half a lease, and as long as the steward's row counts.
+    /// Time passes: half a lease, which is also how long a renewal of the duty is valid.
     Tick,
-    /// The same, while a VM is paused.
+    /// Time passes while a VM is paused.
     TickWhilePaused(usize),
-    /// A VM asks for the rows, and the store reads them.
+    /// A VM requests the rows, and the store reads them.
     Read(usize),
-    /// A VM hears the answer to its call.
-    Hear(usize),
-    /// A VM gives its call up; what was asked may still be done.
-    GiveUp(usize),
-    /// The store does what was given up.
-    Late,
+    /// A VM receives the answer to its call of the store.
+    Receive(usize),
+    /// A VM abandons its call; the store may still carry it out.
+    Abandon(usize),
+    /// The store applies an abandoned write.
+    ApplyLate,
     /// A VM writes its own row.
     Register(usize),
-    /// The steward tells a VM who leads.
-    Tell(usize, usize),
-    /// That arrives.
-    HearNews(usize),
+    /// The steward sends a VM its reading of who leads.
+    SendUpdate(usize, usize),
+    /// The VM receives that update.
+    ReceiveUpdate(usize),
     /// A VM ends, and starts again.
     Restart(usize),
-    /// A VM stops as planned, its row is to be removed, and it starts again.
+    /// A VM stops as planned, abandons the removal of its row, and starts again.
     StopAndStart(usize),
     /// A VM takes the duty over.
     TakeOver(usize),
@@ -33,29 +33,29 @@
     Renew(usize),
     /// The steward asks to write its intent.
     Intend(usize),
-    /// The store writes it, and the steward hears so.
+    /// The store writes the intent, and the steward receives the answer.
     Intended(usize),
-    /// A VM drops the epoch, and the steward hears so.
+    /// A VM drops the epoch, and the steward receives the confirmation.
     Drop(usize, usize),
-    /// The steward marks the row of a VM that it does not hear.
+    /// The steward marks the row of a silent VM as evicted.
     Evict(usize, usize),
-    /// The steward removes such a row.
+    /// The steward removes an evicted row.
     Remove(usize, usize),
     /// The steward orders a database to lead.
     Order(usize, u8),
-    /// An order arrives, and is done.
+    /// An order arrives at the platform and is carried out.
     Arrive(u8, u8),
-    /// The steward hears that it is done, and names the new primary.
+    /// The steward learns that the order was carried out, and publishes the new primary.
     Publish(usize),
-    /// The same, and the answer to that write is lost.
-    PublishUnheard(usize),
+    /// As `Publish`, but the steward abandons the write.
+    AbandonPublish(usize),
     /// The steward offers its duty to another VM.
     HandOver(usize, usize),
-    /// That arrives.
-    HearOffer(usize),
-    /// A VM sends a request to the primary of its lease.
+    /// The other VM receives the offer.
+    ReceiveOffer(usize),
+    /// A VM sends a request to the primary under its lease.
     Send(usize),
-    /// A VM acknowledges a write of the primary of its lease.
+    /// A VM acknowledges a write of the primary under its lease.
     Acknowledge(usize, u8),
 }
 
@@ -69,12 +69,12 @@
             Event::Tick => write!(f, "time passes"),
             Event::TickWhilePaused(v) => write!(f, "time passes while vm{v} is paused"),
             Event::Read(v) => write!(f, "vm{v} asks for the rows, the store reads them"),
-            Event::Hear(v) => write!(f, "vm{v} hears the store's answer"),
-            Event::GiveUp(v) => write!(f, "vm{v} gives its call of the store up"),
-            Event::Late => write!(f, "the store does a write that was given up"),
+            Event::Receive(v) => write!(f, "vm{v} hears the store's answer"),
+            Event::Abandon(v) => write!(f, "vm{v} gives its call of the store up"),
+            Event::ApplyLate => write!(f, "the store does a write that was given up"),
             Event::Register(v) => write!(f, "vm{v} writes its row"),
-            Event::Tell(s, v) => write!(f, "vm{s} tells vm{v} what it read"),
-            Event::HearNews(v) => write!(f, "vm{v} hears it"),
+            Event::SendUpdate(s, v) => write!(f, "vm{s} tells vm{v} what it read"),
+            Event::ReceiveUpdate(v) => write!(f, "vm{v} hears it"),
             Event::Restart(v) => write!(f, "vm{v} ends and starts again"),
             Event::StopAndStart(v) => {
                 write!(
@@ -98,14 +98,14 @@
                 )
             }
             Event::Publish(v) => write!(f, "vm{v} hears of it, and names the new primary"),
-            Event::PublishUnheard(v) => {
+            Event::AbandonPublish(v) => {
                 write!(
                     f,
                     "vm{v} hears of it, and gives the naming of the new primary up"
                 )
             }
             Event::HandOver(s, v) => write!(f, "vm{s} offers its duty to vm{v}"),
-            Event::HearOffer(v) => write!(f, "vm{v} hears the offer"),
+            Event::ReceiveOffer(v) => write!(f, "vm{v} hears the offer"),
             Event::Send(v) => write!(f, "vm{v} sends a request under its lease"),
             Event::Acknowledge(v, d) => {
                 write!(f, "vm{v} acknowledges a write of {}", database(d))
--- a/src/model/leads/steward.rs
+++ b/src/model/leads/steward.rs
@@ -1,15 +1,16 @@
-//! What the steward does, and who takes the duty over.
+//! The steward's steps, and takeover of its duty.
 
 use super::store::{Age, DutyRow, LeadRow, Rows, Write};
-use super::vm::{Call, Duty, Evicted, Intent, Members, News, Vm, Watch};
+use super::vm::{Call, Duty, Evicted, Intent, Members, Update, Vm, Watch};
 use super::{
-    CANDIDATES, DATABASES, DUTY, Event, LEASE, Order, SHARED, Safeguard, Spec, State, VMS,
+    CANDIDATES, DATABASES, DUTY_TICKS, Event, LEASE_TICKS, Order, SHARED_TOKEN, Safeguard, Spec,
+    State, VMS,
 };
-use super::{give_up, with};
+use super::{abandon, with_vm};
 
 impl Spec {
     pub(super) fn duty(&self, token: u8, version: u8, asked: Age) -> Duty {
-        let spoken = !self.kept(Safeguard::WaitFromIntent);
+        let tracked = !self.enforces(Safeguard::WaitFromIntent);
         Duty {
             token,
             version,
@@ -17,7 +18,7 @@
             intent: None,
             evicted: [None; VMS],
             before: None,
-            spoke: spoken.then_some([0; VMS]),
+            last_contact: tracked.then_some([0; VMS]),
         }
     }
 
@@ -25,29 +26,29 @@
         &self,
         state: &State,
         s: usize,
-        take: &mut impl FnMut(Event, Option<State>),
+        add: &mut impl FnMut(Event, Option<State>),
     ) {
-        take(Event::TakeOver(s), self.take_over(state, s));
+        add(Event::TakeOver(s), self.take_over(state, s));
         let Some(duty) = state.vms[s].duty else {
             return;
         };
-        take(Event::Renew(s), self.renew(state, s, duty));
-        take(Event::Intend(s), self.intend(state, s, duty));
-        take(Event::Intended(s), self.intended(state, s, duty));
+        add(Event::Renew(s), self.renew(state, s, duty));
+        add(Event::Intend(s), self.intend(state, s, duty));
+        add(Event::Intended(s), self.intended(state, s, duty));
         for v in 0..self.scope.vms {
-            take(Event::Tell(s, v), self.tell(state, s, v));
-            take(Event::Drop(s, v), self.drop_epoch(state, s, duty, v));
-            take(Event::Evict(s, v), self.evict(state, s, duty, v));
-            take(Event::Remove(s, v), self.remove(state, s, duty, v));
+            add(Event::SendUpdate(s, v), self.send_update(state, s, v));
+            add(Event::Drop(s, v), self.drop_epoch(state, s, duty, v));
+            add(Event::Evict(s, v), self.evict(state, s, duty, v));
+            add(Event::Remove(s, v), self.remove(state, s, duty, v));
         }
         if let Some((database, next)) = self.order(state, s, duty) {
-            take(Event::Order(s, database), Some(next));
+            add(Event::Order(s, database), Some(next));
         }
-        take(Event::Publish(s), self.publish(state, s, duty));
-        let unheard = self.publish_unheard(state, s, duty);
-        take(Event::PublishUnheard(s), unheard);
+        add(Event::Publish(s), self.publish(state, s, duty));
+        let abandoned = self.abandon_publish(state, s, duty);
+        add(Event::AbandonPublish(s), abandoned);
         for c in (0..CANDIDATES.min(self.scope.vms)).filter(|c| *c != s) {
-            take(Event::HandOver(s, c), self.hand_over(state, s, duty, c));
+            add(Event::HandOver(s, c), self.hand_over(state, s, duty, c));
         }
     }
 
@@ -58,14 +59,14 @@
             .filter(|_| vm.call.is_none() && vm.duty.is_none())?;
         let holder = state.rows.duty;
         let ended = state.vms[usize::from(holder.vm)].life != holder.life;
-        let quiet = watch.age >= DUTY || !self.kept(Safeguard::TakeOverWaits);
-        let rises = u8::from(self.kept(Safeguard::TokenRises));
+        let unchanged = watch.age >= DUTY_TICKS || !self.enforces(Safeguard::TakeOverWaits);
+        let rises = u8::from(self.enforces(Safeguard::TokenRises));
         let token = watch.token + rises;
-        let may = (ended && watch.version == holder.version) || quiet;
-        if !may || token > self.scope.tokens || self.spent(state) {
+        let allowed = (ended && watch.version == holder.version) || unchanged;
+        if !allowed || token > self.scope.tokens || self.renewals_exhausted(state) {
             return None;
         }
-        let compared = self.kept(Safeguard::CompareAndSet);
+        let compared = self.enforces(Safeguard::CompareAndSet);
         let write = Write::Take {
             row: DutyRow {
                 vm: s as u8,
@@ -73,31 +74,37 @@
                 token,
                 version: 0,
             },
-            over: compared.then_some(watch.version),
+            expected: compared.then_some(watch.version),
         };
-        done(state, s, write)
+        apply_now(state, s, write)
     }
 
-    fn spent(&self, state: &State) -> bool {
+    fn renewals_exhausted(&self, state: &State) -> bool {
         state.rows.duty.version > self.scope.renewals
     }
 
-    pub(super) fn hear_duty(&self, state: &State, s: usize, write: Write, age: Age) -> State {
-        let asked = match self.kept(Safeguard::RenewalAsked) {
+    pub(super) fn receive_duty_answer(
+        &self,
+        state: &State,
+        s: usize,
+        write: Write,
+        age: Age,
+    ) -> State {
+        let asked = match self.enforces(Safeguard::RenewalAsked) {
             true => age,
             false => 0,
         };
-        let mut next = with(state, s, |vm| {
+        let mut next = with_vm(state, s, |vm| {
             vm.call = None;
             match write {
-                Write::Take { row, over } => {
-                    let version = over.map_or(state.rows.duty.version, |over| over + 1);
+                Write::Take { row, expected } => {
+                    let version = expected.map_or(state.rows.duty.version, |expected| expected + 1);
                     vm.watch = None;
                     vm.duty = Some(self.duty(row.token, version, asked));
                 }
-                Write::Renew { over } => {
+                Write::Renew { expected } => {
                     if let Some(duty) = &mut vm.duty {
-                        (duty.version, duty.asked) = (over + 1, asked);
+                        (duty.version, duty.asked) = (expected + 1, asked);
                     }
                 }
                 _ => {}
@@ -107,16 +114,16 @@
         let others = (0..self.scope.vms).filter(|o| *o != s);
         let mut tokens = others.filter_map(|o| next.vms[o].duty.map(|duty| duty.token));
         if tokens.any(|other| Some(other) == token) {
-            next.broken = Some(SHARED);
+            next.broken = Some(SHARED_TOKEN);
         }
         next
     }
 
-    /// What a reading tells a candidate of the duty.
+    /// Updates a candidate's state of the duty from a reading.
     pub(super) fn resume(&self, vm: &mut Vm, s: usize, rows: &Rows) {
         let row = rows.duty;
-        let mine = usize::from(row.vm) == s && row.life == vm.life;
-        if !mine {
+        let own = usize::from(row.vm) == s && row.life == vm.life;
+        if !own {
             vm.duty = None;
             let same = vm.watch.filter(|watch| watch.version == row.version);
             vm.watch = same.or(Some(Watch {
@@ -127,14 +134,14 @@
             return;
         }
         vm.watch = None;
-        // A renewal whose answer was lost counts for nothing.
-        let fresh = || self.duty(row.token, row.version, LEASE);
+        // A renewal whose answer was lost gives no valid duty.
+        let fresh = || self.duty(row.token, row.version, LEASE_TICKS);
         let mut duty = vm
             .duty
             .filter(|d| d.token == row.token)
             .unwrap_or_else(fresh);
         if duty.version != row.version {
-            (duty.version, duty.asked) = (row.version, LEASE);
+            (duty.version, duty.asked) = (row.version, LEASE_TICKS);
         }
         duty.intent = duty
             .intent
@@ -147,43 +154,47 @@
         vm.duty = Some(duty);
     }
 
-    /// An intent that is there already, perhaps of a steward before.
+    /// Rebuilds an intent found in the rows, perhaps written by an earlier steward.
     fn unfinished(&self, rows: &Rows) -> Intent {
-        let again = self.kept(Safeguard::WaitAgain);
+        let again = self.enforces(Safeguard::WaitAgain);
         Intent {
-            age: if again { 0 } else { LEASE },
+            age: if again { 0 } else { LEASE_TICKS },
             lead: rows.lead.version,
             members: (!again).then(|| Members::of(rows)),
             confirmed: 0,
             ordered: None,
-            done: false,
+            carried_out: false,
         }
     }
 
     fn renew(&self, state: &State, s: usize, duty: Duty) -> Option<State> {
-        duty.intent.filter(|intent| !intent.done)?;
-        let over = duty.version;
-        // A renewal that was asked within this tick is as good as another.
-        if state.vms[s].call.is_some() || self.spent(state) || duty.asked == 0 {
+        duty.intent.filter(|intent| !intent.carried_out)?;
+        let expected = duty.version;
+        // A second renewal within the same tick changes nothing.
+        if state.vms[s].call.is_some() || self.renewals_exhausted(state) || duty.asked == 0 {
             return None;
         }
-        done(state, s, Write::Renew { over })
+        apply_now(state, s, Write::Renew { expected })
     }
 
     fn intend(&self, state: &State, s: usize, duty: Duty) -> Option<State> {
         let vm = &state.vms[s];
-        let lead = vm.notes?.lead;
+        let lead = vm.reading?.lead;
         let ordered = duty.intent.is_some();
-        if vm.call.is_some() || ordered || self.spent(state) || lead.epoch > self.scope.changes {
+        if vm.call.is_some()
+            || ordered
+            || self.renewals_exhausted(state)
+            || lead.epoch > self.scope.changes
+        {
             return None;
         }
         let write = Write::Intend {
             duty: duty.version,
             lead: lead.version,
         };
-        let enough = !self.kept(Safeguard::RowsAfterIntent);
+        let enough = !self.enforces(Safeguard::RowsAfterIntent);
         state.rows.allow(write).then(|| {
-            with(state, s, |vm| {
+            with_vm(state, s, |vm| {
                 vm.call = Some(Call::Sent { write, age: 0 });
                 if let Some(duty) = &mut vm.duty {
                     duty.before = enough.then(|| Members::of(&state.rows));
@@ -196,13 +207,13 @@
         let Some(Call::Sent { write, age }) = state.vms[s].call else {
             return None;
         };
-        let mut next = with(state, s, |vm| vm.call = None);
+        let mut next = with_vm(state, s, |vm| vm.call = None);
         if !next.rows.apply(write) {
             next.vms[s].duty = None;
             return Some(next);
         }
         let intent = Intent {
-            age: match self.kept(Safeguard::WaitFromAnswer) {
+            age: match self.enforces(Safeguard::WaitFromAnswer) {
                 true => 0,
                 false => age,
             },
@@ -210,9 +221,9 @@
             members: duty.before,
             confirmed: 0,
             ordered: None,
-            done: false,
+            carried_out: false,
         };
-        let asked = match self.kept(Safeguard::RenewalAsked) {
+        let asked = match self.enforces(Safeguard::RenewalAsked) {
             true => age,
             false => 0,
         };
@@ -226,33 +237,33 @@
         Some(next)
     }
 
-    fn tell(&self, state: &State, s: usize, v: usize) -> Option<State> {
-        let notes = state.vms[s].notes?;
-        let shown = notes.shows & (1 << v) != 0 || !self.kept(Safeguard::RowInNews);
-        let known = state.vms[v].notes;
-        let new = known.is_none_or(|known| known.lead != notes.lead || known.age > notes.age);
-        if v == s || !shown || !new || state.vms[v].news.is_some() {
+    fn send_update(&self, state: &State, s: usize, v: usize) -> Option<State> {
+        let reading = state.vms[s].reading?;
+        let shown = reading.shows & (1 << v) != 0 || !self.enforces(Safeguard::RowInNews);
+        let known = state.vms[v].reading;
+        let new = known.is_none_or(|known| known.lead != reading.lead || known.age > reading.age);
+        if v == s || !shown || !new || state.vms[v].update.is_some() {
             return None;
         }
-        let news = News {
-            lead: notes.lead,
-            age: notes.age,
+        let update = Update {
+            lead: reading.lead,
+            age: reading.age,
         };
-        let mut next = with(state, v, |vm| vm.news = Some(news));
+        let mut next = with_vm(state, v, |vm| vm.update = Some(update));
         let duty = next.vms[s].duty.as_mut();
-        if let Some(spoke) = duty.and_then(|duty| duty.spoke.as_mut()) {
-            spoke[v] = 0;
+        if let Some(last_contact) = duty.and_then(|duty| duty.last_contact.as_mut()) {
+            last_contact[v] = 0;
         }
         Some(next)
     }
 
     fn drop_epoch(&self, state: &State, s: usize, duty: Duty, v: usize) -> Option<State> {
         let intent = duty.intent?;
-        let epoch = state.vms[s].notes?.lead.epoch;
+        let epoch = state.vms[s].reading?.lead.epoch;
         let mut next = state.clone();
-        if self.kept(Safeguard::DropConfirmed) {
+        if self.enforces(Safeguard::DropConfirmed) {
             let vm = &mut next.vms[v];
-            let forgotten = vm.notes.is_none() && !self.kept(Safeguard::DropBeforeReading);
+            let forgotten = vm.reading.is_none() && !self.enforces(Safeguard::DropBeforeReading);
             if !forgotten {
                 vm.dropped = vm.dropped.max(epoch);
             }
@@ -270,17 +281,23 @@
     fn evict(&self, state: &State, s: usize, duty: Duty, v: usize) -> Option<State> {
         let mut next = state.clone();
         next.evictions = state.evictions.checked_sub(1)?;
-        let over = state.rows.versions[v];
+        let expected = state.rows.versions[v];
         let marked = state.rows.members[v].is_none_or(|row| row.evicted);
-        if v == s || marked || !next.rows.apply(Write::Evict { vm: v as u8, over }) {
+        if v == s
+            || marked
+            || !next.rows.apply(Write::Evict {
+                vm: v as u8,
+                expected,
+            })
+        {
             return None;
         }
         let mut duty = duty;
         duty.evicted[v] = Some(Evicted {
-            age: if self.kept(Safeguard::EvictionWaits) {
+            age: if self.enforces(Safeguard::EvictionWaits) {
                 0
             } else {
-                LEASE
+                LEASE_TICKS
             },
             version: next.rows.versions[v],
         });
@@ -289,39 +306,39 @@
     }
 
     fn remove(&self, state: &State, s: usize, duty: Duty, v: usize) -> Option<State> {
-        let evicted = duty.evicted[v].filter(|evicted| evicted.age >= LEASE)?;
-        let compared = self.kept(Safeguard::RemoveCompared);
+        let evicted = duty.evicted[v].filter(|evicted| evicted.age >= LEASE_TICKS)?;
+        let compared = self.enforces(Safeguard::RemoveCompared);
         let write = Write::Remove {
             vm: v as u8,
-            over: compared.then_some(evicted.version),
+            expected: compared.then_some(evicted.version),
         };
-        let mut next = with(state, s, |vm| {
+        let mut next = with_vm(state, s, |vm| {
             if let Some(duty) = &mut vm.duty {
                 duty.evicted[v] = None;
             }
         });
-        give_up(&mut next, write).then_some(next)
+        abandon(&mut next, write).then_some(next)
     }
 
     fn order(&self, state: &State, s: usize, duty: Duty) -> Option<(u8, State)> {
-        let intent = duty.intent.filter(|intent| !intent.done)?;
-        let lapsed = |v: usize| match (self.out, duty.spoke) {
+        let intent = duty.intent.filter(|intent| !intent.carried_out)?;
+        let lapsed = |v: usize| match (self.disabled, duty.last_contact) {
             (Some(Safeguard::WaitOut), _) => true,
-            (_, Some(spoke)) => spoke[v] >= LEASE,
-            (_, None) => intent.age >= LEASE,
+            (_, Some(last_contact)) => last_contact[v] >= LEASE_TICKS,
+            (_, None) => intent.age >= LEASE_TICKS,
         };
-        let renewed = duty.asked < DUTY || !self.kept(Safeguard::RenewBeforeOrder);
+        let renewed = duty.asked < DUTY_TICKS || !self.enforces(Safeguard::RenewBeforeOrder);
         if !renewed || !duty.all_dropped(&intent, lapsed) {
             return None;
         }
-        let primary = state.vms[s].notes?.lead.primary;
+        let primary = state.vms[s].reading?.lead.primary;
         let database = intent.ordered.unwrap_or_else(|| choice(s, primary));
         let order = Order {
             vm: s as u8,
             life: state.vms[s].life,
             token: duty.token,
             database,
-            age: match self.kept(Safeguard::RenewBeforeOrder) {
+            age: match self.enforces(Safeguard::RenewBeforeOrder) {
                 true => duty.asked,
                 false => 0,
             },
@@ -342,15 +359,15 @@
         Some((database, next))
     }
 
-    fn named(&self, state: &State, s: usize, duty: Duty) -> Option<Write> {
-        let intent = duty.intent.filter(|intent| intent.done)?;
+    fn publish_write(&self, state: &State, s: usize, duty: Duty) -> Option<Write> {
+        let intent = duty.intent.filter(|intent| intent.carried_out)?;
         let row = LeadRow {
-            epoch: state.vms[s].notes?.lead.epoch + 1,
+            epoch: state.vms[s].reading?.lead.epoch + 1,
             primary: intent.ordered?,
             changing: false,
             version: 0,
         };
-        let under = self.kept(Safeguard::PublishUnderDuty);
+        let under = self.enforces(Safeguard::PublishUnderDuty);
         Some(Write::Publish {
             row,
             lead: intent.lead,
@@ -359,7 +376,7 @@
     }
 
     fn publish(&self, state: &State, s: usize, duty: Duty) -> Option<State> {
-        let write = self.named(state, s, duty)?;
+        let write = self.publish_write(state, s, duty)?;
         let mut next = state.clone();
         let kept = next.rows.apply(write);
         next.vms[s].duty = kept.then_some(Duty {
@@ -371,10 +388,10 @@
         Some(next)
     }
 
-    fn publish_unheard(&self, state: &State, s: usize, duty: Duty) -> Option<State> {
-        let write = self.named(state, s, duty)?;
+    fn abandon_publish(&self, state: &State, s: usize, duty: Duty) -> Option<State> {
+        let write = self.publish_write(state, s, duty)?;
         let mut next = state.clone();
-        give_up(&mut next, write).then_some(next)
+        abandon(&mut next, write).then_some(next)
     }
 
     fn hand_over(&self, state: &State, s: usize, duty: Duty, c: usize) -> Option<State> {
@@ -383,20 +400,20 @@
         if busy || state.vms[c].offer.is_some() || duty.token >= self.scope.tokens {
             return None;
         }
-        let mut next = with(state, c, |vm| vm.offer = Some((duty.version, duty.token)));
-        if self.kept(Safeguard::OfferEnds) {
+        let mut next = with_vm(state, c, |vm| vm.offer = Some((duty.version, duty.token)));
+        if self.enforces(Safeguard::OfferEnds) {
             next.vms[s].duty = Some(Duty {
-                asked: LEASE,
+                asked: LEASE_TICKS,
                 ..duty
             });
         }
         Some(next)
     }
 
-    pub(super) fn hear_offer(&self, state: &State, c: usize) -> Option<State> {
+    pub(super) fn receive_offer(&self, state: &State, c: usize) -> Option<State> {
         let (version, token) = state.vms[c].offer?;
         let row = state.rows.duty;
-        let version = match self.kept(Safeguard::OfferCompared) {
+        let version = match self.enforces(Safeguard::OfferCompared) {
             true => version,
             false if row.token == token => row.version,
             false => version,
@@ -404,9 +421,9 @@
         let watch = Watch {
             version,
             token,
-            age: LEASE,
+            age: LEASE_TICKS,
         };
-        Some(with(state, c, |vm| {
+        Some(with_vm(state, c, |vm| {
             vm.offer = None;
             if vm.duty.is_none() {
                 vm.watch = Some(watch);
@@ -415,7 +432,7 @@
     }
 }
 
-/// Which database a steward chooses: two stewards choose differently where they can.
+/// Returns the database that a steward promotes; the two stewards choose differently if possible.
 fn choice(s: usize, primary: u8) -> u8 {
     let first = s as u8 + 1;
     match first == primary {
@@ -424,10 +441,10 @@
     }
 }
 
-/// A write of the duty's row that is done at once, and whose answer is on its way.
-fn done(state: &State, s: usize, write: Write) -> Option<State> {
+/// Applies a write of the duty's row at once and leaves its answer in flight.
+fn apply_now(state: &State, s: usize, write: Write) -> Option<State> {
     let mut next = state.clone();
     next.rows.apply(write).then_some(())?;
-    next.vms[s].call = Some(Call::Done { write, age: 0 });
+    next.vms[s].call = Some(Call::Applied { write, age: 0 });
     Some(next)
 }
--- a/src/model/leads/store.rs
+++ b/src/model/leads/store.rs
@@ -1,8 +1,8 @@
-//! The rows, and writes that are done after their answer was given up.
+//! The store's rows and the writes that change them.
 
 use super::VMS;
 
-/// A moment as its age in ticks, up to [`super::OLD`].
+/// A point in time as its age in ticks, at most [`super::LEASE_TICKS`].
 pub type Age = u8;
 
 /// The row of a group's primary.
@@ -30,61 +30,62 @@
     pub evicted: bool,
 }
 
-/// All rows, which are read as of one moment.
+/// All rows, read atomically.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Rows {
     pub lead: LeadRow,
     pub duty: DutyRow,
     pub members: [Option<MemberRow>; VMS],
-    /// The versions of the members' rows, which rise also where a row is removed.
+    /// The versions of the members' rows; removing a row increments its version too.
     pub versions: [u8; VMS],
 }
 
-/// A change of the rows, with the versions that it asks for; none asks for nothing.
+/// A change of the rows, with the versions it requires; `None` requires no version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Write {
     /// Takes the duty over.
-    Take { row: DutyRow, over: Option<u8> },
+    Take { row: DutyRow, expected: Option<u8> },
     /// Renews the duty.
-    Renew { over: u8 },
+    Renew { expected: u8 },
     /// Begins a change of primary, and renews the duty.
     Intend { duty: u8, lead: u8 },
-    /// Names the new primary, and renews the duty.
+    /// Publishes the new primary, and renews the duty.
     Publish {
         row: LeadRow,
         lead: u8,
         duty: Option<u8>,
     },
-    /// A VM's own row.
+    /// Writes a VM's own row.
     Register { vm: u8, life: u8 },
-    /// Marks a silent VM's row.
-    Evict { vm: u8, over: u8 },
+    /// Marks a silent VM's row as evicted.
+    Evict { vm: u8, expected: u8 },
     /// Removes a VM's row.
-    Remove { vm: u8, over: Option<u8> },
+    Remove { vm: u8, expected: Option<u8> },
 }
 
 impl Rows {
-    /// Whether the write's conditions hold.
+    /// Returns whether the write's required versions match.
     pub fn allow(&self, write: Write) -> bool {
-        let is = |version: Option<u8>, over: Option<u8>| over.is_none() || over == version;
+        let matches =
+            |version: Option<u8>, expected: Option<u8>| expected.is_none() || expected == version;
         let member = |vm: u8| {
             let vm = usize::from(vm);
             self.members[vm].map(|_| self.versions[vm])
         };
         match write {
-            Write::Take { over, .. } => is(Some(self.duty.version), over),
-            Write::Renew { over } => self.duty.version == over,
+            Write::Take { expected, .. } => matches(Some(self.duty.version), expected),
+            Write::Renew { expected } => self.duty.version == expected,
             Write::Intend { duty, lead } => self.duty.version == duty && self.lead.version == lead,
             Write::Publish { lead, duty, .. } => {
-                self.lead.version == lead && is(Some(self.duty.version), duty)
+                self.lead.version == lead && matches(Some(self.duty.version), duty)
             }
             Write::Register { .. } => true,
-            Write::Evict { vm, over } => member(vm) == Some(over),
-            Write::Remove { vm, over } => member(vm).is_some() && is(member(vm), over),
+            Write::Evict { vm, expected } => member(vm) == Some(expected),
+            Write::Remove { vm, expected } => member(vm).is_some() && matches(member(vm), expected),
         }
     }
 
-    /// Does the write if its conditions hold; whether they did.
+    /// Applies the write if its required versions match, and returns whether they did.
     pub fn apply(&mut self, write: Write) -> bool {
         let allowed = self.allow(write);
         if allowed {
--- a/src/model/leads/vm.rs
+++ b/src/model/leads/vm.rs
@@ -1,46 +1,46 @@
-//! One VM: what it knows of who leads, and of its duty if it is the steward.
+//! The state of one VM: who leads, and its duty if it is the steward.
 
 use super::store::{Age, LeadRow, Rows, Write};
-use super::{CANDIDATES, LEASE, VMS};
+use super::{CANDIDATES, LEASE_TICKS, VMS};
 
-/// What a reading showed.
+/// The lead row as a VM last read it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Notes {
+pub struct Reading {
     pub lead: LeadRow,
-    /// Since it was asked for.
+    /// Ticks since the rows were requested.
     pub age: Age,
-    /// The VMs whose present lives the reading showed, one bit each.
+    /// The VMs whose current life had a row in the reading, one bit each.
     pub shows: u8,
 }
 
-/// What the steward told, on its way.
+/// A steward's update in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct News {
+pub struct Update {
     pub lead: LeadRow,
     pub age: Age,
 }
 
-/// A call of the store whose answer was not heard.
+/// A call of the store whose answer is not received yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Call {
     /// The rows as they were when the call was made.
     Read { rows: Rows, age: Age },
-    /// A write of the duty's row that was done when the call was made.
-    Done { write: Write, age: Age },
-    /// A write that is not done.
+    /// A write of the duty's row that was applied when the call was made.
+    Applied { write: Write, age: Age },
+    /// A write that is not applied yet.
     Sent { write: Write, age: Age },
 }
 
-/// How the duty's row was last seen to change.
+/// The duty's row as a candidate last saw it change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Watch {
     pub version: u8,
     pub token: u8,
-    /// Since the first answer that showed this version.
+    /// Ticks since the first answer that showed this version.
     pub age: Age,
 }
 
-/// Which VMs had a row, one bit each.
+/// The VMs that had a row, and those whose row was marked as evicted, one bit each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Members {
     pub registered: u8,
@@ -63,47 +63,47 @@
     }
 }
 
-/// A change of primary that the steward has under way.
+/// A change of primary that the steward has started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Intent {
-    /// Since the intent's answer, or what counts in its place.
+    /// Ticks since the answer to the intent, or since the reading that found it.
     pub age: Age,
     /// The lead row's version that the intent wrote.
     pub lead: u8,
-    /// The VMs as read after the intent.
+    /// The VMs' rows as read after the intent.
     pub members: Option<Members>,
-    /// The VMs that dropped the epoch, one bit each.
+    /// The VMs that confirmed that they dropped the epoch, one bit each.
     pub confirmed: u8,
-    /// The database that was ordered to lead, and whether the order was done.
+    /// The database that was ordered to lead, and whether the order was carried out.
     pub ordered: Option<u8>,
-    pub done: bool,
+    pub carried_out: bool,
 }
 
-/// A row that this steward has marked.
+/// A row that this steward has marked as evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Evicted {
-    /// Since the answer to that write.
+    /// Ticks since the answer to that write.
     pub age: Age,
     pub version: u8,
 }
 
-/// The duty, as its holder has it.
+/// The duty as recorded by its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Duty {
     pub token: u8,
     pub version: u8,
-    /// Since the renewal that wrote this version was asked.
+    /// Ticks since the request of the renewal that wrote this version.
     pub asked: Age,
     pub intent: Option<Intent>,
     pub evicted: [Option<Evicted>; VMS],
-    /// The VMs as read before the intent, where that is taken for enough.
+    /// The VMs' rows as read before the intent, if `RowsAfterIntent` is disabled.
     pub before: Option<Members>,
-    /// Since each VM last spoke to this steward, where the wait counts from that.
-    pub spoke: Option<[Age; VMS]>,
+    /// Ticks since each VM's last contact with this steward, if `WaitFromIntent` is disabled.
+    pub last_contact: Option<[Age; VMS]>,
 }
 
 impl Duty {
-    /// Whether every VM that may hold a lease has dropped it, or it must have lapsed.
+    /// Returns whether every VM that may hold a lease has dropped it, or its lease has expired.
     pub fn all_dropped(&self, intent: &Intent, lapsed: impl Fn(usize) -> bool) -> bool {
         let Some(members) = intent.members else {
             return false;
@@ -111,36 +111,36 @@
         let done = |vm: usize| {
             let bit = 1 << vm;
             let evicted = members.evicted & bit != 0
-                && self.evicted[vm].is_some_and(|evicted| evicted.age >= LEASE);
+                && self.evicted[vm].is_some_and(|evicted| evicted.age >= LEASE_TICKS);
             members.registered & bit == 0 || intent.confirmed & bit != 0 || evicted || lapsed(vm)
         };
         (0..VMS).all(done)
     }
 }
 
-/// One VM.
+/// The state of one VM.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Vm {
     pub life: u8,
-    pub notes: Option<Notes>,
-    /// The epoch that was given up on the steward's word, and all before it.
+    pub reading: Option<Reading>,
+    /// The newest epoch that was dropped on the steward's request; all older ones are dropped too.
     pub dropped: u8,
-    pub news: Option<News>,
+    pub update: Option<Update>,
     pub call: Option<Call>,
     pub watch: Option<Watch>,
-    /// The duty as it was offered, on its way: its row's version and token.
+    /// An offer of the duty in flight: the version and token of its row.
     pub offer: Option<(u8, u8)>,
-    /// The highest epoch on which this life has held a lease, so that something may be under way.
-    pub began: u8,
+    /// The highest epoch on which this life has held a lease, and may still have work running.
+    pub leased_epoch: u8,
     pub duty: Option<Duty>,
-    /// A request that was sent to a database under a lease, where the lease is not looked at again.
+    /// The database of a request sent under a lease, if `CheckAfter` is disabled.
     pub work: Option<u8>,
 }
 
 impl Vm {
-    /// Whether a reading could tell this VM nothing. Such readings are no steps.
-    pub fn knows(&self, v: usize, rows: &Rows) -> bool {
-        let lead = |notes: Notes| notes.lead == rows.lead && notes.age == 0;
+    /// Returns whether a reading would change nothing at this VM; such readings are not steps.
+    pub fn is_up_to_date(&self, v: usize, rows: &Rows) -> bool {
+        let lead = |reading: Reading| reading.lead == rows.lead && reading.age == 0;
         let watched = |watch: Watch| watch.version == rows.duty.version;
         let held = |duty: Duty| {
             let waits = duty.intent.is_some_and(|intent| intent.members.is_none());
@@ -148,26 +148,27 @@
         };
         let duty =
             v >= CANDIDATES || self.watch.is_some_and(watched) || self.duty.is_some_and(held);
-        self.notes.is_some_and(lead) && duty
+        self.reading.is_some_and(lead) && duty
     }
 
-    /// All ages a tick older. `asked` says whether time on the way counts.
-    pub fn tick(&mut self, asked: bool, told: bool) {
-        if let Some(notes) = &mut self.notes {
-            older(&mut notes.age);
+    /// Advances all ages by a tick; those of readings and updates in flight only if `age_readings` and
+    /// `age_updates` are set.
+    pub fn tick(&mut self, age_readings: bool, age_updates: bool) {
+        if let Some(reading) = &mut self.reading {
+            increment(&mut reading.age);
         }
-        if let Some(news) = self.news.as_mut().filter(|_| told) {
-            older(&mut news.age);
+        if let Some(update) = self.update.as_mut().filter(|_| age_updates) {
+            increment(&mut update.age);
         }
         match &mut self.call {
-            Some(Call::Read { age, .. }) if !asked => *age = 0,
-            Some(Call::Read { age, .. } | Call::Done { age, .. } | Call::Sent { age, .. }) => {
-                older(age);
+            Some(Call::Read { age, .. }) if !age_readings => *age = 0,
+            Some(Call::Read { age, .. } | Call::Applied { age, .. } | Call::Sent { age, .. }) => {
+                increment(age);
             }
             None => {}
         }
         if let Some(watch) = &mut self.watch {
-            older(&mut watch.age);
+            increment(&mut watch.age);
         }
         if let Some(duty) = &mut self.duty {
             duty.tick();
@@ -177,18 +178,18 @@
 
 impl Duty {
     fn tick(&mut self) {
-        older(&mut self.asked);
-        self.spoke.iter_mut().flatten().for_each(older);
+        increment(&mut self.asked);
+        self.last_contact.iter_mut().flatten().for_each(increment);
         for evicted in self.evicted.iter_mut().flatten() {
-            older(&mut evicted.age);
+            increment(&mut evicted.age);
         }
         if let Some(intent) = &mut self.intent {
-            older(&mut intent.age);
+            increment(&mut intent.age);
         }
     }
 }
 
-/// Ages from [`LEASE`] on are all alike.
-pub fn older(age: &mut Age) {
-    *age = LEASE.min(*age + 1);
+/// Increments an age; ages from [`LEASE_TICKS`] on are equivalent.
+pub fn increment(age: &mut Age) {
+    *age = LEASE_TICKS.min(*age + 1);
 }
