--- a/src/model/ages.rs
+++ b/src/model/ages.rs
@@ -1,10 +1,11 @@
-//! How far a group's log had come at a moment, told on from VM to VM, and reads by it.
+//! Reads of bounded staleness, by log positions that one VM reports to another.
 //!
-//! One VM asks the primary under its lease, another one is told by it, and both send reads that may
-//! be so old to replicas, with the position that the real `direct::fresh::Fresh` names. A replica has
-//! that position and nothing more. The primary may be replaced, with or without a commit that its
-//! successor lacks; the old one goes on to answer. What is left out: that a newer epoch forgets the
-//! older pairs, which keeps replicas from refusing for ever and no read from being stale.
+//! The first VM asks the primary for its log position under a lease, the second VM asks the first,
+//! and both send reads to replicas with the position that the production `direct::fresh::Fresh`
+//! returns. A replica has applied that position and nothing more. The primary may be replaced, with
+//! or without a commit that its successor lacks, and the old one goes on answering. Not modelled: a
+//! newer epoch discards older pairs. That keeps replicas from refusing reads for ever, and prevents
+//! no stale read.
 
 mod event;
 
@@ -14,61 +15,61 @@
 use crate::types::{GroupId, Invalid, Offset, Position, Term};
 pub use event::Event;
 
-/// How old reads may be, in ticks.
-const STALENESS: u8 = 2;
-/// Less than the distance to which pairs are thinned out.
+/// The maximum age of reads, in ticks.
+const MAX_STALENESS: u8 = 2;
+/// Shorter than the interval to which `Fresh` thins out its pairs.
 const TICK: Span = Span::from_millis(60);
 const NOW: Time = Time(10_000_000);
-/// From this age on nothing is of use, nor close to what is.
-const OLD: u8 = STALENESS + 3;
+/// Pairs of this age or older are too old for any read, with a margin, and are dropped.
+const MAX_AGE: u8 = MAX_STALENESS + 3;
 
-/// A rule that keeps reads young enough; one can be taken out.
+/// A rule that keeps reads within their maximum age; a search can disable one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Safeguard {
-    /// A pair counts from when the primary was asked, not from its answer.
+    /// A pair's age counts from the question to the primary, not from its answer.
     AskedTime,
-    /// It is learned only under a lease that holds after the answer was read.
+    /// A pair is accepted only if the lease still holds after the answer was read.
     LeaseAfter,
-    /// It is told on with its age.
+    /// A pair is reported to the other VM with its age.
     ToldAge,
-    /// The time that this is on its way counts as age.
+    /// The time that the report takes to arrive counts as age.
     AskedOther,
 }
 
-/// How much happens.
+/// The bounds of a search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Scope {
-    /// Commits that are acknowledged.
+    /// Number of acknowledged commits.
     pub commits: u8,
-    /// Questions to a primary.
-    pub asks: u8,
-    /// Questions of the other VM.
-    pub tells: u8,
+    /// Number of questions to a primary.
+    pub primary_questions: u8,
+    /// Number of questions from the second VM to the first.
+    pub peer_questions: u8,
 }
 
 /// The specification.
 #[derive(Debug, Clone)]
 pub struct Spec {
     scope: Scope,
-    out: Option<Safeguard>,
+    disabled: Option<Safeguard>,
     group: GroupId,
 }
 
-/// A place in the log: its term and offset.
-type Place = (u8, u8);
+/// A point in the log: its term and offset.
+type Point = (u8, u8);
 
-/// How far a primary had come, and when it was asked.
+/// A primary's log position and its age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Pair {
     epoch: u8,
-    place: Place,
-    /// How old it was when it was told.
-    told: u8,
-    /// Since that was asked for.
+    point: Point,
+    /// Its age in ticks when the first VM reported it.
+    reported_age: u8,
+    /// Ticks since the question that it answers.
     age: u8,
 }
 
-/// A question under way, and its answer.
+/// A pending question, and its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Call {
     age: u8,
@@ -78,58 +79,62 @@
 /// A state of the primaries and both VMs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// How far the leader has come; its term is the epoch.
-    log: Place,
-    /// How far the old primary has come, once it is replaced.
-    old: Option<Place>,
-    /// How far commits were acknowledged so many ticks ago.
-    acknowledged: [Place; STALENESS as usize + 2],
-    /// The epoch on which the first VM has a lease.
+    /// The end of the leader's log; its term is the epoch.
+    log: Point,
+    /// The end of the old primary's log, once it is replaced.
+    old_log: Option<Point>,
+    /// The last acknowledged commit as of each number of ticks ago.
+    acknowledged: [Point; MAX_STALENESS as usize + 2],
+    /// The epoch on which the first VM holds a lease.
     lease: Option<u8>,
-    /// The first VM's question to a primary, and the second one's to the first.
+    /// The first VM's question to a primary, and the second VM's question to the first.
     calls: [Option<Call>; 2],
-    /// What both have learned.
+    /// The pairs that each VM has accepted.
     pairs: [Vec<Pair>; 2],
     commits: u8,
-    asks: u8,
-    tells: u8,
+    primary_questions: u8,
+    peer_questions: u8,
     broken: Option<&'static str>,
 }
 
-/// A read misses a commit that was acknowledged longer ago than it may be old.
-pub const STALE: &str = "a read is older than it may be";
+/// A read misses a commit that was acknowledged longer ago than the maximum age.
+pub const STALE_READ: &str = "a read is older than it may be";
 
 fn ago(age: u8) -> Time {
     NOW - Span(TICK.0 * u64::from(age))
 }
 
-fn position((term, offset): Place) -> Position {
+fn position((term, offset): Point) -> Position {
     Position::new(Term(term.into()), Offset(offset.into()))
 }
 
 impl Spec {
-    /// A search within `scope`, with one safeguard taken `out`, or none.
-    pub fn new(scope: Scope, out: Option<Safeguard>) -> Result<Self, Invalid> {
+    /// Creates a specification bounded by `scope`, with one safeguard `disabled` or none.
+    pub fn new(scope: Scope, disabled: Option<Safeguard>) -> Result<Self, Invalid> {
         let group = "board".parse()?;
-        Ok(Self { scope, out, group })
+        Ok(Self {
+            scope,
+            disabled,
+            group,
+        })
     }
 
-    fn kept(&self, safeguard: Safeguard) -> bool {
-        self.out != Some(safeguard)
+    fn enforces(&self, safeguard: Safeguard) -> bool {
+        self.disabled != Some(safeguard)
     }
 
-    /// The first VM has a lease, and nothing is written.
+    /// The initial state: the first VM holds a lease, and nothing is written.
     pub fn start(&self) -> State {
         State {
             log: (1, 0),
-            old: None,
-            acknowledged: [(1, 0); STALENESS as usize + 2],
+            old_log: None,
+            acknowledged: [(1, 0); MAX_STALENESS as usize + 2],
             lease: Some(1),
             calls: [None; 2],
             pairs: [Vec::new(), Vec::new()],
             commits: self.scope.commits,
-            asks: self.scope.asks,
-            tells: self.scope.tells,
+            primary_questions: self.scope.primary_questions,
+            peer_questions: self.scope.peer_questions,
             broken: None,
         }
     }
@@ -139,69 +144,69 @@
         search(self.start(), limit, |s| self.next(s), |s| s.broken)
     }
 
-    /// What a VM's real memory holds.
+    /// Rebuilds the production `Fresh` of a VM.
     fn fresh(&self, state: &State, v: usize) -> Fresh {
         let mut fresh = Fresh::default();
         for pair in &state.pairs[v] {
             if v == 0 {
-                let (epoch, place) = (pair.epoch.into(), position(pair.place));
-                fresh.learn(&self.group, epoch, ago(pair.age), place);
+                let (epoch, position) = (pair.epoch.into(), position(pair.point));
+                fresh.learn(&self.group, epoch, ago(pair.age), position);
                 continue;
             }
             let progress = Progress {
                 group: self.group.clone(),
                 epoch: pair.epoch.into(),
-                position: position(pair.place),
-                age: Span(TICK.0 * u64::from(pair.told)),
+                position: position(pair.point),
+                age: Span(TICK.0 * u64::from(pair.reported_age)),
             };
             fresh.hear(&progress, ago(pair.age));
         }
         fresh
     }
 
-    /// The steps out of `state`.
+    /// Returns all steps from `state`.
     pub fn next(&self, state: &State) -> Vec<Step<State, Event>> {
         let mut steps = Vec::new();
-        let mut take = |event, next: Option<State>| {
-            let moved = next.filter(|next| next != state);
-            steps.extend(moved.map(|state| Step { event, state }));
+        let mut add = |event, next: Option<State>| {
+            let changed = next.filter(|next| next != state);
+            steps.extend(changed.map(|state| Step { event, state }));
         };
-        take(Event::Tick, Some(tick(state)));
-        take(Event::Commit, commit(state));
-        take(Event::Lapse, lapse(state));
-        take(Event::Replace, replace(state, false));
-        take(Event::Roll, replace(state, true));
-        take(Event::Renew, renew(state));
-        take(Event::Ask, self.ask(state));
+        add(Event::Tick, Some(tick(state)));
+        add(Event::Commit, commit(state));
+        add(Event::Lapse, lapse(state));
+        add(Event::Replace, replace(state, false));
+        add(Event::RollBack, replace(state, true));
+        add(Event::Renew, renew(state));
+        add(Event::Ask, self.ask(state));
         for old in [false, true] {
-            take(Event::Answer(old), answer(state, old));
+            add(Event::Answer(old), answer(state, old));
         }
-        take(Event::Hear, self.hear(state));
-        take(Event::Tell, tell(state));
-        take(Event::Told, self.told(state));
-        take(Event::HearOther, self.hear_other(state));
+        add(Event::Receive, self.receive(state));
+        add(Event::AskPeer, ask_peer(state));
+        add(Event::AnswerPeer, self.answer_peer(state));
+        add(Event::ReceiveFromPeer, self.receive_from_peer(state));
         for v in 0..state.pairs.len() {
-            take(Event::Read(v), self.read(state, v));
+            add(Event::Read(v), self.read(state, v));
         }
         steps
     }
 
     fn ask(&self, state: &State) -> Option<State> {
-        let may = state.lease.is_some() || !self.kept(Safeguard::LeaseAfter);
+        let allowed = state.lease.is_some() || !self.enforces(Safeguard::LeaseAfter);
         let mut next = state.clone();
-        next.asks = state.asks.checked_sub(1)?;
+        next.primary_questions = state.primary_questions.checked_sub(1)?;
         next.calls[0] = Some(Call {
             age: 0,
             answer: None,
         });
-        (may && state.calls[0].is_none()).then_some(next)
+        (allowed && state.calls[0].is_none()).then_some(next)
     }
 
-    fn hear(&self, state: &State) -> Option<State> {
+    fn receive(&self, state: &State) -> Option<State> {
         let Call { age, answer } = state.calls[0]?;
         let pair = answer?;
-        let holds = state.lease == Some(pair.epoch) || !self.kept(Safeguard::LeaseAfter);
-        let age = if self.kept(Safeguard::AskedTime) {
+        let holds = state.lease == Some(pair.epoch) || !self.enforces(Safeguard::LeaseAfter);
+        let age = if self.enforces(Safeguard::AskedTime) {
             age
         } else {
             0
@@ -215,14 +220,17 @@
     }
 
     /// The first VM answers with its newest pair.
-    fn told(&self, state: &State) -> Option<State> {
+    fn answer_peer(&self, state: &State) -> Option<State> {
         let call = state.calls[1].filter(|call| call.answer.is_none())?;
-        let told = self.fresh(state, 0).told(NOW).into_iter().next()?;
-        let age = (told.age.0 / TICK.0) as u8;
+        let progress = self.fresh(state, 0).told(NOW).into_iter().next()?;
+        let age = (progress.age.0 / TICK.0) as u8;
         let pair = Pair {
-            epoch: told.epoch as u8,
-            place: (told.position.term.0 as u8, told.position.offset.0 as u8),
-            told: if self.kept(Safeguard::ToldAge) {
+            epoch: progress.epoch as u8,
+            point: (
+                progress.position.term.0 as u8,
+                progress.position.offset.0 as u8,
+            ),
+            reported_age: if self.enforces(Safeguard::ToldAge) {
                 age
             } else {
                 0
@@ -237,10 +245,10 @@
         Some(next)
     }
 
-    fn hear_other(&self, state: &State) -> Option<State> {
+    fn receive_from_peer(&self, state: &State) -> Option<State> {
         let Call { age, answer } = state.calls[1]?;
         let pair = answer?;
-        let age = if self.kept(Safeguard::AskedOther) {
+        let age = if self.enforces(Safeguard::AskedOther) {
             age
         } else {
             0
@@ -251,32 +259,33 @@
         Some(next)
     }
 
-    /// Only what breaks the property is a step: all else changes nothing.
+    /// Adds a step only if the read breaks the property; other reads change no state.
     fn read(&self, state: &State, v: usize) -> Option<State> {
         let fresh = self.fresh(state, v);
-        let after = fresh.oldest_allowed(&self.group, ago(STALENESS))?;
+        let after = fresh.oldest_allowed(&self.group, ago(MAX_STALENESS))?;
         let [.., needed] = state.acknowledged;
         let mut next = state.clone();
-        next.broken = Some(STALE);
+        next.broken = Some(STALE_READ);
         (after < position(needed)).then_some(next)
     }
 }
 
 fn tick(state: &State) -> State {
     let mut next = state.clone();
-    let older = |age: &mut u8| *age = OLD.min(*age + 1);
-    next.acknowledged.copy_within(..STALENESS as usize + 1, 1);
+    let increment = |age: &mut u8| *age = MAX_AGE.min(*age + 1);
+    next.acknowledged
+        .copy_within(..MAX_STALENESS as usize + 1, 1);
     for call in next.calls.iter_mut().flatten() {
-        older(&mut call.age);
+        increment(&mut call.age);
     }
     for pairs in &mut next.pairs {
-        pairs.iter_mut().for_each(|pair| older(&mut pair.age));
-        pairs.retain(|pair| pair.age + pair.told < OLD);
+        pairs.iter_mut().for_each(|pair| increment(&mut pair.age));
+        pairs.retain(|pair| pair.age + pair.reported_age < MAX_AGE);
     }
     next
 }
 
-/// A commit at the leader, by way of any VM that has a lease on it, is acknowledged at once.
+/// The leader commits a write of any VM with a lease on it; it is acknowledged at once.
 fn commit(state: &State) -> Option<State> {
     let mut next = state.clone();
     next.commits = state.commits.checked_sub(1)?;
@@ -291,23 +300,23 @@
     Some(next)
 }
 
-/// Another primary leads, once no lease is left on the first.
-fn replace(state: &State, rolled: bool) -> Option<State> {
+/// Replaces the primary, once no lease on it is left.
+fn replace(state: &State, rolled_back: bool) -> Option<State> {
     let (term, offset) = state.log;
-    if state.old.is_some() || state.lease.is_some() {
+    if state.old_log.is_some() || state.lease.is_some() {
         return None;
     }
-    let base = if rolled {
+    let base = if rolled_back {
         offset.checked_sub(1)?
     } else {
         offset
     };
     let mut next = state.clone();
-    next.old = Some(state.log);
+    next.old_log = Some(state.log);
     next.log = (term + 1, base);
-    for place in &mut next.acknowledged {
+    for point in &mut next.acknowledged {
         // A commit that was rolled back does not count.
-        *place = (*place).min((term, base));
+        *point = (*point).min((term, base));
     }
     Some(next)
 }
@@ -315,18 +324,18 @@
 fn renew(state: &State) -> Option<State> {
     let mut next = state.clone();
     next.lease = Some(state.log.0);
-    (state.old.is_some() && state.lease.is_none()).then_some(next)
+    (state.old_log.is_some() && state.lease.is_none()).then_some(next)
 }
 
-/// The leader answers, or the old primary, which the question may have gone to.
+/// The leader answers, or the old primary, to which the question may have been sent.
 fn answer(state: &State, old: bool) -> Option<State> {
     let call = state.calls[0].filter(|call| call.answer.is_none())?;
-    let place = if old { state.old? } else { state.log };
+    let point = if old { state.old_log? } else { state.log };
     let mut next = state.clone();
     let pair = Pair {
-        epoch: place.0,
-        place,
-        told: 0,
+        epoch: point.0,
+        point,
+        reported_age: 0,
         age: 0,
     };
     next.calls[0] = Some(Call {
@@ -336,9 +345,9 @@
     Some(next)
 }
 
-fn tell(state: &State) -> Option<State> {
+fn ask_peer(state: &State) -> Option<State> {
     let mut next = state.clone();
-    next.tells = state.tells.checked_sub(1)?;
+    next.peer_questions = state.peer_questions.checked_sub(1)?;
     next.calls[1] = Some(Call {
         age: 0,
         answer: None,
--- a/src/model/suite.rs
+++ b/src/model/suite.rs
@@ -1,4 +1,4 @@
-//! Every search there is: the protocol as it stands, and with each safeguard taken out.
+//! All searches: of the protocol with every safeguard, and with each safeguard disabled.
 
 mod ages;
 mod leads;
@@ -9,11 +9,11 @@
 use crate::types::Invalid;
 use std::fmt;
 
-/// One search, ready to run.
+/// A named search.
 pub struct Case {
-    /// What is searched, and within which bounds.
+    /// The specification and its bounds.
     pub name: Box<str>,
-    /// How deep it goes where time is short, such as in CI.
+    /// The depth limit for short runs, such as in CI.
     pub bound: usize,
     run: Box<dyn Fn(usize) -> Report>,
 }
@@ -31,7 +31,7 @@
     }
 }
 
-/// One write, two terms, and time.
+/// One write, two terms, and passing time.
 const CLOCK: terms::Scope = terms::Scope {
     terms: 2,
     writes: 1,
@@ -39,9 +39,9 @@
     clock: true,
     repeats: false,
     majority: false,
-    divided: false,
+    diverged: false,
 };
-/// Two writes and two changes of term, held by a majority before they are acknowledged.
+/// Two writes and two changes of term; a majority holds each write before its acknowledgement.
 const LOG: terms::Scope = terms::Scope {
     terms: 3,
     writes: 2,
@@ -49,20 +49,20 @@
     majority: true,
     ..CLOCK
 };
-/// Writes asked for again after two changes of term that left the databases divided.
-const DIVIDED: terms::Scope = terms::Scope {
+/// Writes repeated after two changes of term that left the databases' logs diverged.
+const DIVERGED: terms::Scope = terms::Scope {
     terms: 4,
     repeats: true,
-    divided: true,
+    diverged: true,
     ..LOG
 };
 
-/// The protocol as it stands: no search may find a broken property.
+/// Searches of the protocol with every safeguard; none may find a broken property.
 pub fn sound() -> Result<Vec<Case>, Invalid> {
     let restarts = 1;
     let mut cases = vec![
-        of_terms("two terms in time", CLOCK, None, 40)?,
-        of_terms(
+        terms_case("two terms in time", CLOCK, None, 40)?,
+        terms_case(
             "two terms in time, majority held",
             terms::Scope {
                 majority: true,
@@ -71,7 +71,7 @@
             None,
             12,
         )?,
-        of_terms(
+        terms_case(
             "three terms in time, one restart",
             terms::Scope {
                 terms: 3,
@@ -81,8 +81,8 @@
             None,
             11,
         )?,
-        of_terms("three terms", LOG, None, 13)?,
-        of_terms(
+        terms_case("three terms", LOG, None, 13)?,
+        terms_case(
             "three terms, primary alone",
             terms::Scope {
                 majority: false,
@@ -91,10 +91,10 @@
             None,
             12,
         )?,
-        of_terms("divided databases, repeated keys", DIVIDED, None, 9)?,
-        of_floors("one session on two proxies", None)?,
-        of_outcomes("a booking without a key", false, None),
-        of_outcomes("a booking under a key", true, None),
+        terms_case("divided databases, repeated keys", DIVERGED, None, 9)?,
+        floors_case("one session on two proxies", None)?,
+        outcomes_case("a booking without a key", false, None),
+        outcomes_case("a booking under a key", true, None),
     ];
     cases.extend(leads::sound()?);
     cases.extend(vouch::sound()?);
@@ -102,65 +102,67 @@
     Ok(cases)
 }
 
-/// What the protocol has to be able to do; the search has to find how.
+/// Searches for states that the protocol must be able to reach; each has to find its state.
 pub fn reached() -> Result<Vec<Case>, Invalid> {
     Ok(vec![leads::change()?, vouch::order()?])
 }
 
-/// The protocol with one safeguard taken out of each case: every search has to find a broken
+/// Searches of the protocol with one safeguard disabled in each; each has to find a broken
 /// property.
 pub fn unsound() -> Result<Vec<Case>, Invalid> {
-    use terms::Safeguard as Out;
-    let held = terms::Scope {
+    let majority = terms::Scope {
         majority: true,
         ..CLOCK
     };
-    let later = terms::Scope { terms: 3, ..CLOCK };
+    let three_terms = terms::Scope { terms: 3, ..CLOCK };
     let restart = terms::Scope { restarts: 1, ..LOG };
     let mut cases = Vec::new();
-    for (out, scope) in [
-        (Out::StrictRaise, CLOCK),
-        (Out::MajorityRaised, LOG),
-        (Out::WaitOut, CLOCK),
-        (Out::Drift, CLOCK),
-        (Out::SentTime, CLOCK),
-        (Out::ClockAfterAnswer, CLOCK),
-        (Out::PrimaryConfirms, CLOCK),
-        (Out::OthersConfirm, CLOCK),
-        (Out::FurthestLog, LOG),
-        (Out::OneChoice, LOG),
-        (Out::YieldOfFormer, later),
-        (Out::MajorityHolds, LOG),
-        (Out::TermKept, restart),
-        (Out::Fence, held),
-        (Out::NoOlderLog, LOG),
-        (Out::StartCounts, DIVIDED),
-        (Out::OwnTerm, DIVIDED),
+    for (disabled, scope) in [
+        (terms::Safeguard::StrictRaise, CLOCK),
+        (terms::Safeguard::MajorityRaised, LOG),
+        (terms::Safeguard::WaitOut, CLOCK),
+        (terms::Safeguard::Drift, CLOCK),
+        (terms::Safeguard::SentTime, CLOCK),
+        (terms::Safeguard::ClockAfterAnswer, CLOCK),
+        (terms::Safeguard::PrimaryConfirms, CLOCK),
+        (terms::Safeguard::OthersConfirm, CLOCK),
+        (terms::Safeguard::FurthestLog, LOG),
+        (terms::Safeguard::OneChoice, LOG),
+        (terms::Safeguard::YieldOfFormer, three_terms),
+        (terms::Safeguard::MajorityHolds, LOG),
+        (terms::Safeguard::TermKept, restart),
+        (terms::Safeguard::Fence, majority),
+        (terms::Safeguard::NoOlderLog, LOG),
+        (terms::Safeguard::StartCounts, DIVERGED),
+        (terms::Safeguard::OwnTerm, DIVERGED),
     ] {
-        let name = format!("terms without {out:?}");
-        cases.push(of_terms(&name, scope, Some(out), DEEP)?);
+        let name = format!("terms without {disabled:?}");
+        cases.push(terms_case(&name, scope, Some(disabled), MAX_DEPTH)?);
     }
-    use floors::Safeguard as Floor;
-    for out in [
-        Floor::Revoke,
-        Floor::WithinConfirmations,
-        Floor::FromQuestion,
-        Floor::StaleGrant,
-        Floor::LateRelease,
-        Floor::LeasesBeforeYield,
-        Floor::Horizon,
+
+    for disabled in [
+        floors::Safeguard::Revoke,
+        floors::Safeguard::WithinConfirmations,
+        floors::Safeguard::FromQuestion,
+        floors::Safeguard::StaleGrant,
+        floors::Safeguard::LateRelease,
+        floors::Safeguard::LeasesBeforeYield,
+        floors::Safeguard::Horizon,
     ] {
-        cases.push(of_floors(&format!("floors without {out:?}"), Some(out))?);
+        cases.push(floors_case(
+            &format!("floors without {disabled:?}"),
+            Some(disabled),
+        )?);
     }
-    use outcomes::Safeguard as Rule;
-    for (out, keyed) in [
-        (Rule::UnknownOnceSent, false),
-        (Rule::KeyForRetry, false),
-        (Rule::OneTransaction, true),
-        (Rule::TurnedAwayIsGone, false),
+
+    for (disabled, keyed) in [
+        (outcomes::Safeguard::UnknownOnceSent, false),
+        (outcomes::Safeguard::KeyForRetry, false),
+        (outcomes::Safeguard::OneTransaction, true),
+        (outcomes::Safeguard::TurnedAwayIsGone, false),
     ] {
-        let name = format!("outcomes without {out:?}");
-        cases.push(of_outcomes(&name, keyed, Some(out)));
+        let name = format!("outcomes without {disabled:?}");
+        cases.push(outcomes_case(&name, keyed, Some(disabled)));
     }
     cases.extend(leads::unsound()?);
     cases.extend(vouch::unsound()?);
@@ -168,40 +170,40 @@
     Ok(cases)
 }
 
-/// How often a booking is sent at most.
-const TRIES: u8 = 3;
+/// The maximum number of tries of a booking.
+const MAX_TRIES: u8 = 3;
 
-fn of_outcomes(name: &str, keyed: bool, out: Option<outcomes::Safeguard>) -> Case {
-    let spec = outcomes::Spec::new(keyed, TRIES, out);
+fn outcomes_case(name: &str, keyed: bool, disabled: Option<outcomes::Safeguard>) -> Case {
+    let spec = outcomes::Spec::new(keyed, MAX_TRIES, disabled);
     Case {
         name: name.into(),
-        bound: DEEP,
+        bound: MAX_DEPTH,
         run: Box::new(move |limit| spec.search(limit)),
     }
 }
 
-/// Deeper than any search here gets.
-const DEEP: usize = 60;
+/// Deeper than any search here reaches.
+const MAX_DEPTH: usize = 60;
 
-/// Writes of the session whose floor is followed.
+/// Number of writes of the modelled session.
 const SESSION_WRITES: u8 = 2;
 
-fn of_floors(name: &str, out: Option<floors::Safeguard>) -> Result<Case, Invalid> {
-    let spec = floors::Spec::new(SESSION_WRITES, out)?;
+fn floors_case(name: &str, disabled: Option<floors::Safeguard>) -> Result<Case, Invalid> {
+    let spec = floors::Spec::new(SESSION_WRITES, disabled)?;
     Ok(Case {
         name: name.into(),
-        bound: DEEP,
+        bound: MAX_DEPTH,
         run: Box::new(move |limit| spec.search(limit)),
     })
 }
 
-fn of_terms(
+fn terms_case(
     name: &str,
     scope: terms::Scope,
-    out: Option<terms::Safeguard>,
+    disabled: Option<terms::Safeguard>,
     bound: usize,
 ) -> Result<Case, Invalid> {
-    let spec = terms::Spec::new(scope, out)?;
+    let spec = terms::Spec::new(scope, disabled)?;
     Ok(Case {
         name: name.into(),
         bound,
--- a/src/model/suite/ages.rs
+++ b/src/model/suite/ages.rs
@@ -1,17 +1,17 @@
-//! The searches of ages that are told on.
+//! Searches of reads of bounded staleness.
 
-use super::{Case, DEEP};
+use super::{Case, MAX_DEPTH};
 use crate::model::ages::{Safeguard, Scope, Spec};
 use crate::types::Invalid;
 
 const SCOPE: Scope = Scope {
     commits: 2,
-    asks: 2,
-    tells: 1,
+    primary_questions: 2,
+    peer_questions: 1,
 };
 
 pub(super) fn sound() -> Result<Vec<Case>, Invalid> {
-    Ok(vec![of("ages told on", SCOPE, None, 10)?])
+    Ok(vec![case("ages told on", SCOPE, None, 10)?])
 }
 
 pub(super) fn unsound() -> Result<Vec<Case>, Invalid> {
@@ -21,19 +21,29 @@
         Safeguard::ToldAge,
         Safeguard::AskedOther,
     ];
-    let cases = cases.map(|out| {
+    let cases = cases.map(|disabled| {
         let scope = Scope {
             commits: 1,
-            asks: 1,
+            primary_questions: 1,
             ..SCOPE
         };
-        of(&format!("ages without {out:?}"), scope, Some(out), DEEP)
+        case(
+            &format!("ages without {disabled:?}"),
+            scope,
+            Some(disabled),
+            MAX_DEPTH,
+        )
     });
     cases.into_iter().collect()
 }
 
-fn of(name: &str, scope: Scope, out: Option<Safeguard>, bound: usize) -> Result<Case, Invalid> {
-    let spec = Spec::new(scope, out)?;
+fn case(
+    name: &str,
+    scope: Scope,
+    disabled: Option<Safeguard>,
+    bound: usize,
+) -> Result<Case, Invalid> {
+    let spec = Spec::new(scope, disabled)?;
     Ok(Case {
         name: name.into(),
         bound,
--- a/src/model/suite/leads.rs
+++ b/src/model/suite/leads.rs
@@ -1,11 +1,11 @@
-//! The searches of how each VM knows who leads.
+//! Searches of leases on a group's primary.
 
-use super::{Case, DEEP};
+use super::{Case, MAX_DEPTH};
 use crate::model::leads::{Safeguard, Scope, Spec};
 use crate::types::Invalid;
 
-/// Two VMs of which one is steward, and one change of primary.
-const ONE: Scope = Scope {
+/// Two VMs, one steward, and one change of primary.
+const ONE_STEWARD: Scope = Scope {
     vms: 2,
     known: 2,
     changes: 1,
@@ -16,13 +16,16 @@
     evictions: 0,
     ordered: false,
 };
-/// The same, and the duty may be taken over or handed over.
-const TWO: Scope = Scope { tokens: 2, ..ONE };
-/// The duty is taken over where a new primary was ordered and is not named.
+/// As [`ONE_STEWARD`], but the duty may be taken over or handed over.
+const TWO_STEWARDS: Scope = Scope {
+    tokens: 2,
+    ..ONE_STEWARD
+};
+/// The duty is taken over after a new primary was ordered and before it is published.
 const ORDERED: Scope = Scope {
     renewals: 5,
     ordered: true,
-    ..TWO
+    ..TWO_STEWARDS
 };
 
 pub(super) fn sound() -> Result<Vec<Case>, Invalid> {
@@ -30,55 +33,86 @@
     let late = 1;
     let evictions = 1;
     Ok(vec![
-        of("leads, one steward", ONE, None, 14)?,
-        of("leads, two stewards", TWO, None, 11)?,
-        of(
+        case("leads, one steward", ONE_STEWARD, None, 14)?,
+        case("leads, two stewards", TWO_STEWARDS, None, 11)?,
+        case(
             "leads, one steward, one restart",
-            Scope { restarts, ..ONE },
+            Scope {
+                restarts,
+                ..ONE_STEWARD
+            },
             None,
             12,
         )?,
-        of(
+        case(
             "leads, two stewards, one restart",
-            Scope { restarts, ..TWO },
+            Scope {
+                restarts,
+                ..TWO_STEWARDS
+            },
             None,
             10,
         )?,
-        of(
+        case(
             "leads, two stewards, a late write",
-            Scope { late, ..TWO },
+            Scope {
+                late,
+                ..TWO_STEWARDS
+            },
             None,
             10,
         )?,
-        of(
+        case(
             "leads, a VM that is new",
-            Scope { known: 1, ..ONE },
+            Scope {
+                known: 1,
+                ..ONE_STEWARD
+            },
             None,
             13,
         )?,
-        of("leads, three VMs", Scope { vms: 3, ..ONE }, None, 10)?,
-        of(
+        case(
+            "leads, three VMs",
+            Scope {
+                vms: 3,
+                ..ONE_STEWARD
+            },
+            None,
+            10,
+        )?,
+        case(
             "leads, rows that are marked and removed",
             Scope {
                 restarts,
                 late,
                 evictions,
-                ..ONE
+                ..ONE_STEWARD
             },
             None,
             8,
         )?,
-        of("leads, an order that was done", ORDERED, None, 10)?,
+        case("leads, an order that was done", ORDERED, None, 10)?,
     ])
 }
 
 pub(super) fn unsound() -> Result<Vec<Case>, Invalid> {
-    use Safeguard as Out;
-    // No more renewals than the counterexample needs: fewer states to look at.
-    let one = Scope { renewals: 2, ..ONE };
-    let two = Scope { renewals: 2, ..TWO };
-    let renewed = Scope { renewals: 3, ..TWO };
-    let at_once = Scope { renewals: 1, ..ONE };
+    // No more renewals than the counterexample needs, so that fewer states are searched.
+    let one = Scope {
+        renewals: 2,
+        ..ONE_STEWARD
+    };
+    let two = Scope {
+        renewals: 2,
+        ..TWO_STEWARDS
+    };
+    let renewed = Scope {
+        renewals: 3,
+        ..TWO_STEWARDS
+    };
+    let at_once = Scope {
+        renewals: 1,
+        ..ONE_STEWARD
+    };
     let restart = Scope {
         restarts: 1,
         ..at_once
@@ -88,69 +122,74 @@
         ..at_once
     };
     let mut cases = Vec::new();
-    for (out, scope) in [
-        (Out::AskedTime, one),
-        (Out::ToldAge, one),
-        (Out::PauseCounted, one),
-        (Out::CheckAfter, at_once),
-        (Out::RowInReading, new),
-        (Out::RowInNews, restart),
-        (Out::RowsAfterIntent, new),
-        (Out::DropConfirmed, at_once),
-        (Out::DropBeforeReading, restart),
-        (Out::WaitOut, at_once),
-        (Out::WaitFromAnswer, one),
-        (Out::WaitFromIntent, at_once),
-        (Out::WaitAgain, two),
-        (Out::NeverBack, one),
-        (Out::RenewBeforeOrder, two),
-        (Out::RenewalAsked, renewed),
-        (Out::Deadline, two),
-        (Out::EndResets, Scope { restarts: 1, ..two }),
-        (Out::TakeOverWaits, two),
-        (Out::CompareAndSet, Scope { restarts: 1, ..two }),
-        (Out::TokenRises, two),
-        (Out::OfferEnds, two),
-        (Out::OfferCompared, two),
+    for (disabled, scope) in [
+        (Safeguard::AskedTime, one),
+        (Safeguard::ToldAge, one),
+        (Safeguard::PauseCounted, one),
+        (Safeguard::CheckAfter, at_once),
+        (Safeguard::RowInReading, new),
+        (Safeguard::RowInNews, restart),
+        (Safeguard::RowsAfterIntent, new),
+        (Safeguard::DropConfirmed, at_once),
+        (Safeguard::DropBeforeReading, restart),
+        (Safeguard::WaitOut, at_once),
+        (Safeguard::WaitFromAnswer, one),
+        (Safeguard::WaitFromIntent, at_once),
+        (Safeguard::WaitAgain, two),
+        (Safeguard::NeverBack, one),
+        (Safeguard::RenewBeforeOrder, two),
+        (Safeguard::RenewalAsked, renewed),
+        (Safeguard::Deadline, two),
+        (Safeguard::EndResets, Scope { restarts: 1, ..two }),
+        (Safeguard::TakeOverWaits, two),
+        (Safeguard::CompareAndSet, Scope { restarts: 1, ..two }),
+        (Safeguard::TokenRises, two),
+        (Safeguard::OfferEnds, two),
+        (Safeguard::OfferCompared, two),
         (
-            Out::PublishUnderDuty,
+            Safeguard::PublishUnderDuty,
             Scope {
                 renewals: 2,
                 ..ORDERED
             },
         ),
-        (Out::RemoveCompared, Scope { late: 1, ..restart }),
+        (Safeguard::RemoveCompared, Scope { late: 1, ..restart }),
         (
-            Out::EvictionWaits,
+            Safeguard::EvictionWaits,
             Scope {
                 evictions: 1,
                 ..at_once
             },
         ),
     ] {
-        cases.push(of(
-            &format!("leads without {out:?}"),
+        cases.push(case(
+            &format!("leads without {disabled:?}"),
             scope,
-            Some(out),
-            DEEP,
+            Some(disabled),
+            MAX_DEPTH,
         )?);
     }
     Ok(cases)
 }
 
-/// Not a matter of safety: the change of primary can be ended, so that the searches above do not
-/// hold for want of steps.
+/// Checks progress: a change of primary can complete, so the searches above do not pass merely
+/// because too few steps are possible.
 pub(super) fn change() -> Result<Case, Invalid> {
-    let spec = Spec::new(ONE, None)?;
+    let spec = Spec::new(ONE_STEWARD, None)?;
     Ok(Case {
         name: "leads by a change of primary".into(),
-        bound: DEEP,
+        bound: MAX_DEPTH,
         run: Box::new(move |limit| spec.search_change(limit)),
     })
 }
 
-fn of(name: &str, scope: Scope, out: Option<Safeguard>, bound: usize) -> Result<Case, Invalid> {
-    let spec = Spec::new(scope, out)?;
+fn case(
+    name: &str,
+    scope: Scope,
+    disabled: Option<Safeguard>,
+    bound: usize,
+) -> Result<Case, Invalid> {
+    let spec = Spec::new(scope, disabled)?;
     Ok(Case {
         name: name.into(),
         bound,
--- a/src/model/suite/vouch.rs
+++ b/src/model/suite/vouch.rs
@@ -1,15 +1,15 @@
-//! The searches of leases that go on by the word of other VMs.
+//! Searches of leases extended by a quorum of other VMs.
 
-use super::{Case, DEEP};
+use super::{Case, MAX_DEPTH};
 use crate::model::vouch::{Change, Last, Safeguard, Scope, Spec};
 use crate::types::Invalid;
 
-/// Four VMs of which one is steward, and one change of primary.
-const FOUR: Scope = Scope {
+/// Four VMs, one steward, and one change of primary.
+const FOUR_VMS: Scope = Scope {
     vms: 4,
     candidates: 1,
     asker: 1,
-    change: Change::Quiet,
+    change: Change::NotStarted,
     last: Last::Known,
     age: 0,
     changes: 1,
@@ -18,21 +18,21 @@
     late: 0,
     evictions: 0,
     reads: true,
-    twins: true,
+    symmetry: true,
 };
-/// The same, from where the steward has read the rows after its intent.
+/// As [`FOUR_VMS`], but starting after the steward has read the rows after its intent.
 const WAITING: Scope = Scope {
     change: Change::Waiting,
     reads: false,
-    ..FOUR
+    ..FOUR_VMS
 };
-/// The same, from where it has not.
+/// As [`WAITING`], but starting before the steward has read the rows.
 const WRITTEN: Scope = Scope {
     change: Change::Written,
     age: 1,
     ..WAITING
 };
-/// Another VM has the duty while the first one's change is under way.
+/// Another VM takes the duty over during the first steward's change.
 const TAKEN_OVER: Scope = Scope {
     change: Change::TakenOver,
     candidates: 2,
@@ -48,33 +48,37 @@
         restarts,
         late,
         evictions,
-        ..FOUR
+        ..FOUR_VMS
     };
     let two = Scope {
         candidates: 2,
         asker: 2,
-        ..FOUR
+        ..FOUR_VMS
     };
     let mut cases = Vec::new();
     for (name, scope, bound) in [
-        ("four VMs", FOUR, 7),
-        ("four VMs that wait", WAITING, DEEP),
+        ("four VMs", FOUR_VMS, 7),
+        ("four VMs that wait", WAITING, MAX_DEPTH),
         (
             "four VMs, the steward asks",
             Scope {
                 asker: 0,
                 ..WAITING
             },
-            DEEP,
+            MAX_DEPTH,
+        ),
+        ("five VMs that wait", Scope { vms: 5, ..WAITING }, MAX_DEPTH),
+        (
+            "four VMs, old readings",
+            Scope { age: 4, ..WAITING },
+            MAX_DEPTH,
         ),
-        ("five VMs that wait", Scope { vms: 5, ..WAITING }, DEEP),
-        ("four VMs, old readings", Scope { age: 4, ..WAITING }, DEEP),
         (
             "a VM that is new and stops",
             Scope {
                 last: Last::New,
                 stops,
-                ..FOUR
+                ..FOUR_VMS
             },
             6,
         ),
@@ -88,7 +92,7 @@
             Scope {
                 restarts,
                 stops,
-                ..FOUR
+                ..FOUR_VMS
             },
             5,
         ),
@@ -101,24 +105,23 @@
             Scope {
                 changes: 2,
                 age: 1,
-                ..FOUR
+                ..FOUR_VMS
             },
             7,
         ),
     ] {
-        cases.push(of(&format!("vouch, {name}"), scope, None, bound)?);
+        cases.push(case(&format!("vouch, {name}"), scope, None, bound)?);
     }
     Ok(cases)
 }
 
 pub(super) fn unsound() -> Result<Vec<Case>, Invalid> {
-    use Safeguard as Out;
     let stop = Scope {
         stops: 1,
         ..WRITTEN
     };
-    // Where no other VM has to vouch, two show it with fewer states to look at.
-    let two = Scope { vms: 2, ..FOUR };
+    // Where no other VM has to confirm, two VMs are enough and give fewer states.
+    let two = Scope { vms: 2, ..FOUR_VMS };
     let gone = Scope {
         stops: 1,
         age: 1,
@@ -130,72 +133,82 @@
         ..two
     };
     let mut cases = Vec::new();
-    for (out, scope) in [
-        (Out::Quorum, WAITING),
-        (Out::WordAsked, WAITING),
-        (Out::WordOpen, WAITING),
+    for (disabled, scope) in [
+        (Safeguard::Quorum, WAITING),
+        (Safeguard::WordAsked, WAITING),
+        (Safeguard::WordOpen, WAITING),
         (
-            Out::WordYoung,
+            Safeguard::WordYoung,
             Scope {
                 last: Last::Removed,
                 ..WAITING
             },
         ),
         (
-            Out::LongLease,
+            Safeguard::LongLease,
             Scope {
                 last: Last::Removed,
                 asker: 3,
                 ..WAITING
             },
         ),
-        (Out::PauseCounted, WAITING),
-        (Out::FewFromReading, Scope { stops: 2, ..stop }),
-        (Out::FewLeft, WAITING),
-        (Out::RowsAfterIntent, gone),
-        (Out::WaitAgain, TAKEN_OVER),
-        (Out::RowInReading, gone),
-        (Out::DropFirst, stop),
+        (Safeguard::PauseCounted, WAITING),
+        (Safeguard::FewFromReading, Scope { stops: 2, ..stop }),
+        (Safeguard::FewLeft, WAITING),
+        (Safeguard::RowsAfterIntent, gone),
+        (Safeguard::WaitAgain, TAKEN_OVER),
+        (Safeguard::RowInReading, gone),
+        (Safeguard::DropFirst, stop),
         (
-            Out::Deaf,
+            Safeguard::Deaf,
             Scope {
                 last: Last::New,
                 ..stop
             },
         ),
         (
-            Out::EvictionWaits,
+            Safeguard::EvictionWaits,
             Scope {
                 evictions: 1,
                 ..two
             },
         ),
-        (Out::RemoveCompared, marked),
+        (Safeguard::RemoveCompared, marked),
     ] {
-        let name = format!("vouch without {out:?}");
-        let twins = false;
-        cases.push(of(&name, Scope { twins, ..scope }, Some(out), DEEP)?);
+        let name = format!("vouch without {disabled:?}");
+        let symmetry = false;
+        cases.push(case(
+            &name,
+            Scope { symmetry, ..scope },
+            Some(disabled),
+            MAX_DEPTH,
+        )?);
     }
     Ok(cases)
 }
 
-/// Not a matter of safety: leases go on by the word of others, and a primary is replaced after
-/// that, so that the searches above do not hold for want of steps.
+/// Checks progress: a lease can be extended and the primary replaced after that, so the searches
+/// above do not pass merely because too few steps are possible.
 pub(super) fn order() -> Result<Case, Invalid> {
     let scope = Scope {
-        twins: false,
+        symmetry: false,
         ..WAITING
     };
     let spec = Spec::new(scope, None)?;
     Ok(Case {
         name: "vouch by an order".into(),
-        bound: DEEP,
+        bound: MAX_DEPTH,
         run: Box::new(move |limit| spec.search_order(limit)),
     })
 }
 
-fn of(name: &str, scope: Scope, out: Option<Safeguard>, bound: usize) -> Result<Case, Invalid> {
-    let spec = Spec::new(scope, out)?;
+fn case(
+    name: &str,
+    scope: Scope,
+    disabled: Option<Safeguard>,
+    bound: usize,
+) -> Result<Case, Invalid> {
+    let spec = Spec::new(scope, disabled)?;
     Ok(Case {
         name: name.into(),
         bound,
--- a/src/model/terms.rs
+++ b/src/model/terms.rs
@@ -1,10 +1,9 @@
-//! Terms, raise, promotion and acknowledgement, as a specification to search.
+//! Specification of terms: raising, promotion and acknowledgement.
 //!
-//! Three databases and two stewards. What decides is the real `core::term` and
-//! `core::lineage`; this module plays the databases and the order of events. Any process may
-//! stay silent for as long as the search likes, so loss, delay, reordering, partition and
-//! pause need no event of their own: a step that does not happen was lost. An answer lost
-//! after its effect and a restart that forgets everything have theirs.
+//! It has three databases and two stewards. The production `core::term` and `core::lineage` make
+//! the decisions; this module simulates the databases and the order of events. Any step may fail to
+//! happen or happen at any later time, so loss, delay, reordering, partition and pause need no event
+//! of their own. An answer lost after its effect and a restart that loses all state have one.
 
 mod attempt;
 mod database;
@@ -25,49 +24,49 @@
 const STEWARDS: usize = 2;
 /// The window W.
 const WINDOW: Span = Span(100);
-/// What a steward's clock shows for one tick: the first one's runs slower by the full drift.
+/// One tick on each steward's clock; the first steward's is slower by the maximum drift.
 const TICKS: [u64; STEWARDS] = [49, 50];
-/// A moment late enough that every age below it is a valid time.
+/// Late enough that subtracting any age gives a valid time.
 const NOW: Time = Time(10_000);
-/// Ages of this many ticks are beyond every deadline and count as one.
-const OLD: u8 = 4;
+/// Ages of this many ticks are past every deadline, and equivalent to all greater ages.
+const MAX_AGE: u8 = 4;
 
-/// A rule that keeps a property; the search can be run with one of them taken out.
+/// A rule that a property depends on; a search can disable one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Safeguard {
-    /// A database takes only a strictly higher term.
+    /// A database accepts only a strictly higher term.
     StrictRaise,
-    /// A promotion needs a majority of the databases raised.
+    /// A promotion requires that a majority of the databases is raised.
     MajorityRaised,
     /// The new primary opens only after the former term's window.
     WaitOut,
     /// The wait allows for clocks that run at different speeds.
     Drift,
-    /// A confirmation counts from when its probe was sent, not from when its answer came.
+    /// A confirmation counts from when its probe was sent, not from its answer.
     SentTime,
-    /// The clock is read after the answer was.
+    /// The clock is read after the database's answer is read.
     ClockAfterAnswer,
     /// The primary itself has to confirm its term.
     PrimaryConfirms,
-    /// Other databases have to confirm the term beside the primary.
+    /// Other databases besides the primary have to confirm the term.
     OthersConfirm,
     /// The database with the furthest log is opened.
     FurthestLog,
-    /// A steward orders one database only to open in its term.
+    /// A steward orders only one database to open in its term.
     OneChoice,
-    /// A handover spares the wait only to the very next term.
+    /// A handover removes the wait only for the very next term.
     YieldOfFormer,
     /// A majority holds a write before it is acknowledged.
     MajorityHolds,
-    /// A database keeps its term through a restart.
+    /// A database keeps its term across a restart.
     TermKept,
     /// A database runs no statement of another term.
     Fence,
     /// A raised database applies no log of an older primary.
     NoOlderLog,
-    /// The start of a term counts as the end of a log, also with nothing written after it.
+    /// The start of a term counts as a log's end even with nothing written after it.
     StartCounts,
-    /// What is acknowledged in a term is held by a majority as part of that term.
+    /// A write is acknowledged in a term only if a majority holds it as part of that term.
     OwnTerm,
 }
 
@@ -76,20 +75,20 @@
 pub struct Scope {
     /// The highest term attempted.
     pub terms: u8,
-    /// How many writes callers send.
+    /// Number of writes that callers send.
     pub writes: u8,
-    /// How many processes may restart.
+    /// Maximum number of process restarts.
     pub restarts: u8,
-    /// Whether time passes. Without it confirmations are taken as kept perfectly, and longer
-    /// histories of terms come within reach.
+    /// Whether time passes. Without it confirmations are assumed always current, which makes longer
+    /// histories of terms searchable.
     pub clock: bool,
-    /// Whether callers ask again for a write of a former term, by its key.
+    /// Whether callers repeat a write of a former term, by its key.
     pub repeats: bool,
     /// Whether an acknowledgement waits until a majority holds the write.
     pub majority: bool,
-    /// Whether to start where terms 1 and 2 have each written something that no other database
-    /// holds, rather than at the beginning.
-    pub divided: bool,
+    /// Whether to start where the primaries of terms 1 and 2 have each written something that no other
+    /// database holds, instead of from empty logs.
+    pub diverged: bool,
 }
 
 /// The specification.
@@ -97,7 +96,7 @@
 pub struct Spec {
     names: [DatabaseId; DATABASES],
     scope: Scope,
-    out: Option<Safeguard>,
+    disabled: Option<Safeguard>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -107,28 +106,28 @@
     Lead(Lead),
 }
 
-/// A write that its caller was told is done.
+/// A write that was acknowledged to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Told {
+struct Acknowledgement {
     write: u8,
-    /// The term of the steward that said so.
+    /// The term of the steward that acknowledged it.
     term: u8,
-    /// The floor that the session got.
+    /// The floor that the session received.
     position: Position,
 }
 
-/// A state of the group, its stewards, and what is on its way between them.
+/// A state of the group, its stewards and the messages in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     databases: [Database; DATABASES],
     stewards: [Role; STEWARDS],
-    /// Orders to open that have not arrived: the term and the database.
+    /// Orders to open that are in flight: the term and the database.
     orders: Vec<(u8, usize)>,
-    /// The former term in a handover, under way to the other steward.
+    /// The former term of a handover in flight to the other steward.
     handover: Option<u8>,
     written: u8,
-    told: Vec<Told>,
-    /// Which database was opened in each term so far, lowest term first.
+    acknowledged: Vec<Acknowledgement>,
+    /// The database opened in each term so far, lowest term first.
     opened: Vec<(u8, usize)>,
     restarts: u8,
     broken: Option<&'static str>,
@@ -137,30 +136,30 @@
 /// A higher term was open when a write was acknowledged.
 pub const REPLACED: &str = "a replaced primary's write was acknowledged";
 /// An acknowledged write is not in a later term's log.
-pub const LOST: &str = "an acknowledged write is missing from a later term";
+pub const LOST_WRITE: &str = "an acknowledged write is missing from a later term";
 /// One term has two primaries.
 pub const SPLIT: &str = "two databases were opened in one term";
-/// The lineage says that a log holds a write which it does not.
-pub const MISTAKEN: &str = "the lineage vouches for a write that the log does not hold";
-/// A later term lacks an acknowledged write, and its lineage does not say so.
-pub const UNTOLD: &str = "a lost write's floor is not known as lost";
+/// The lineage claims that a log holds a write which it does not hold.
+pub const FALSE_LINEAGE: &str = "the lineage vouches for a write that the log does not hold";
+/// A later term lacks an acknowledged write, and its lineage does not report the write as lost.
+pub const UNREPORTED_LOSS: &str = "a lost write's floor is not known as lost";
 
 impl Spec {
-    /// A search within `scope`, with one safeguard taken `out`, or none.
-    pub fn new(scope: Scope, out: Option<Safeguard>) -> Result<Self, Invalid> {
+    /// Creates a specification bounded by `scope`, with one safeguard `disabled` or none.
+    pub fn new(scope: Scope, disabled: Option<Safeguard>) -> Result<Self, Invalid> {
         let [a, b, c] = DATABASE_NAMES;
         Ok(Self {
             names: [a.parse()?, b.parse()?, c.parse()?],
             scope,
-            out,
+            disabled,
         })
     }
 
-    fn kept(&self, safeguard: Safeguard) -> bool {
-        self.out != Some(safeguard)
+    fn enforces(&self, safeguard: Safeguard) -> bool {
+        self.disabled != Some(safeguard)
     }
 
-    /// Term 1 is open at the second database, owned by the first steward.
+    /// The initial state: term 1 is open at the second database, under the first steward.
     pub fn start(&self) -> State {
         let database = |open| Database {
             term: 1,
@@ -173,13 +172,13 @@
             orders: Vec::new(),
             handover: None,
             written: 0,
-            told: Vec::new(),
+            acknowledged: Vec::new(),
             opened: vec![(1, 1)],
             restarts: self.scope.restarts,
             broken: None,
         };
-        match self.scope.divided {
-            true => divided(state),
+        match self.scope.diverged {
+            true => diverged(state),
             false => state,
         }
     }
@@ -190,32 +189,33 @@
         search(self.start(), limit, next, |state| self.broken(state))
     }
 
-    /// The property that `state` breaks.
+    /// Returns the property that `state` breaks.
     pub fn broken(&self, state: &State) -> Option<&'static str> {
-        let vouches = |database: &Database, told: &Told| {
-            database.lineage().holds(database.end(), told.position)
-                && database.find(told.write).is_none()
+        let contradicts = |database: &Database, ack: &Acknowledgement| {
+            database.lineage().holds(database.end(), ack.position)
+                && database.find(ack.write).is_none()
         };
-        let mistaken = |told: &Told| state.databases.iter().any(|db| vouches(db, told));
-        if state.told.iter().any(mistaken) {
-            return Some(MISTAKEN);
+        let mistaken =
+            |ack: &Acknowledgement| state.databases.iter().any(|db| contradicts(db, ack));
+        if state.acknowledged.iter().any(mistaken) {
+            return Some(FALSE_LINEAGE);
         }
         state.broken
     }
 
-    /// The steps out of `state`.
+    /// Returns all steps from `state`.
     pub fn next(&self, state: &State) -> Vec<Step<State, Event>> {
         let mut steps = Vec::new();
-        let mut take = |event, next: Option<State>| {
+        let mut add = |event, next: Option<State>| {
             steps.extend(next.map(|state| Step { event, state }));
         };
         if self.scope.clock {
-            take(Event::Tick, self.tick(state));
+            add(Event::Tick, self.tick(state));
         }
         for s in 0..STEWARDS {
             match state.stewards[s] {
-                Role::Lead(lead) => self.lead_steps(state, s, lead, &mut take),
-                Role::Attempt(attempt) => self.attempt_steps(state, s, attempt, &mut take),
+                Role::Lead(lead) => self.lead_steps(state, s, lead, &mut add),
+                Role::Attempt(attempt) => self.attempt_steps(state, s, attempt, &mut add),
                 Role::Idle => {}
             }
             let known = match state.stewards[s] {
@@ -224,29 +224,29 @@
                 Role::Lead(lead) => lead.term,
             };
             for term in known + 1..=self.scope.terms {
-                take(Event::Attempt(s, term), self.attempt(state, s, term));
+                add(Event::Attempt(s, term), self.attempt(state, s, term));
             }
             if state.restarts > 0 && state.stewards[s] != Role::Idle {
-                take(Event::RestartSteward(s), self.restart_steward(state, s));
+                add(Event::RestartSteward(s), self.restart_steward(state, s));
             }
         }
         for d in 0..DATABASES {
             for order in &state.orders {
                 if order.1 == d {
-                    take(Event::Open(d, order.0), self.open(state, *order));
+                    add(Event::Open(d, order.0), self.open(state, *order));
                 }
             }
-            // Where nothing waits for replicas, only who acknowledges when is searched for.
+            // Without waiting for replicas, only the timing of acknowledgements is searched.
             let replicas = if self.scope.majority || !self.scope.clock {
                 DATABASES
             } else {
                 0
             };
             for r in 0..replicas {
-                take(Event::Replicate(d, r), self.replicate(state, d, r));
+                add(Event::Replicate(d, r), self.replicate(state, d, r));
             }
-            if !self.kept(Safeguard::TermKept) && state.restarts > 0 {
-                take(Event::RestartDatabase(d), self.restart_database(state, d));
+            if !self.enforces(Safeguard::TermKept) && state.restarts > 0 {
+                add(Event::RestartDatabase(d), self.restart_database(state, d));
             }
         }
         steps
@@ -257,27 +257,27 @@
         state: &State,
         s: usize,
         lead: Lead,
-        take: &mut impl FnMut(Event, Option<State>),
+        add: &mut impl FnMut(Event, Option<State>),
     ) {
         for d in 0..DATABASES {
             if self.scope.clock {
-                take(Event::Probe(s, d), self.probe(state, s, lead, d));
-                take(Event::Hear(s, d), self.hear(state, s, lead, d));
+                add(Event::Probe(s, d), self.probe(state, s, lead, d));
+                add(Event::Receive(s, d), self.receive(state, s, lead, d));
             }
-            take(Event::Reach(s, d), self.reach(state, s, lead, d));
+            add(Event::ReportHeld(s, d), self.report_held(state, s, lead, d));
         }
         let write = state.written;
-        take(Event::Write(s, write), self.write(state, s, lead));
+        add(Event::Write(s, write), self.write(state, s, lead));
         if self.scope.repeats {
             for write in 0..state.written {
-                take(Event::Repeat(s, write), self.repeat(state, s, lead, write));
+                add(Event::Repeat(s, write), self.repeat(state, s, lead, write));
             }
         }
         if let Some(pending) = lead.pending {
             let event = Event::Acknowledge(s, pending.write);
-            take(event, self.acknowledge(state, s, lead, pending));
+            add(event, self.acknowledge(state, s, lead, pending));
         }
-        take(Event::Yield(s), self.hand_over(state, s, lead));
+        add(Event::Yield(s), self.hand_over(state, s, lead));
     }
 
     fn attempt_steps(
@@ -285,33 +285,35 @@
         state: &State,
         s: usize,
         attempt: Attempt,
-        take: &mut impl FnMut(Event, Option<State>),
+        add: &mut impl FnMut(Event, Option<State>),
     ) {
         for d in 0..DATABASES {
-            take(Event::Raise(s, d), self.raise(state, s, attempt, d));
-            let unheard = self.raise_unheard(state, attempt, d);
-            take(Event::RaiseUnheard(s, d), unheard);
+            add(Event::Raise(s, d), self.raise(state, s, attempt, d));
+            let answer_lost = self.raise_answer_lost(state, attempt, d);
+            add(Event::RaiseAnswerLost(s, d), answer_lost);
         }
         if let Some(former) = state.handover {
             let event = Event::TakeOver(s, former);
-            take(event, self.take_over(state, s, attempt, former));
+            add(event, self.take_over(state, s, attempt, former));
         }
         if let Some((d, next)) = self.order(state, s, attempt) {
-            take(Event::Order(s, d), Some(next));
+            add(Event::Order(s, d), Some(next));
         }
     }
 
     fn tick(&self, state: &State) -> Option<State> {
         let mut next = state.clone();
-        let older = |age: &mut Option<u8>| *age = age.map(|age| age + 1).filter(|age| *age < OLD);
+        let increment =
+            |age: &mut Option<u8>| *age = age.map(|age| age + 1).filter(|age| *age < MAX_AGE);
         for role in &mut next.stewards {
             match role {
                 Role::Lead(lead) => {
-                    lead.heard.iter_mut().for_each(older);
-                    lead.coming.iter_mut().for_each(older);
+                    lead.answered.iter_mut().for_each(increment);
+                    lead.in_flight.iter_mut().for_each(increment);
                 }
                 Role::Attempt(attempt) => {
-                    attempt.settled = attempt.settled.map(|age| OLD.min(age + 1));
+                    attempt.majority_raised =
+                        attempt.majority_raised.map(|age| MAX_AGE.min(age + 1));
                 }
                 Role::Idle => {}
             }
@@ -335,12 +337,12 @@
         next.opened.push((term, d));
         next.opened.sort_unstable();
         let database = &next.databases[d];
-        let before = state.told.iter().filter(|told| told.term < term);
-        for told in before.filter(|told| database.find(told.write).is_none()) {
-            let known = database.lineage().standing(told.position) == Standing::Lost;
+        let before = state.acknowledged.iter().filter(|ack| ack.term < term);
+        for ack in before.filter(|ack| database.find(ack.write).is_none()) {
+            let known = database.lineage().standing(ack.position) == Standing::Lost;
             let broken = match (self.scope.majority, known) {
-                (true, _) => Some(LOST),
-                (false, false) => Some(UNTOLD),
+                (true, _) => Some(LOST_WRITE),
+                (false, false) => Some(UNREPORTED_LOSS),
                 (false, true) => None,
             };
             next.broken = next.broken.or(broken);
@@ -357,7 +359,7 @@
 
     fn replicate(&self, state: &State, from: usize, to: usize) -> Option<State> {
         let (source, target) = (&state.databases[from], &state.databases[to]);
-        let follows = match self.out {
+        let follows = match self.disabled {
             Some(Safeguard::NoOlderLog) => true,
             Some(Safeguard::Fence) => target.term <= source.term,
             _ => target.term == source.term,
@@ -377,7 +379,7 @@
     }
 
     fn restart_steward(&self, state: &State, s: usize) -> Option<State> {
-        let mut next = with(state, s, Role::Idle);
+        let mut next = with_role(state, s, Role::Idle);
         next.restarts -= 1;
         Some(next)
     }
@@ -390,9 +392,9 @@
     }
 }
 
-/// The second steward has opened term 2 at the first database, without the last write of term
-/// 1, and has written there itself.
-fn divided(mut state: State) -> State {
+/// Diverges the logs: the second steward has opened term 2 at the first database, without the last
+/// write of term 1, and has written there itself.
+fn diverged(mut state: State) -> State {
     let [a, b, c] = &mut state.databases;
     b.log.push(Item::Write { term: 1, write: 0 });
     a.log.push(Item::Start(2));
@@ -405,7 +407,7 @@
     state
 }
 
-fn with(state: &State, s: usize, role: Role) -> State {
+fn with_role(state: &State, s: usize, role: Role) -> State {
     let mut next = state.clone();
     next.stewards[s] = role;
     next
--- a/src/model/terms/attempt.rs
+++ b/src/model/terms/attempt.rs
@@ -1,18 +1,18 @@
-//! A steward that moves the group to its term: raise, choice, order to open.
+//! A steward that moves the group to its term: raising databases, choosing one, ordering it to open.
 
 use super::database::Database;
-use super::{DATABASES, NOW, Role, Safeguard, Spec, State, TICKS, WINDOW, with};
+use super::{DATABASES, NOW, Role, Safeguard, Spec, State, TICKS, WINDOW, with_role};
 use crate::clock::Span;
 use crate::core::term::{Promotion, majority, may_raise};
 use crate::types::{DatabaseId, Position, Term};
 use std::collections::BTreeSet;
 
-/// A steward that moves the group to its term.
+/// A steward's attempt to move the group to its term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Attempt {
     pub(super) term: u8,
     raised: [Option<Position>; DATABASES],
-    pub(super) settled: Option<u8>,
+    pub(super) majority_raised: Option<u8>,
     /// The term that was handed over to this steward.
     yielded: Option<u8>,
     pub(super) ordered: Option<usize>,
@@ -24,7 +24,7 @@
         next.stewards[s] = Role::Attempt(Attempt {
             term,
             raised: [None; DATABASES],
-            settled: None,
+            majority_raised: None,
             yielded: None,
             ordered: None,
         });
@@ -33,7 +33,7 @@
 
     fn raises(&self, database: &Database, term: u8) -> bool {
         let (current, wanted) = (Term(database.term.into()), Term(term.into()));
-        may_raise(current, wanted) || (!self.kept(Safeguard::StrictRaise) && current == wanted)
+        may_raise(current, wanted) || (!self.enforces(Safeguard::StrictRaise) && current == wanted)
     }
 
     pub(super) fn raise(
@@ -46,31 +46,36 @@
         if attempt.raised[d].is_some() {
             return None;
         }
-        let mut next = self.raise_unheard(state, attempt, d)?;
+        let mut next = self.raise_answer_lost(state, attempt, d)?;
         let database = &next.databases[d];
-        attempt.raised[d] = Some(match self.kept(Safeguard::StartCounts) {
+        attempt.raised[d] = Some(match self.enforces(Safeguard::StartCounts) {
             true => database.end(),
             false => database.end_of_writes(),
         });
-        let needed = match self.kept(Safeguard::MajorityRaised) {
+        let needed = match self.enforces(Safeguard::MajorityRaised) {
             true => majority(DATABASES),
             false => 1,
         };
         if attempt.raised.iter().flatten().count() == needed {
-            attempt.settled = Some(0);
+            attempt.majority_raised = Some(0);
         }
         next.stewards[s] = Role::Attempt(attempt);
         Some(next)
     }
 
-    pub(super) fn raise_unheard(&self, state: &State, attempt: Attempt, d: usize) -> Option<State> {
+    pub(super) fn raise_answer_lost(
+        &self,
+        state: &State,
+        attempt: Attempt,
+        d: usize,
+    ) -> Option<State> {
         if !self.raises(&state.databases[d], attempt.term) {
             return None;
         }
         let mut next = state.clone();
         next.databases[d].term = attempt.term;
-        next.databases[d].open &= !self.kept(Safeguard::Fence);
-        if self.kept(Safeguard::TermKept) {
+        next.databases[d].open &= !self.enforces(Safeguard::Fence);
+        if self.enforces(Safeguard::TermKept) {
             next.orders
                 .retain(|order| order.1 != d || order.0 >= attempt.term);
         }
@@ -84,33 +89,33 @@
         mut attempt: Attempt,
         former: u8,
     ) -> Option<State> {
-        let news = attempt.yielded.is_none() && attempt.ordered.is_none();
+        let relevant = attempt.yielded.is_none() && attempt.ordered.is_none();
         attempt.yielded = Some(former);
-        news.then(|| with(state, s, Role::Attempt(attempt)))
+        relevant.then(|| with_role(state, s, Role::Attempt(attempt)))
     }
 
-    /// The real promotion, rebuilt from the attempt.
+    /// Rebuilds the production promotion from the attempt.
     fn promotion(&self, s: usize, attempt: &Attempt) -> Promotion {
         let raised = self.names.iter().zip(attempt.raised);
         let raised = raised.filter_map(|(name, end)| Some((name, end?)));
-        let members: BTreeSet<DatabaseId> = match self.kept(Safeguard::MajorityRaised) {
+        let members: BTreeSet<DatabaseId> = match self.enforces(Safeguard::MajorityRaised) {
             true => self.names.iter().cloned().collect(),
             false => raised.clone().map(|(name, _)| name.clone()).collect(),
         };
         let mut promotion = Promotion::new(Term(attempt.term.into()), members);
-        let age = u64::from(attempt.settled.unwrap_or(0));
-        let settled = NOW - Span(TICKS[s] * age);
-        let window = match self.out {
+        let age = u64::from(attempt.majority_raised.unwrap_or(0));
+        let majority_raised = NOW - Span(TICKS[s] * age);
+        let window = match self.disabled {
             _ if !self.scope.clock => Span::ZERO,
             Some(Safeguard::WaitOut) => Span::ZERO,
             Some(Safeguard::Drift) => Span(WINDOW.0 - 1),
             _ => WINDOW,
         };
         for (name, end) in raised {
-            promotion.raised(name, end, settled, window);
+            promotion.raised(name, end, majority_raised, window);
         }
         if let Some(former) = attempt.yielded {
-            let former = match self.kept(Safeguard::YieldOfFormer) {
+            let former = match self.enforces(Safeguard::YieldOfFormer) {
                 true => former,
                 false => attempt.term - 1,
             };
@@ -125,12 +130,12 @@
         s: usize,
         mut attempt: Attempt,
     ) -> Option<(usize, State)> {
-        if attempt.ordered.is_some() && self.kept(Safeguard::OneChoice) {
+        if attempt.ordered.is_some() && self.enforces(Safeguard::OneChoice) {
             return None;
         }
         let mut promotion = self.promotion(s, &attempt);
         let choice = promotion.order(NOW)?;
-        let d = match self.kept(Safeguard::FurthestLog) {
+        let d = match self.enforces(Safeguard::FurthestLog) {
             true => self.names.iter().position(|name| name == choice)?,
             false => attempt.raised.iter().rposition(Option::is_some)?,
         };
@@ -138,7 +143,7 @@
             return None;
         }
         attempt.ordered = Some(d);
-        let mut next = with(state, s, Role::Attempt(attempt));
+        let mut next = with_role(state, s, Role::Attempt(attempt));
         next.orders.push((attempt.term, d));
         next.orders.sort_unstable();
         Some((d, next))
--- a/src/model/terms/database.rs
+++ b/src/model/terms/database.rs
@@ -45,7 +45,7 @@
         Position::new(Term(self.opened().unwrap_or(0).into()), self.offset())
     }
 
-    /// The end with the term of the last write alone.
+    /// The end, with the term of the last write instead of the last start.
     pub(super) fn end_of_writes(&self) -> Position {
         let term = self.log.iter().rev().find_map(|item| match item {
             Item::Start(_) => None,
@@ -62,7 +62,7 @@
         Offset(writes.count() as u64)
     }
 
-    /// Where a write stands in the log.
+    /// Returns the position of a write in the log.
     pub(super) fn find(&self, write: u8) -> Option<Position> {
         let mut offset = Offset(0);
         for item in &self.log {
--- a/src/model/terms/event.rs
+++ b/src/model/terms/event.rs
@@ -1,9 +1,9 @@
-//! What happens in one step of the search, in words.
+//! The events of the specification, and their text in traces.
 
 use crate::model::terms::DATABASE_NAMES;
 use std::fmt;
 
-/// What happens in one step; stewards and databases by index.
+/// An event; stewards and databases by index.
 #[derive(Debug, Clone, Copy)]
 pub enum Event {
     /// Time passes.
@@ -11,26 +11,26 @@
     /// A database answers a steward's probe.
     Probe(usize, usize),
     /// The probe's answer arrives.
-    Hear(usize, usize),
-    /// The primary commits a write and its answer arrives at the steward.
+    Receive(usize, usize),
+    /// The primary commits a write, and the steward receives its answer.
     Write(usize, u8),
-    /// A caller asks again for a write of a former term.
+    /// A caller repeats a write of a former term.
     Repeat(usize, u8),
-    /// A database answers that its log holds the pending write.
-    Reach(usize, usize),
-    /// A steward passes an answer on.
+    /// A database reports that its log holds the pending write.
+    ReportHeld(usize, usize),
+    /// A steward acknowledges a write to its caller.
     Acknowledge(usize, u8),
-    /// A steward starts to raise to a term.
+    /// A steward starts to raise databases to a term.
     Attempt(usize, u8),
-    /// A database is raised and the steward hears of it.
+    /// A database is raised, and the steward receives the answer.
     Raise(usize, usize),
     /// A database is raised, and its answer is lost.
-    RaiseUnheard(usize, usize),
+    RaiseAnswerLost(usize, usize),
     /// A steward orders a database to open.
     Order(usize, usize),
     /// A database carries out an order to open in a term.
     Open(usize, u8),
-    /// A steward hands over, and acknowledges nothing more.
+    /// A steward hands its term over, and acknowledges nothing more.
     Yield(usize),
     /// The handover arrives at a steward that is raising.
     TakeOver(usize, u8),
@@ -49,14 +49,14 @@
         match self {
             Event::Tick => write!(f, "half a window passes"),
             Event::Probe(s, d) => write!(f, "{} answers a probe of vm{}", db(d), vm(s)),
-            Event::Hear(s, d) => write!(f, "vm{} hears {}'s answer", vm(s), db(d)),
+            Event::Receive(s, d) => write!(f, "vm{} hears {}'s answer", vm(s), db(d)),
             Event::Write(s, w) => write!(f, "vm{}'s primary commits write {w}", vm(s)),
             Event::Repeat(s, w) => write!(f, "vm{} is asked again for write {w}", vm(s)),
-            Event::Reach(s, d) => write!(f, "{} tells vm{} it holds the write", db(d), vm(s)),
+            Event::ReportHeld(s, d) => write!(f, "{} tells vm{} it holds the write", db(d), vm(s)),
             Event::Acknowledge(s, w) => write!(f, "vm{} acknowledges write {w}", vm(s)),
             Event::Attempt(s, t) => write!(f, "vm{} starts to raise to term {t}", vm(s)),
             Event::Raise(s, d) => write!(f, "vm{} raises {}", vm(s), db(d)),
-            Event::RaiseUnheard(s, d) => {
+            Event::RaiseAnswerLost(s, d) => {
                 write!(f, "vm{} raises {}, the answer is lost", vm(s), db(d))
             }
             Event::Order(s, d) => write!(f, "vm{} orders {} to open", vm(s), db(d)),
--- a/src/model/terms/lead.rs
+++ b/src/model/terms/lead.rs
@@ -1,7 +1,10 @@
 //! A steward that has opened its term: probes, writes, acknowledgement, handover.
 
 use super::database::{Database, Item};
-use super::{DATABASES, NOW, REPLACED, Role, Safeguard, Spec, State, TICKS, Told, WINDOW, with};
+use super::{
+    Acknowledgement, DATABASES, NOW, REPLACED, Role, Safeguard, Spec, State, TICKS, WINDOW,
+    with_role,
+};
 use crate::clock::Span;
 use crate::core::term::{Confirmations, binding, majority};
 use crate::types::{Position, Term};
@@ -10,14 +13,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Pending {
     pub(super) write: u8,
-    /// Where it is in the log.
+    /// Its position in the log.
     position: Position,
-    /// What a majority has to hold.
+    /// The position that a majority has to hold.
     binding: Position,
-    /// The databases known to hold it.
+    /// The databases known to hold it, one bit each.
     holders: u8,
-    /// What the clock said before the answer was read.
-    early: bool,
+    /// Whether the term was confirmed before the answer was read.
+    confirmed_before: bool,
 }
 
 /// A steward that has opened its term. Ages count in ticks.
@@ -25,10 +28,10 @@
 pub(super) struct Lead {
     pub(super) term: u8,
     primary: usize,
-    /// Since when each database's last answer that was heard had been asked for.
-    pub(super) heard: [Option<u8>; DATABASES],
-    /// The same of an answer that is still on its way.
-    pub(super) coming: [Option<u8>; DATABASES],
+    /// For each database, ticks since the probe behind its last received answer.
+    pub(super) answered: [Option<u8>; DATABASES],
+    /// For each database, ticks since the probe behind an answer in flight.
+    pub(super) in_flight: [Option<u8>; DATABASES],
     pub(super) pending: Option<Pending>,
 }
 
@@ -37,54 +40,60 @@
         Self {
             term,
             primary,
-            heard: [None; DATABASES],
-            coming: [None; DATABASES],
+            answered: [None; DATABASES],
+            in_flight: [None; DATABASES],
             pending: None,
         }
     }
 }
 
 impl Spec {
-    /// A database's answer counts at once. That it may come later allows nothing more, as long
-    /// as it counts from when it was asked for: only without that rule is it kept back.
+    /// Receives a database's answer at once. Delay would add no behaviour, because a confirmation counts
+    /// from its probe; only with `SentTime` disabled does the answer stay in flight first.
     pub(super) fn probe(&self, state: &State, s: usize, mut lead: Lead, d: usize) -> Option<State> {
         if state.databases[d].term != lead.term {
             return None;
         }
-        match self.kept(Safeguard::SentTime) {
-            true => lead.heard[d] = Some(0),
-            false => lead.coming[d] = Some(lead.coming[d].unwrap_or(0)),
+        match self.enforces(Safeguard::SentTime) {
+            true => lead.answered[d] = Some(0),
+            false => lead.in_flight[d] = Some(lead.in_flight[d].unwrap_or(0)),
         }
-        let next = with(state, s, Role::Lead(lead));
+        let next = with_role(state, s, Role::Lead(lead));
         (next != *state).then_some(next)
     }
 
-    pub(super) fn hear(&self, state: &State, s: usize, mut lead: Lead, d: usize) -> Option<State> {
-        lead.coming[d].take()?;
-        lead.heard[d] = Some(0);
-        Some(with(state, s, Role::Lead(lead)))
+    pub(super) fn receive(
+        &self,
+        state: &State,
+        s: usize,
+        mut lead: Lead,
+        d: usize,
+    ) -> Option<State> {
+        lead.in_flight[d].take()?;
+        lead.answered[d] = Some(0);
+        Some(with_role(state, s, Role::Lead(lead)))
     }
 
     fn confirmations(&self, s: usize, lead: &Lead) -> Confirmations {
         let term = Term(lead.term.into());
         let primary = &self.names[lead.primary];
         let mut confirmations = Confirmations::new(term, primary.clone(), DATABASES);
-        for (name, age) in self.names.iter().zip(lead.heard) {
+        for (name, age) in self.names.iter().zip(lead.answered) {
             let Some(age) = age else { continue };
             let sent = NOW - Span(TICKS[s] * u64::from(age));
             confirmations.confirm(name, sent, WINDOW);
-            if name == primary && !self.kept(Safeguard::OthersConfirm) {
+            if name == primary && !self.enforces(Safeguard::OthersConfirm) {
                 let others = self.names.iter().filter(|name| *name != primary);
                 others.for_each(|other| confirmations.confirm(other, sent, WINDOW));
             }
         }
-        if !self.kept(Safeguard::PrimaryConfirms) {
+        if !self.enforces(Safeguard::PrimaryConfirms) {
             confirmations.confirm(primary, NOW, WINDOW);
         }
         confirmations
     }
 
-    /// Whether the steward may pass an answer on now.
+    /// Returns whether the steward may acknowledge now.
     fn holds(&self, state: &State, s: usize, lead: &Lead) -> bool {
         if self.scope.clock {
             return self.confirmations(s, lead).hold(NOW);
@@ -96,12 +105,12 @@
 
     pub(super) fn write(&self, state: &State, s: usize, mut lead: Lead) -> Option<State> {
         let primary = &state.databases[lead.primary];
-        let fenced = primary.term != lead.term && self.kept(Safeguard::Fence);
+        let fenced = primary.term != lead.term && self.enforces(Safeguard::Fence);
         if fenced || !primary.open || state.written == self.scope.writes {
             return None;
         }
         let write = state.written;
-        let early = self.holds(state, s, &lead);
+        let confirmed_before = self.holds(state, s, &lead);
         let mut next = state.clone();
         let log = &mut next.databases[lead.primary].log;
         log.push(Item::Write {
@@ -115,7 +124,7 @@
             position,
             binding: position,
             holders: 1 << lead.primary,
-            early,
+            confirmed_before,
         });
         next.stewards[s] = Role::Lead(lead);
         Some(next)
@@ -134,7 +143,7 @@
         if !answers || lead.pending.is_some() {
             return None;
         }
-        let term = match self.kept(Safeguard::OwnTerm) {
+        let term = match self.enforces(Safeguard::OwnTerm) {
             true => Term(lead.term.into()),
             false => position.term,
         };
@@ -143,12 +152,18 @@
             position,
             binding: binding(term, position),
             holders: 1 << lead.primary,
-            early: false,
+            confirmed_before: false,
         });
-        Some(with(state, s, Role::Lead(lead)))
+        Some(with_role(state, s, Role::Lead(lead)))
     }
 
-    pub(super) fn reach(&self, state: &State, s: usize, mut lead: Lead, d: usize) -> Option<State> {
+    pub(super) fn report_held(
+        &self,
+        state: &State,
+        s: usize,
+        mut lead: Lead,
+        d: usize,
+    ) -> Option<State> {
         let pending = lead.pending.as_mut().filter(|_| self.scope.majority)?;
         let database = &state.databases[d];
         let known = pending.holders & (1 << d) != 0;
@@ -156,7 +171,7 @@
             return None;
         }
         pending.holders |= 1 << d;
-        Some(with(state, s, Role::Lead(lead)))
+        Some(with_role(state, s, Role::Lead(lead)))
     }
 
     pub(super) fn acknowledge(
@@ -167,23 +182,23 @@
         write: Pending,
     ) -> Option<State> {
         let held = write.holders.count_ones() as usize >= majority(DATABASES);
-        let durable = held || !self.scope.majority || !self.kept(Safeguard::MajorityHolds);
-        let confirmed = match self.kept(Safeguard::ClockAfterAnswer) {
+        let durable = held || !self.scope.majority || !self.enforces(Safeguard::MajorityHolds);
+        let confirmed = match self.enforces(Safeguard::ClockAfterAnswer) {
             true => self.holds(state, s, &lead),
-            false => write.early,
+            false => write.confirmed_before,
         };
         if !durable || !confirmed {
             return None;
         }
         lead.pending = None;
-        let mut next = with(state, s, Role::Lead(lead));
-        next.told.push(Told {
+        let mut next = with_role(state, s, Role::Lead(lead));
+        next.acknowledged.push(Acknowledgement {
             write: write.write,
             term: lead.term,
             position: write.position,
         });
-        next.told.sort_unstable();
-        next.told.dedup();
+        next.acknowledged.sort_unstable();
+        next.acknowledged.dedup();
         let latest = state.opened.last().map_or(0, |(term, _)| *term);
         if latest > lead.term && self.scope.clock {
             next.broken = Some(REPLACED);
@@ -195,7 +210,7 @@
         if !self.scope.clock || state.handover.is_some() {
             return None;
         }
-        let mut next = with(state, s, Role::Idle);
+        let mut next = with_role(state, s, Role::Idle);
         next.handover = Some(lead.term);
         Some(next)
     }
--- a/src/model/vouch.rs
+++ b/src/model/vouch.rs
@@ -1,18 +1,18 @@
-//! Leases that go on by the word of other VMs, and the wait of a replacement, as a specification.
+//! Specification of leases extended by a quorum of other VMs, and of the wait before a replacement.
 //!
-//! Four or five VMs, of which two may be steward, their rows and the lead's in the store, and one
-//! group. What a VM believes, and what it vouches for, is the real `direct::lead::Book`; how long a
-//! steward waits is the real `direct::control::promotion::Revocation`.
+//! It has up to five VMs, of which two may be steward, their rows and the lead row in the store, and
+//! one group. The production `direct::lead` holds a VM's leases and decides which ones it confirms to
+//! others; the production `direct::control::promotion::Revocation` decides how long a steward waits.
 //!
-//! A step that does not happen was lost, cut off, or asleep, as in [`leads`](crate::model::leads).
-//! That specification has what is left out here: the duty is taken at any time, an order leaves and
-//! arrives in the step in which the duty is renewed, and what the steward tells is a reading of one's
-//! own that is heard late.
+//! Any step may fail to happen, as in [`leads`](crate::model::leads). That specification covers what
+//! is simplified here: the duty may be taken over at any time, an order is sent and arrives in the
+//! step in which the duty is renewed, and a steward's update is modelled as a VM's own reading whose
+//! answer arrives late.
 
-mod belief;
 mod event;
+mod lease;
 mod steward;
-mod twin;
+mod symmetry;
 mod vm;
 
 use crate::clock::{Span, Time};
@@ -20,116 +20,116 @@
 use crate::model::search::{Report, Step, search};
 use crate::types::{DatabaseId, GroupId, Invalid};
 pub use event::Event;
-use vm::{Age, Call, Duty, Intent, LeadRow, Notes, Row, Rows, Vm, Write};
+use vm::{Age, Call, Duty, Intent, LeadRow, Reading, Row, Rows, Vm, Write};
 
-/// The most VMs.
+/// The maximum number of VMs.
 const VMS: usize = 5;
-/// Half a term: what lasts a term ends with the second tick, what lasts a lease with the seventh.
-const TICK: Span = Span(lead::TERM.0 / TERM as u64);
-const TERM: Age = 2;
-/// From this age on a reading is no lease, whoever vouches.
-const OLD: Age = lead::LEASE.0.div_ceil(TICK.0) as Age;
-/// A moment late enough that every age is a valid time.
+/// Half a term: a term ends with the second tick, a long lease with the seventh.
+const TICK: Span = Span(lead::TERM.0 / TERM_TICKS as u64);
+const TERM_TICKS: Age = 2;
+/// From this age on a reading gives no lease, even with a quorum's confirmation.
+const LEASE_TICKS: Age = lead::LEASE.0.div_ceil(TICK.0) as Age;
+/// Late enough that subtracting any age gives a valid time.
 const NOW: Time = Time(4 * lead::LEASE.0);
 
-/// A rule that keeps a replaced primary from being acted on; one can be taken out.
+/// A rule that keeps a replaced primary from being acted on; a search can disable one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Safeguard {
-    /// Three VMs are a quorum, not two.
+    /// A quorum is three VMs, not two.
     Quorum,
-    /// The word of others counts from when they were asked.
+    /// A confirmation by others counts from when they were asked.
     WordAsked,
-    /// A VM that dropped the epoch does not vouch for it.
+    /// A VM that dropped the epoch does not confirm it.
     WordOpen,
-    /// A VM vouches only by a reading of its own that is young.
+    /// A VM confirms an epoch only by a recent reading of its own.
     WordYoung,
-    /// No word of others makes a lease longer than the long one.
+    /// Confirmations extend no lease beyond the long lease.
     LongLease,
     /// The clock counts pauses.
     PauseCounted,
-    /// The short wait counts from when the rows were there, not from the intent.
+    /// The short wait counts from the reading of the rows, not from the intent.
     FewFromReading,
-    /// The short wait begins only once two are left.
+    /// The short wait begins only once no more than two VMs are pending.
     FewLeft,
     /// The steward reads the VMs' rows after its intent is written.
     RowsAfterIntent,
-    /// A new steward waits anew.
+    /// A new steward starts the wait again.
     WaitAgain,
-    /// A reading is a lease only for a life whose row it shows.
+    /// A reading gives a lease only to a life whose row it shows.
     RowInReading,
-    /// A VM that stops drops all before its row goes.
+    /// A VM that stops drops all epochs before its row is removed.
     DropFirst,
-    /// A VM that has dropped all to stop learns nothing more.
+    /// A VM that has dropped all epochs to stop accepts no more readings.
     Deaf,
-    /// A marked row goes only once no reading from before the mark is young.
+    /// An evicted row is removed only once no reading from before the eviction is recent.
     EvictionWaits,
-    /// A row is removed only as it was.
+    /// A row is removed only if its version is unchanged.
     RemoveCompared,
 }
 
-/// How far a change of primary is where a search begins.
+/// The progress of a change of primary in the initial state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// All VMs know who leads, and no change is under way.
-    Quiet,
+    /// All VMs know who leads, and no change has started.
+    NotStarted,
     /// The steward wrote its intent half a term ago, and has not read the VMs' rows.
     Written,
     /// The steward has just written its intent, and read the rows.
     Waiting,
-    /// The same, and another VM has taken the duty over.
+    /// As `Waiting`, but another VM has taken the duty over.
     TakenOver,
 }
 
-/// How the last VM stands where a search begins.
+/// The last VM's condition in the initial state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Last {
     /// Like the others.
     Known,
-    /// It is new: its row is there, and its first reading is on its way.
+    /// It is new: its row is written, and its first reading is in flight.
     New,
     /// It was marked as evicted a lease ago, and has read nothing since.
     Marked,
-    /// The same, and its row is removed.
+    /// As `Marked`, and its row is removed.
     Removed,
 }
 
 /// The bounds of a search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Scope {
-    /// How many VMs there are.
+    /// Number of VMs.
     pub vms: usize,
-    /// How many of them may be steward.
+    /// Number of VMs that may be steward.
     pub candidates: usize,
-    /// The VM that asks others to vouch. More need not: what a VM vouches for does not depend on
-    /// what others vouched for it.
+    /// The VM that asks others for confirmation. One is enough: what a VM confirms does not depend on
+    /// the confirmations it received.
     pub asker: usize,
-    /// Where it begins.
+    /// The progress of the change of primary in the initial state.
     pub change: Change,
-    /// How the last VM stands there.
+    /// The last VM's condition in the initial state.
     pub last: Last,
-    /// How old all readings are at the start, in ticks.
+    /// The age of all readings at the start, in ticks.
     pub age: u8,
-    /// How often the primary is replaced.
+    /// Maximum number of changes of primary.
     pub changes: u8,
-    /// How many processes may end and start again.
+    /// Maximum number of process restarts.
     pub restarts: u8,
-    /// How many VMs may stop as planned.
+    /// Maximum number of planned stops.
     pub stops: u8,
-    /// How many writes may be done after they were given up.
+    /// Maximum number of abandoned writes that are applied late.
     pub late: u8,
-    /// How many rows the steward may mark.
+    /// Maximum number of rows that the steward marks as evicted.
     pub evictions: u8,
-    /// Whether VMs go on to read who leads, beside what a steward reads for its work.
+    /// Whether VMs keep reading who leads, besides the readings that a steward needs.
     pub reads: bool,
-    /// Whether states that differ only in which VM is which count as one.
-    pub twins: bool,
+    /// Whether states that differ only by a permutation of VMs count as one.
+    pub symmetry: bool,
 }
 
 /// The specification.
 #[derive(Debug, Clone)]
 pub struct Spec {
     scope: Scope,
-    out: Option<Safeguard>,
+    disabled: Option<Safeguard>,
     group: GroupId,
     database: DatabaseId,
 }
@@ -139,39 +139,40 @@
 pub struct State {
     rows: Rows,
     vms: [Vm; VMS],
-    /// Writes that were given up and are not done.
+    /// Abandoned writes that are not applied yet.
     late: Vec<Write>,
-    /// The epoch of whoever the platform was last ordered to promote.
+    /// The epoch of the primary that the platform was last ordered to promote.
     leader: u8,
     restarts: u8,
     stops: u8,
-    lates: u8,
+    late_left: u8,
     evictions: u8,
 }
 
-/// A write is acknowledged, or a read passed on, by way of a primary that was replaced.
+/// A write is acknowledged, or a read returned, from a primary that was replaced.
 pub const REPLACED: &str = "a replaced primary is acted on";
 /// Two holders have the same token.
-pub const SHARED: &str = "two holders share a token";
-/// Not a fault: the steward may order while a lease went on by the word of others.
-pub const ORDERED: &str = "a primary is replaced after a lease went on by the word of others";
+pub const SHARED_TOKEN: &str = "two holders share a token";
+/// Not a fault: the steward may give an order after a lease was extended.
+pub const ORDERED_AFTER_EXTENSION: &str =
+    "a primary is replaced after a lease went on by the word of others";
 
 impl Spec {
-    /// A search within `scope`, with one safeguard taken `out`, or none.
-    pub fn new(scope: Scope, out: Option<Safeguard>) -> Result<Self, Invalid> {
+    /// Creates a specification bounded by `scope`, with one safeguard `disabled` or none.
+    pub fn new(scope: Scope, disabled: Option<Safeguard>) -> Result<Self, Invalid> {
         Ok(Self {
             scope,
-            out,
+            disabled,
             group: "ledger".parse()?,
             database: "a".parse()?,
         })
     }
 
-    fn kept(&self, safeguard: Safeguard) -> bool {
-        self.out != Some(safeguard)
+    fn enforces(&self, safeguard: Safeguard) -> bool {
+        self.disabled != Some(safeguard)
     }
 
-    /// Where the search begins.
+    /// The initial state.
     pub fn start(&self) -> State {
         let lead = LeadRow {
             epoch: 1,
@@ -189,26 +190,26 @@
             leader: lead.epoch,
             restarts: self.scope.restarts,
             stops: self.scope.stops,
-            lates: self.scope.late,
+            late_left: self.scope.late,
             evictions: self.scope.evictions,
         };
         for v in 0..self.scope.vms {
             state.rows.members[v] = Some(Row::default());
-            state.vms[v].began = lead.epoch;
-            state.vms[v].notes = Some(Notes {
+            state.vms[v].leased_epoch = lead.epoch;
+            state.vms[v].reading = Some(Reading {
                 lead,
                 age: self.scope.age,
-                vouched: None,
+                extended: None,
             });
         }
         let mut duty = Duty::new(1);
-        self.place_last(&mut state, &mut duty);
-        self.begin_change(&mut state, &mut duty);
+        self.set_up_last(&mut state, &mut duty);
+        self.set_up_change(&mut state, &mut duty);
         state.vms[0].duty = Some(duty);
         state
     }
 
-    fn place_last(&self, state: &mut State, duty: &mut Duty) {
+    fn set_up_last(&self, state: &mut State, duty: &mut Duty) {
         let last = self.scope.vms - 1;
         let vm = last as u8;
         match self.scope.last {
@@ -225,19 +226,19 @@
                 return;
             }
             Last::Marked => {
-                state.rows.apply(Write::Evict { vm, over: 0 });
-                duty.seen[last] = Some((state.rows.versions[last], OLD));
+                state.rows.apply(Write::Evict { vm, expected: 0 });
+                duty.evicted_rows[last] = Some((state.rows.versions[last], LEASE_TICKS));
             }
             Last::Removed => state.rows.remove(last),
         }
-        if let Some(notes) = &mut state.vms[last].notes {
-            notes.age = OLD;
+        if let Some(reading) = &mut state.vms[last].reading {
+            reading.age = LEASE_TICKS;
         }
     }
 
-    fn begin_change(&self, state: &mut State, duty: &mut Duty) {
+    fn set_up_change(&self, state: &mut State, duty: &mut Duty) {
         let change = self.scope.change;
-        if change == Change::Quiet {
+        if change == Change::NotStarted {
             return;
         }
         state.rows.lead.changing = true;
@@ -245,7 +246,7 @@
         intent.age = u8::from(change == Change::Written);
         duty.intent = Some(intent);
         if change != Change::Written {
-            self.begin_to_wait(duty, &state.rows);
+            self.start_wait(duty, &state.rows);
         }
         if change == Change::TakenOver {
             state.rows.token = 2;
@@ -259,62 +260,72 @@
         search(self.start(), limit, next, |state| self.broken(state))
     }
 
-    /// Searches for an order that came after a lease had gone on, which has to be reached.
+    /// Searches for an order after the extension of a lease, which has to be reachable.
     pub fn search_order(&self, limit: usize) -> Report {
         let next = |state: &State| self.next(state);
         search(self.start(), limit, next, |state| {
-            let vouched = |vm: &Vm| vm.notes.is_some_and(|notes| notes.vouched.is_some());
-            let went_on = state.leader > 1 && state.vms.iter().any(vouched);
-            self.broken(state).or(went_on.then_some(ORDERED))
+            let extended = |vm: &Vm| vm.reading.is_some_and(|reading| reading.extended.is_some());
+            let replaced = state.leader > 1 && state.vms.iter().any(extended);
+            self.broken(state)
+                .or(replaced.then_some(ORDERED_AFTER_EXTENSION))
         })
     }
 
-    /// The property that `state` breaks.
+    /// Returns the property that `state` breaks.
     pub fn broken(&self, state: &State) -> Option<&'static str> {
-        let replaced = |vm: &&Vm| vm.notes.is_some_and(|n| n.lead.epoch < state.leader);
+        let replaced = |vm: &&Vm| {
+            vm.reading
+                .is_some_and(|reading| reading.lead.epoch < state.leader)
+        };
         let mut behind = state.vms.iter().filter(replaced);
-        if behind.any(|vm| self.acts(vm)) {
+        if behind.any(|vm| self.may_act(vm)) {
             return Some(REPLACED);
         }
         let tokens = || state.vms.iter().filter_map(|vm| Some(vm.duty?.token));
         let shared = tokens().any(|token| tokens().filter(|other| *other == token).count() > 1);
-        shared.then_some(SHARED)
+        shared.then_some(SHARED_TOKEN)
     }
 
-    /// The steps out of `state`.
+    /// Returns all steps from `state`.
     pub fn next(&self, state: &State) -> Vec<Step<State, Event>> {
         let mut steps = Vec::new();
-        let words = self.words(state);
-        let mut take = |event, next: Option<State>| {
-            let next = next.map(|next| match self.scope.twins {
-                true => self.in_order(next),
+        let confirmable = self.confirmable(state);
+        let mut add = |event, next: Option<State>| {
+            let next = next.map(|next| match self.scope.symmetry {
+                true => self.canonical(next),
                 false => next,
             });
-            let moved = next.filter(|next| next != state);
-            steps.extend(moved.map(|state| Step { event, state }));
+            let changed = next.filter(|next| next != state);
+            steps.extend(changed.map(|state| Step { event, state }));
         };
-        take(Event::Tick, Some(tick(state, None)));
+        add(Event::Tick, Some(tick(state, None)));
         for v in 0..self.scope.vms {
-            if !self.kept(Safeguard::PauseCounted) {
-                take(Event::TickWhilePaused(v), Some(tick(state, Some(v))));
+            if !self.enforces(Safeguard::PauseCounted) {
+                add(Event::TickWhilePaused(v), Some(tick(state, Some(v))));
             }
-            take(Event::Read(v), self.read(state, v));
-            take(Event::Hear(v), self.hear(state, v));
-            take(Event::Register(v), self.register(state, v));
-            take(Event::Restart(v), self.restart(state, v));
-            take(Event::Stop(v), self.stop(state, v));
-            take(Event::Unregister(v), self.unregister(state, v));
+            add(Event::Read(v), self.read(state, v));
+            add(Event::Receive(v), self.receive(state, v));
+            add(Event::Register(v), self.register(state, v));
+            add(Event::Restart(v), self.restart(state, v));
+            add(Event::Stop(v), self.stop(state, v));
+            add(Event::Unregister(v), self.unregister(state, v));
         }
         let asker = self.scope.asker;
         for v in (0..self.scope.vms).filter(|v| *v != asker) {
-            take(Event::Ask(asker, v), self.ask(state, v, &words));
-            take(Event::Word(asker, v), self.word(state, v, &words));
+            add(
+                Event::AskPeers(asker, v),
+                self.ask_peers(state, v, &confirmable),
+            );
+            add(
+                Event::Confirm(asker, v),
+                self.confirm(state, v, &confirmable),
+            );
         }
         for s in 0..self.scope.candidates {
-            self.steward_steps(state, s, &mut take);
+            self.steward_steps(state, s, &mut add);
         }
         for n in 0..state.late.len() {
-            take(Event::Late, Some(late(state, n)));
+            add(Event::ApplyLate, Some(apply_late(state, n)));
         }
         steps
     }
@@ -362,23 +373,23 @@
     next
 }
 
-fn late(state: &State, n: usize) -> State {
+fn apply_late(state: &State, n: usize) -> State {
     let mut next = state.clone();
     let write = next.late.remove(n);
     next.rows.apply(write);
     next
 }
 
-/// Keeps a write that nobody waits for any more, if the scope has room for it.
-fn give_up(state: &State, write: Write) -> Option<State> {
+/// Keeps an abandoned write to be applied late, unless the scope's maximum is reached.
+fn abandon(state: &State, write: Write) -> Option<State> {
     let mut next = state.clone();
-    next.lates = state.lates.checked_sub(1)?;
+    next.late_left = state.late_left.checked_sub(1)?;
     next.late.push(write);
     next.late.sort_unstable();
     Some(next)
 }
 
-fn with(state: &State, v: usize, change: impl FnOnce(&mut Vm)) -> State {
+fn with_vm(state: &State, v: usize, change: impl FnOnce(&mut Vm)) -> State {
     let mut next = state.clone();
     change(&mut next.vms[v]);
     next
--- a/src/model/vouch/vm.rs
+++ b/src/model/vouch/vm.rs
@@ -1,8 +1,8 @@
-//! The rows in the store, and what one VM knows.
+//! The rows in the store, and the state of one VM.
 
-use super::{OLD, TERM, VMS};
+use super::{LEASE_TICKS, TERM_TICKS, VMS};
 
-/// A moment as its age in ticks.
+/// A point in time as its age in ticks.
 pub type Age = u8;
 
 /// The row of the group's primary.
@@ -19,23 +19,23 @@
     pub evicted: bool,
 }
 
-/// All rows, which are read as of one moment.
+/// All rows, read atomically.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rows {
     pub lead: LeadRow,
-    /// The token of whoever has the duty.
+    /// The token of the duty's holder.
     pub token: u8,
     pub members: [Option<Row>; VMS],
-    /// The versions of the members' rows, which rise also where a row is removed.
+    /// The versions of the members' rows; removing a row increments its version too.
     pub versions: [u8; VMS],
 }
 
-/// A change of a VM's row, with the version that it asks for; none asks for nothing.
+/// A change of a VM's row, with the version it requires; `None` requires no version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Write {
     Register { vm: u8, life: u8 },
-    Evict { vm: u8, over: u8 },
-    Remove { vm: u8, over: Option<u8> },
+    Evict { vm: u8, expected: u8 },
+    Remove { vm: u8, expected: Option<u8> },
 }
 
 impl Write {
@@ -47,19 +47,19 @@
 }
 
 impl Rows {
-    /// Does the write if its condition holds.
+    /// Applies the write if its required version matches.
     pub fn apply(&mut self, write: Write) {
         match write {
             Write::Register { vm, life } => {
                 let evicted = false;
                 self.set(vm.into(), Some(Row { life, evicted }));
             }
-            Write::Evict { vm, over } if self.is(vm, Some(over)) => {
+            Write::Evict { vm, expected } if self.matches(vm, Some(expected)) => {
                 let evicted = true;
                 let row = self.members[usize::from(vm)];
                 self.set(vm.into(), row.map(|row| Row { evicted, ..row }));
             }
-            Write::Remove { vm, over } if self.is(vm, over) => self.remove(vm.into()),
+            Write::Remove { vm, expected } if self.matches(vm, expected) => self.remove(vm.into()),
             Write::Evict { .. } | Write::Remove { .. } => {}
         }
     }
@@ -68,9 +68,9 @@
         self.set(v, None);
     }
 
-    fn is(&self, vm: u8, over: Option<u8>) -> bool {
+    fn matches(&self, vm: u8, expected: Option<u8>) -> bool {
         let vm = usize::from(vm);
-        self.members[vm].is_some() && over.is_none_or(|over| over == self.versions[vm])
+        self.members[vm].is_some() && expected.is_none_or(|expected| expected == self.versions[vm])
     }
 
     fn set(&mut self, v: usize, row: Option<Row>) {
@@ -79,47 +79,47 @@
     }
 }
 
-/// What a VM read of who leads.
+/// The lead row as a VM last read it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Notes {
+pub struct Reading {
     pub lead: LeadRow,
-    /// Since the reading was asked.
+    /// Ticks since the rows were requested.
     pub age: Age,
-    /// Since a quorum was asked that vouched, where that makes the lease longer.
-    pub vouched: Option<Age>,
+    /// Ticks since the request of a quorum's confirmation, if it extends the lease.
+    pub extended: Option<Age>,
 }
 
-/// A reading whose answer was not heard.
+/// A reading whose answer is not received yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Call {
     pub rows: Rows,
     pub age: Age,
 }
 
-/// Others are asked to vouch.
+/// A request to the other VMs for confirmation of an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Round {
     pub epoch: u8,
     pub age: Age,
-    /// Who stands by the epoch, one bit each.
-    pub stand: u8,
+    /// The VMs that confirmed the epoch, one bit each.
+    pub confirmed: u8,
 }
 
-/// Who is still waited for, one bit each, since when for each, and since when few are left.
+/// The VMs still waited for, one bit each, since when for each, and since when few are pending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Waits {
-    pub rest: u8,
+pub struct Wait {
+    pub pending: u8,
     pub since: [Age; VMS],
-    pub few: Option<Age>,
+    pub few_since: Option<Age>,
 }
 
-/// A change of primary that the steward has under way.
+/// A change of primary that the steward has started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Intent {
     pub epoch: u8,
-    /// Since it was certainly there.
+    /// Ticks since the intent was certainly written.
     pub age: Age,
-    pub waits: Option<Waits>,
+    pub wait: Option<Wait>,
     pub ordered: bool,
 }
 
@@ -128,19 +128,19 @@
         Self {
             epoch,
             age: 0,
-            waits: None,
+            wait: None,
             ordered: false,
         }
     }
 }
 
-/// The duty, as its holder has it.
+/// The duty as recorded by its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Duty {
     pub token: u8,
     pub intent: Option<Intent>,
-    /// Rows that were seen to be marked: their versions, and since when.
-    pub seen: [Option<(u8, Age)>; VMS],
+    /// Rows that were seen marked as evicted: their versions, and since when.
+    pub evicted_rows: [Option<(u8, Age)>; VMS],
 }
 
 impl Duty {
@@ -148,64 +148,68 @@
         Self {
             token,
             intent: None,
-            seen: [None; VMS],
+            evicted_rows: [None; VMS],
         }
     }
 
     fn tick(&mut self) {
-        for (_, age) in self.seen.iter_mut().flatten() {
-            older(age, OLD);
+        for (_, age) in self.evicted_rows.iter_mut().flatten() {
+            increment(age, LEASE_TICKS);
         }
         let Some(intent) = &mut self.intent else {
             return;
         };
-        older(&mut intent.age, OLD);
-        if let Some(waits) = &mut intent.waits {
-            waits.since.iter_mut().for_each(|age| older(age, OLD));
-            waits.few.iter_mut().for_each(|age| older(age, TERM));
+        increment(&mut intent.age, LEASE_TICKS);
+        if let Some(wait) = &mut intent.wait {
+            wait.since
+                .iter_mut()
+                .for_each(|age| increment(age, LEASE_TICKS));
+            wait.few_since
+                .iter_mut()
+                .for_each(|age| increment(age, TERM_TICKS));
         }
     }
 }
 
-/// One VM.
+/// The state of one VM.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Vm {
     pub life: u8,
-    pub notes: Option<Notes>,
-    /// The epoch that was given up on somebody's word, and all before it.
+    pub reading: Option<Reading>,
+    /// The newest epoch that was dropped on request; all older ones are dropped too.
     pub dropped: u8,
-    /// The highest epoch on which this life has held a lease, so that something may be under way.
-    pub began: u8,
+    /// The highest epoch on which this life has held a lease, and may still have work running.
+    pub leased_epoch: u8,
     pub call: Option<Call>,
     pub round: Option<Round>,
     pub duty: Option<Duty>,
-    /// Whether it has dropped all, and is about to end.
+    /// Whether it has dropped all epochs, and is about to end.
     pub stopped: bool,
 }
 
 impl Vm {
     pub fn tick(&mut self) {
-        if let Some(notes) = &mut self.notes {
-            older(&mut notes.age, OLD);
-            if let Some(age) = &mut notes.vouched {
-                older(age, TERM);
+        if let Some(reading) = &mut self.reading {
+            increment(&mut reading.age, LEASE_TICKS);
+            if let Some(age) = &mut reading.extended {
+                increment(age, TERM_TICKS);
             }
-            notes.vouched = notes.vouched.filter(|age| *age < TERM);
+            reading.extended = reading.extended.filter(|age| *age < TERM_TICKS);
         }
         if let Some(call) = &mut self.call {
-            older(&mut call.age, OLD);
+            increment(&mut call.age, LEASE_TICKS);
         }
         if let Some(round) = &mut self.round {
-            older(&mut round.age, TERM);
+            increment(&mut round.age, TERM_TICKS);
         }
-        // What a quorum said a term ago makes no lease longer.
-        self.round = self.round.filter(|round| round.age < TERM);
+        // A confirmation requested a term ago extends no lease.
+        self.round = self.round.filter(|round| round.age < TERM_TICKS);
         if let Some(duty) = &mut self.duty {
             duty.tick();
         }
     }
 }
 
-fn older(age: &mut Age, most: Age) {
-    *age = most.min(*age + 1);
+fn increment(age: &mut Age, max: Age) {
+    *age = max.min(*age + 1);
 }
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,17 +1,17 @@
-//! The bounded search of the core protocol, and what breaks without each safeguard.
+//! Bounded model checking of the core protocol, with every safeguard and with each one disabled.
 
 use lentilspoke::model::suite::{self, Case};
 
-fn of_leads(case: &Case) -> bool {
+fn is_leads(case: &Case) -> bool {
     case.name.starts_with("leads")
 }
 
-fn of_vouch(case: &Case) -> bool {
+fn is_vouch(case: &Case) -> bool {
     case.name.starts_with("vouch")
 }
 
-fn of_others(case: &Case) -> bool {
-    !of_leads(case) && !of_vouch(case)
+fn is_others(case: &Case) -> bool {
+    !is_leads(case) && !is_vouch(case)
 }
 
 fn check_sound(cases: impl Iterator<Item = Case>) {
@@ -31,48 +31,48 @@
     }
 }
 
-/// A caller must never see one of the properties broken, however messages are lost, delayed or
-/// reordered, and whichever process stops, restarts or is cut off. Each specification is
-/// searched to its bound; `lentilspoke model` searches further.
+/// Guards against broken properties when messages are lost, delayed or reordered, and when processes
+/// stop, restart or are cut off. Each specification is searched to its bound; `lentilspoke model`
+/// searches further.
 #[test]
 fn no_property_breaks() {
-    check_sound(suite::sound().unwrap().into_iter().filter(of_others));
+    check_sound(suite::sound().unwrap().into_iter().filter(is_others));
 }
 
-/// The same for leases on who leads, where nothing at a database fences anyone.
+/// Checks the same for leases on a group's primary, where databases fence nobody.
 #[test]
 fn no_property_of_leases_breaks() {
-    check_sound(suite::sound().unwrap().into_iter().filter(of_leads));
+    check_sound(suite::sound().unwrap().into_iter().filter(is_leads));
 }
 
-/// The same for leases that go on by the word of other VMs.
+/// Checks the same for leases extended by a quorum of other VMs.
 #[test]
 fn no_property_of_vouching_breaks() {
-    check_sound(suite::sound().unwrap().into_iter().filter(of_vouch));
+    check_sound(suite::sound().unwrap().into_iter().filter(is_vouch));
 }
 
-/// A specification in which nothing can happen breaks no property either. The shortest way through
-/// a change of primary is kept.
+/// Guards against a specification whose properties hold only because too few steps are possible. The
+/// shortest trace of a complete change of primary is a snapshot.
 #[test]
 fn a_change_of_primary_can_end() {
     check_found(suite::reached().unwrap().into_iter());
 }
 
-/// With one safeguard taken out a caller is told something false. The shortest way to it is
-/// kept, first event to last, so that a reader sees what the safeguard is for.
+/// Guards against safeguards that have no effect: with any one disabled a property breaks. The
+/// shortest trace to that, first event to last, is a snapshot that shows what the safeguard prevents.
 #[test]
 fn each_safeguard_matters() {
-    check_found(suite::unsound().unwrap().into_iter().filter(of_others));
+    check_found(suite::unsound().unwrap().into_iter().filter(is_others));
 }
 
-/// The same for the safeguards of leases on who leads.
+/// Checks the same for the safeguards of leases on a group's primary.
 #[test]
 fn each_safeguard_of_leases_matters() {
-    check_found(suite::unsound().unwrap().into_iter().filter(of_leads));
+    check_found(suite::unsound().unwrap().into_iter().filter(is_leads));
 }
 
-/// The same for the safeguards of leases that go on by the word of other VMs.
+/// Checks the same for the safeguards of leases extended by a quorum of other VMs.
 #[test]
 fn each_safeguard_of_vouching_matters() {
-    check_found(suite::unsound().unwrap().into_iter().filter(of_vouch));
+    check_found(suite::unsound().unwrap().into_iter().filter(is_vouch));
 }
