--- a/src/cmd/model.rs
+++ b/src/cmd/model.rs
@@ -52,7 +52,7 @@
     {
         wrong += u32::from(search(&case, args.depth));
     }
-    for case in suite::reached()
+    for case in suite::reachable()
         .map_err(Error::failed)?
         .into_iter()
         .filter(wanted)
--- a/src/model/suite.rs
+++ b/src/model/suite.rs
@@ -103,7 +103,7 @@
 }
 
 /// Searches for states that the protocol must be able to reach; each has to find its state.
-pub fn reached() -> Result<Vec<Case>, Invalid> {
+pub fn reachable() -> Result<Vec<Case>, Invalid> {
     Ok(vec![leads::change()?, vouch::order()?])
 }
 
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -55,7 +55,7 @@
 /// shortest trace of a complete change of primary is a snapshot.
 #[test]
 fn a_change_of_primary_can_end() {
-    check_found(suite::reached().unwrap().into_iter());
+    check_found(suite::reachable().unwrap().into_iter());
 }
 
 /// Guards against safeguards that have no effect: with any one disabled a property breaks. The
