--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,4 +1,4 @@
-//! What operators and scrapers ask of a process.
+//! The admin endpoints of a process, for operators and metrics scrapers.
 
 use crate::net::http::{self, Call, Reply};
 use crate::net::metrics::{self, Gauges};
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// How long an operator who applies a configuration waits for other proxies to have it too.
-const SPREAD: Duration = Duration::from_secs(1);
+/// How long a request that applies a configuration waits for it to reach other proxies.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Serves `/metrics`, `/dump`, `/config` and `/ready` until it is dropped.
 pub async fn serve(listener: TcpListener, shell: Rc<Shell>, platform: Rc<Client>) {
@@ -29,11 +29,11 @@
     .await;
 }
 
-/// Applies an operator's document, and has told other proxies when it answers.
+/// Applies an operator's document, and sends it to other proxies before it answers.
 async fn propose(shell: &Shell, platform: &Client, call: &Call) -> Reply {
     apply::serve(platform, &call.body, |accepted| async move {
         proxy::enforce(shell, accepted);
-        shell.peers().flushed(SPREAD).await;
+        shell.peers().flushed(PROPAGATION_TIMEOUT).await;
     })
     .await
 }
@@ -51,8 +51,8 @@
     }
 }
 
-/// Ready means that a caller who connects now can be served: the platform's balancer sends
-/// nobody here before that, nor once a planned stop has begun.
+/// Ready means that a caller who connects now can be served. The platform's balancer sends no callers
+/// before that, nor after a planned stop has begun.
 fn ready(shell: &Shell) -> Reply {
     let status = shell.status();
     if status.ready && !status.stopping {
--- a/src/net/direct.rs
+++ b/src/net/direct.rs
@@ -1,4 +1,4 @@
-//! One VM of direct access: its listeners, its parts, and the order in which it stops.
+//! One VM of direct access: its listeners, its components, and the order in which they stop.
 
 mod admin;
 mod reload;
@@ -21,27 +21,27 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// How long callers still come after this VM has said that it is not ready: the balancer asks each
-/// second, and takes two answers to believe it.
-const BALANCED: Duration = Duration::from_millis(2_200);
+/// How long callers still connect after this VM has reported that it is not ready: the balancer checks
+/// once a second, and needs two such answers.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_200);
 
-/// What is left of the grace when the process ends, so that it isn't killed.
-const LEFT_OVER: Span = Span::from_millis(300);
+/// How long before the end of the grace period the process exits, so that it isn't killed.
+const EXIT_MARGIN: Span = Span::from_millis(300);
 
-/// What the last steps of a stop take: a call of the store.
-const LAST_STEPS: Span = Span::from_millis(500);
+/// How long the last steps of a stop may take, which are a call to the store.
+const LAST_STEPS_TIME: Span = Span::from_millis(500);
 
-/// How long to wait when no caller can be accepted, for want of descriptors as a rule.
-const RETRY: Duration = Duration::from_millis(50);
+/// The pause after a failed accept, which usually means that the process has no descriptors left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Descriptors that callers may not take: files, connections to databases, other VMs, the store.
-const RESERVED: u32 = 1_000;
+/// Descriptors reserved for files and for connections to databases, other VMs and the store.
+const RESERVED_DESCRIPTORS: u32 = 1_000;
 
-/// What a process is told at its start, and how it reads that again.
+/// The settings that a VM starts with, and how to read them again.
 pub struct Place {
     /// All settings.
     pub settings: Settings,
-    /// Those of direct access.
+    /// The settings of direct access.
     pub direct: Direct,
     /// Reads the settings again.
     pub read: Box<dyn Fn() -> Result<Settings, Box<str>>>,
@@ -53,19 +53,21 @@
     }
 }
 
-/// One running VM.
+/// A running VM.
 struct Vm {
     shared: Rc<Shared>,
     front: Rc<Front>,
     relay: Rc<Relay>,
     control: Rc<Control>,
+    /// How many callers are connected.
     callers: Cell<u32>,
-    /// The most callers at once.
+    /// The most callers that may be connected at once.
     limit: Cell<u32>,
+    /// How long a planned stop may take.
     grace: Cell<Span>,
 }
 
-/// Runs the VM until a planned stop is over.
+/// Runs the VM until a planned stop is complete.
 pub async fn run(place: Place, build: Build) -> io::Result<()> {
     let stop = util::asked_to_stop()?;
     let listeners = Listeners::open(&place)?;
@@ -97,23 +99,23 @@
     }
     actix_rt::spawn(reload::watch(Rc::clone(&vm), place));
     if let Some(relays) = relays {
-        actix_rt::spawn(admit_relays(Rc::clone(&vm), relays));
+        actix_rt::spawn(accept_relays(Rc::clone(&vm), relays));
     }
-    let door = actix_rt::spawn(admit(Rc::clone(&vm), callers));
+    let acceptor = actix_rt::spawn(accept_callers(Rc::clone(&vm), callers));
     stop.await;
     log::info!("stopping: not ready, duties are handed over, what is in flight finishes");
-    vm.stop(door).await;
+    vm.stop(acceptor).await;
     log::info!("stopped");
     Ok(())
 }
 
-/// Where a VM is reached.
+/// The listening sockets of a VM.
 struct Listeners {
     callers: TcpListener,
     peers: TcpListener,
     relays: Option<TcpListener>,
     ready: TcpListener,
-    /// None if its port was taken: service goes before metrics.
+    /// None if its port is in use: the VM serves callers even without metrics.
     operators: Option<TcpListener>,
 }
 
@@ -141,23 +143,23 @@
     })
 }
 
-/// The same platform, with what is asked of it counted.
-fn metered(mut adapter: Adapter, shared: &Rc<Shared>) -> Adapter {
+/// Wraps the adapter so that its store calls are counted.
+fn count_store_calls(mut adapter: Adapter, shared: &Rc<Shared>) -> Adapter {
     let (store, shared) = (adapter.store, Rc::clone(shared));
-    adapter.store = Rc::new(move |ask, within| {
-        let (call, shared) = (store(ask.clone(), within), Rc::clone(&shared));
+    adapter.store = Rc::new(move |command, timeout| {
+        let (call, shared) = (store(command.clone(), timeout), Rc::clone(&shared));
         Box::pin(async move {
             let answer = call.await;
-            shared.meter.store_call(&ask, &answer);
+            shared.meter.store_call(&command, &answer);
             answer
         })
     });
     adapter
 }
 
-/// The most callers that settings allow.
+/// Returns how many callers the settings and the free descriptors allow.
 fn callers_limit(settings: &Settings, direct: &Direct) -> u32 {
-    let free = direct.descriptors.saturating_sub(RESERVED);
+    let free = direct.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
     settings.limits.connections.min(free.max(1))
 }
 
@@ -165,7 +167,7 @@
     fn start(place: &Place, adapter: Adapter) -> Rc<Self> {
         let (settings, direct) = (&place.settings, &place.direct);
         let shared = Rc::new(Shared::default());
-        let adapter = metered(adapter, &shared);
+        let adapter = count_store_calls(adapter, &shared);
         let control = Control::start(Setup {
             adapter: adapter.clone(),
             shared: Rc::clone(&shared),
@@ -195,32 +197,33 @@
         })
     }
 
-    /// Failure: callers are still sent here for two of the balancer's questions after a stop began.
-    /// Symptom: their connections are refused. Enough, because the door stays open for that long,
-    /// and the front ends idle sessions only then.
+    /// Stops the VM. Callers are still accepted for [`BALANCER_DELAY`], and the front ends idle sessions
+    /// only then: the balancer sends callers for two more checks, and their connections must not be
+    /// refused.
     ///
-    /// Who leads stays known until the last session is over, since callers go on until then.
-    async fn stop(&self, door: actix_rt::task::JoinHandle<()>) {
-        let grace = self.grace.get() - LEFT_OVER;
+    /// The records of who leads are kept until the last session ends, because callers use them until
+    /// then.
+    async fn stop(&self, acceptor: actix_rt::task::JoinHandle<()>) {
+        let grace = self.grace.get() - EXIT_MARGIN;
         let close = async {
-            tokio::time::sleep(BALANCED).await;
-            door.abort();
+            tokio::time::sleep(BALANCER_DELAY).await;
+            acceptor.abort();
         };
-        let rest = grace - LAST_STEPS;
+        let rest = grace - LAST_STEPS_TIME;
         let served = async {
             tokio::join!(self.front.stop(rest), self.relay.stop(rest));
         };
         let all = async { tokio::join!(close, self.control.stop(served)) };
-        // Whatever is still open then would be cut by the kill that follows.
+        // What is still open after this time would be cut anyway when the process is killed.
         let _ = tokio::time::timeout(grace.into(), all).await;
     }
 }
 
-/// Accepts other VMs' streams, for relaying.
-async fn admit_relays(vm: Rc<Vm>, listener: TcpListener) {
+/// Accepts relay streams from other VMs until it is dropped.
+async fn accept_relays(vm: Rc<Vm>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if system::prepare(&stream).is_ok() {
@@ -230,18 +233,18 @@
 }
 
 /// Accepts callers until it is dropped.
-async fn admit(vm: Rc<Vm>, listener: TcpListener) {
+async fn accept_callers(vm: Rc<Vm>, listener: TcpListener) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!("could not accept a caller: {error}");
-                tokio::time::sleep(RETRY).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         if vm.callers.get() >= vm.limit.get() {
-            log::warn!(callers = vm.callers.get(); "a caller is turned away: raise `limits.connections`");
+            log::warn!(callers = vm.callers.get(); "a caller is refused, the connection limit is reached: raise `limits.connections`");
             continue;
         }
         if system::prepare(&stream).is_err() {
--- a/src/net/direct/admin.rs
+++ b/src/net/direct/admin.rs
@@ -1,4 +1,4 @@
-//! What the balancer and operators ask of a VM.
+//! The HTTP endpoints of a VM, for the balancer, operators and metrics scrapers.
 
 use super::Vm;
 use crate::clock::{Span, Time};
@@ -15,7 +15,7 @@
 use std::future::{Ready, ready as at_once};
 use std::rc::Rc;
 
-/// Answers the balancer's question, whatever its path: whether callers may come.
+/// Answers the balancer's readiness check, on any path.
 pub fn ready(vm: Rc<Vm>) -> impl Fn(Call) -> Ready<Reply> {
     move |_| {
         let reply = if vm.is_ready() {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Answers operators and the scraper of metrics.
+/// Serves `/metrics` and `/dump`.
 pub fn operators(vm: Rc<Vm>) -> impl Fn(Call) -> Ready<Reply> {
     move |call| {
         let reply = match &*call.path {
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a VM knows and has under way.
+/// The state of a VM, as a dump shows it.
 #[derive(Debug, Serialize)]
 struct State {
     ready: bool,
@@ -51,12 +51,12 @@
 }
 
 fn lead(view: &View, group: &GroupId, now: Time) -> Option<LeadLevel> {
-    let (lead, asked) = view.book.known(group)?;
+    let (lead, read_at) = view.book.known(group)?;
     let lease = view.book.lease(group, now);
     Some(LeadLevel {
         group: group.clone(),
         epoch: lead.epoch,
-        age: now.since(asked),
+        age: now.since(read_at),
         lease: lease.map_or(Span::ZERO, |lease| lease.until.since(now)),
     })
 }
--- a/src/net/direct/reload.rs
+++ b/src/net/direct/reload.rs
@@ -1,5 +1,5 @@
-//! Takes up settings that change while the process runs: on SIGHUP, and when the file reads
-//! differently without one.
+//! Applies settings that change while the process runs: on SIGHUP, and when the file has changed
+//! without one.
 
 use super::{Place, Vm, callers_limit};
 use crate::settings::Settings;
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How often the file is read in case it changed without a signal.
-const LOOK: Duration = Duration::from_secs(2);
+/// How often the file is checked for changes without a signal.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Takes up changes until it is dropped.
+/// Applies changes until it is dropped.
 pub async fn watch(vm: Rc<Vm>, place: Place) {
     let Place {
         mut settings, read, ..
@@ -19,24 +19,24 @@
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
         Err(error) => {
-            log::warn!("SIGHUP can't be caught: {error}; settings are not taken up");
+            log::warn!("SIGHUP can't be caught: {error}; changed settings are not applied");
             return;
         }
     };
     loop {
-        let asked = tokio::select! {
+        let signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(LOOK) => false,
+            () = tokio::time::sleep(POLL_INTERVAL) => false,
         };
         match read() {
             Ok(new) if new == settings => {}
             Ok(new) => {
                 refused = None;
-                take_up(&vm, &settings, &new);
+                apply(&vm, &settings, &new);
                 settings = new;
             }
-            // A file that is wrong is told once, not at each look.
-            Err(error) if asked || refused.as_ref() != Some(&error) => {
+            // An invalid file is logged once, not at each poll.
+            Err(error) if signalled || refused.as_ref() != Some(&error) => {
                 log::warn!("settings refused, the old ones stay: {error}");
                 refused = Some(error);
             }
@@ -45,7 +45,7 @@
     }
 }
 
-fn take_up(vm: &Vm, old: &Settings, new: &Settings) {
+fn apply(vm: &Vm, old: &Settings, new: &Settings) {
     let (Some(before), Some(direct)) = (&old.direct, &new.direct) else {
         log::warn!("`direct` was added or removed: restart the process to change how it serves");
         return;
@@ -53,7 +53,7 @@
     log::set_max_level(new.log.into());
     vm.limit.set(callers_limit(new, direct));
     vm.grace.set(direct.grace);
-    let is_same_place = old.vm == new.vm
+    let is_same_location = old.vm == new.vm
         && old.domain == new.domain
         && old.callers == new.callers
         && old.peers == new.peers
@@ -62,8 +62,8 @@
         && before.ready == direct.ready
         && before.orders == direct.orders
         && before.regions == direct.regions;
-    if !is_same_place {
-        log::warn!("names or addresses changed: they count from the next start");
+    if !is_same_location {
+        log::warn!("names or addresses changed: restart the process to apply them");
     }
     log::info!("settings taken up");
 }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,4 +1,4 @@
-//! The little HTTP that operators' tools and metrics scrapers need.
+//! A minimal HTTP server and client for operators' tools and metrics scrapers.
 
 use bytes::Bytes;
 use http::{Method, Request, Response, StatusCode};
@@ -13,25 +13,25 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The largest body taken, in bytes: a configuration of 1,200 databases has about 250 KB.
+/// The largest accepted body, in bytes. A configuration of 1,200 databases has about 250 KB.
 pub const BODY_LIMIT: usize = 16 << 20;
 
-/// How long a client waits for a whole answer.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// How long a client waits for a complete answer.
+pub const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How many connections are served at once; a scraper and an operator need a few.
+/// How many connections are served at once; a scraper and an operator need only a few.
 pub const CONNECTION_LIMIT: usize = 64;
 
-/// Why an address gave no answer.
+/// Why a request got no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection.
+    /// The connection could not be opened.
     #[error("{0} can't be reached: {1}; check the address and that the process runs")]
     Connect(SocketAddr, std::io::Error),
-    /// The exchange broke off.
+    /// The connection broke before the answer was complete.
     #[error("{0} broke off its answer: {1}; ask again")]
     Broken(SocketAddr, Box<dyn std::error::Error + Send + Sync>),
-    /// Nothing came in time.
+    /// No complete answer came within [`EXCHANGE_TIMEOUT`].
     #[error("{0} did not answer in time; ask again")]
     Late(SocketAddr),
 }
@@ -66,7 +66,7 @@
     }
 }
 
-/// Answers connections of `listener` by `handler`, until it is dropped.
+/// Serves the connections of `listener` with `handler`, until it is dropped.
 pub async fn serve<H, R>(listener: TcpListener, handler: H)
 where
     H: Fn(Call) -> R + 'static,
@@ -87,7 +87,7 @@
                 });
             }
             Err(error) => {
-                log::warn!("no connection accepted for operators: {error}");
+                log::warn!("could not accept an operator's connection: {error}");
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         }
@@ -115,7 +115,7 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        log::debug!("operators' connection ended: {error}");
+        log::debug!("an operator's connection failed: {error}");
     }
 }
 
@@ -137,12 +137,12 @@
     })
 }
 
-/// Asks `address` for `path`.
+/// Sends a GET request for `path` to `address`.
 pub async fn get(address: SocketAddr, path: &str) -> Result<Reply, Error> {
     exchange(address, Method::GET, path, Bytes::new()).await
 }
 
-/// Sends `body` to `path` at `address`.
+/// Sends a POST request with `body` for `path` to `address`.
 pub async fn post(address: SocketAddr, path: &str, body: Bytes) -> Result<Reply, Error> {
     exchange(address, Method::POST, path, body).await
 }
@@ -160,7 +160,7 @@
             .await
             .map_err(|error| Error::Broken(address, error))
     };
-    tokio::time::timeout(PATIENCE, exchange)
+    tokio::time::timeout(EXCHANGE_TIMEOUT, exchange)
         .await
         .map_err(|_| Error::Late(address))?
 }
--- a/src/net/mesh.rs
+++ b/src/net/mesh.rs
@@ -1,4 +1,4 @@
-//! Questions between VMs, as calls over kept channels.
+//! Questions between VMs, as calls over channels that are reused.
 
 use crate::clock::Span;
 use crate::direct::adapter::Later;
@@ -15,87 +15,91 @@
 use tonic::transport::server::TcpIncoming;
 use tonic::transport::{Channel, Endpoint, Server};
 
-/// How long a connection attempt may take; some round trips between regions.
-const DIAL: Duration = Duration::from_millis(700);
+/// How long a connection attempt may take: a few round trips between regions.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// With less time left no new connection is tried.
-const WORTH_DIALING: Span = Span::from_millis(30);
+/// With less time remaining than this, no new connection is tried.
+const MIN_CONNECT_TIME: Span = Span::from_millis(30);
 
-/// How many questions of other VMs may wait for this one; each VM has a few under way.
-const WAITING: usize = 4_096;
+/// How many questions of other VMs may be queued; each VM has a few in flight.
+const MAX_QUEUED_QUESTIONS: usize = 4_096;
 
-/// Answers questions.
+/// Answers the questions of other VMs.
 pub type Answerer = Rc<dyn Fn(Question) -> Later<Answer>>;
 
-/// How long an answer that is late is still listened for, beyond what its caller waited. It tells a
-/// VM that is slow from a connection that nothing comes through any more.
-const LATE: Span = Span::from_secs(2);
+/// How long to wait for a late answer after its call timed out. A late answer distinguishes a slow VM
+/// from a connection that has gone silent.
+const LATE_ANSWER_TIMEOUT: Span = Span::from_secs(2);
 
 /// A channel to another VM.
 #[derive(Debug, Clone)]
-struct Kept {
+struct Connection {
     channel: Channel,
-    /// Questions that were given up, and to which no answer has come since.
+    /// How many questions in a row timed out; an answer, even a late one, resets it.
     missed: Rc<Cell<u32>>,
 }
 
-type Channels = Rc<RefCell<HashMap<SocketAddr, Kept>>>;
+type Channels = Rc<RefCell<HashMap<SocketAddr, Connection>>>;
 
-/// How a question on a channel ended.
-enum Asked {
+/// The outcome of a question on a channel.
+enum Outcome {
     Answered(Answer),
-    /// No answer within the time.
+    /// No answer within the timeout.
     Late,
     Failed(Status),
 }
 
-/// Asks other VMs, on one channel for each.
+/// Returns the function that asks other VMs, over one channel for each.
 ///
-/// **Failure answered.** A connection goes silent for good while new ones work. **Symptom without it.** A
-/// VM counts as lost though it runs. **Why it suffices.** A channel on which one question was missed
-/// gets half of the time for the next one, and a new one takes its place for the other half.
+/// A connection can go silent for good while new ones work, and the VM would count as lost though it
+/// runs. So after a question without an answer, the next one has half of its timeout on the same
+/// channel, and the other half on a new one.
 ///
-/// **Pattern answered.** A steward of hundreds of VMs answers some heartbeats late. **Without it** each
-/// of these is a new connection, which costs the steward more than an answer, so that whatever made
-/// it late once keeps it late. A late answer shows that its channel works.
+/// A steward of hundreds of VMs answers some heartbeats late. A new connection for each of these would
+/// cost the steward more than an answer does, and keep it late. So a late answer shows that its
+/// channel works, and the channel is kept.
 pub fn call() -> Call {
     let channels = Channels::default();
-    Rc::new(move |address, question, within| {
+    Rc::new(move |address, question, timeout| {
         let channels = Rc::clone(&channels);
         Box::pin(async move {
-            let kept = channels.borrow().get(&address).cloned();
-            let asked = tokio::time::Instant::now();
-            if let Some(kept) = kept {
-                let doubted = kept.missed.get() > 0;
-                let patience = if doubted { within.percent(50) } else { within };
-                match ask(&kept, question.clone(), patience).await {
-                    Asked::Answered(answer) => return Some(answer),
-                    Asked::Late if !doubted => return None,
-                    Asked::Late => log::debug!(address:%; "a VM is silent on a kept connection"),
-                    Asked::Failed(status) => {
+            let connection = channels.borrow().get(&address).cloned();
+            let start = tokio::time::Instant::now();
+            if let Some(connection) = connection {
+                let is_suspect = connection.missed.get() > 0;
+                let share = if is_suspect {
+                    timeout.percent(50)
+                } else {
+                    timeout
+                };
+                match ask(&connection, question.clone(), share).await {
+                    Outcome::Answered(answer) => return Some(answer),
+                    Outcome::Late if !is_suspect => return None,
+                    Outcome::Late => log::debug!(address:%; "a VM is silent on a kept connection"),
+                    Outcome::Failed(status) => {
                         log::debug!(address:%; "a VM gave no answer: {status}")
                     }
                 }
-                if kept.missed.get() == 0 && doubted {
-                    // An answer to an earlier question has come meanwhile: it is slow.
+                if connection.missed.get() == 0 && is_suspect {
+                    // An answer to an earlier question has arrived meanwhile: the VM is slow.
                     return None;
                 }
                 channels.borrow_mut().remove(&address);
             }
-            // A kept channel that broke at once says nothing of the VM: a new one does.
-            let left = Span(within.0.saturating_sub(Span::from(asked.elapsed()).0));
-            if left < WORTH_DIALING {
+            // A reused channel may have broken while idle; a new one shows whether the VM runs.
+            let remaining = Span(timeout.0.saturating_sub(Span::from(start.elapsed()).0));
+            if remaining < MIN_CONNECT_TIME {
                 return None;
             }
             let opened = open(address)?;
-            let told = ask(&opened, question, left).await;
-            match told {
-                Asked::Answered(answer) => {
+            let outcome = ask(&opened, question, remaining).await;
+            match outcome {
+                Outcome::Answered(answer) => {
                     channels.borrow_mut().insert(address, opened);
                     Some(answer)
                 }
-                Asked::Late => None,
-                Asked::Failed(status) => {
+                Outcome::Late => None,
+                Outcome::Failed(status) => {
                     log::debug!(address:%; "a VM gave no answer: {status}");
                     is_refused(&status).then_some(Answer::Absent)
                 }
@@ -104,7 +108,7 @@
     })
 }
 
-/// Whether nobody listens there.
+/// Whether the connection was refused because no process listens at the address.
 fn is_refused(status: &Status) -> bool {
     let mut cause = std::error::Error::source(status);
     while let Some(error) = cause {
@@ -117,46 +121,47 @@
     false
 }
 
-fn open(address: SocketAddr) -> Option<Kept> {
+fn open(address: SocketAddr) -> Option<Connection> {
     let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
     let channel = endpoint
-        .connect_timeout(DIAL)
+        .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
         .connect_lazy();
-    Some(Kept {
+    Some(Connection {
         channel,
         missed: Rc::default(),
     })
 }
 
-async fn ask(kept: &Kept, question: Question, within: Span) -> Asked {
-    let mut asked = Box::pin(rpc::call::<Question, Answer>(
-        kept.channel.clone(),
+async fn ask(connection: &Connection, question: Question, timeout: Span) -> Outcome {
+    let mut call = Box::pin(rpc::call::<Question, Answer>(
+        connection.channel.clone(),
         question,
     ));
-    match tokio::time::timeout(within.into(), &mut asked).await {
+    match tokio::time::timeout(timeout.into(), &mut call).await {
         Ok(Ok(answer)) => {
-            kept.missed.set(0);
-            Asked::Answered(answer)
+            connection.missed.set(0);
+            Outcome::Answered(answer)
         }
-        Ok(Err(status)) => Asked::Failed(status),
+        Ok(Err(status)) => Outcome::Failed(status),
         Err(_) => {
-            kept.missed.set(kept.missed.get() + 1);
-            let missed = kept.missed.clone();
+            connection.missed.set(connection.missed.get() + 1);
+            let missed = connection.missed.clone();
             actix_rt::spawn(async move {
-                let late = tokio::time::timeout(LATE.into(), asked).await;
+                let late = tokio::time::timeout(LATE_ANSWER_TIMEOUT.into(), call).await;
                 if let Ok(Ok(_)) = late {
                     missed.set(0);
                 }
             });
-            Asked::Late
+            Outcome::Late
         }
     }
 }
 
-/// Answers the questions of other VMs by `answerer`, until it is dropped.
+/// Answers the questions of other VMs with `answerer`, until it is dropped.
 pub async fn serve(listener: TcpListener, answerer: Answerer) {
-    let (sender, mut questions) = mpsc::channel::<(Question, oneshot::Sender<Answer>)>(WAITING);
+    let (sender, mut questions) =
+        mpsc::channel::<(Question, oneshot::Sender<Answer>)>(MAX_QUEUED_QUESTIONS);
     let service = rpc::unary(move |question: Question| {
         let sender = sender.clone();
         async move {
@@ -175,7 +180,7 @@
         while let Some((question, sender)) = questions.recv().await {
             let answer = answerer(question);
             actix_rt::spawn(async move {
-                // Whoever asked may have given up.
+                // The VM that asked may not wait for the answer any more.
                 let _ = sender.send(answer.await);
             });
         }
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -7,14 +7,14 @@
 use prometheus_client::metrics::MetricType;
 use prometheus_client::registry::Registry;
 
-/// Values that go up and down.
+/// Values that rise and fall.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Gauges {
     /// Callers connected.
     pub callers: u64,
-    /// Other proxies that this one has streams to.
+    /// Other proxies that this one has a stream to.
     pub peers: u64,
-    /// The configuration in force.
+    /// The version of the configuration in force.
     pub version: u64,
     /// Resident memory in bytes.
     pub resident: u64,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The text that a scraper reads.
+/// Encodes the counters and gauges in the Prometheus text format.
 pub fn text(counters: Counters, gauges: Gauges) -> Box<str> {
     let mut registry = Registry::with_prefix("lentilspoke");
     registry.register_collector(Box::new(Snapshot { counters, gauges }));
--- a/src/net/platform/apply.rs
+++ b/src/net/platform/apply.rs
@@ -1,6 +1,9 @@
-//! Applying a document: whole or not at all, and told truly although answers get lost.
+//! Applies a document completely or not at all, and reports the true outcome even if the platform's
+//! answers are lost.
 
-use super::{Answer, CONFIG_ROW, Call, Client, Error, Head, PAST_LIMIT, Past, spread, unexpected};
+use super::{
+    Answer, CONFIG_ROW, Call, Client, Error, Head, MAX_PAST_VERSIONS, Past, jittered, unexpected,
+};
 use crate::clock::Span;
 use crate::config::{Accepted, Document, diff};
 use crate::net::http;
@@ -9,24 +12,25 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// How long an attempt starts new tries while the platform does not answer. With the last try's
-/// calls it stays under [`http::PATIENCE`], so that a proxy's answer still reaches the operator.
+/// How long new tries are started while the platform does not answer. Together with the calls of the
+/// last try, this is less than [`http::EXCHANGE_TIMEOUT`], so that the answer still reaches the operator.
 pub const PATIENCE: Span = Span::from_secs(5);
 
-/// Between two tries.
-const RETRY: Span = Span::from_millis(200);
+/// The average pause between two tries.
+const RETRY_DELAY: Span = Span::from_millis(200);
 
 /// The path of the admin address that takes a [`Proposal`] as JSON.
 pub const PATH: &str = "/apply";
 
-/// The path of the admin address that tells what is in force, as JSON of [`Accepted`] or `null`.
+/// The path of the admin address that shows the configuration in force, as JSON of [`Accepted`] or
+/// `null`.
 pub const CONFIG_PATH: &str = "/config";
 
 /// A document to apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
-    /// The attempt; the same one for each time that it is asked again.
+    /// Identifies the attempt; the same when a request is repeated.
     pub id: ApplyId,
     /// The version that the document was based on.
     pub base: Version,
@@ -34,19 +38,19 @@
     pub document: Document,
 }
 
-/// What came of a proposal.
+/// The outcome of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It is in force, and stays until a newer one is.
+    /// It is in force until a newer one is accepted.
     Accepted(Version),
     /// Another document is in force; nothing was changed.
     Outrun(Outrun),
-    /// It can't follow the one in force; nothing was changed.
+    /// It is no valid successor of the one in force; nothing was changed.
     Refused(Box<str>),
     /// The platform did not answer; nothing was changed.
     NotApplied(Box<str>),
-    /// The platform did not answer after it was asked to write: it may be in force or not.
+    /// The platform did not answer a write: the proposal may or may not be in force.
     Unsettled,
 }
 
@@ -56,23 +60,23 @@
 pub struct Outrun {
     /// The version in force.
     pub version: Version,
-    /// What changed since the proposal's base; empty if that is not known any more.
+    /// What changed since the proposal's base; empty if the base is no longer known.
     pub changes: Vec<Box<str>>,
 }
 
-/// What one try came to.
+/// The outcome of one try.
 enum Step {
     Settled(Verdict),
-    /// Worth another try, because of this.
-    Again(Error),
+    /// Another try may succeed; the error is the cause.
+    Retry(Error),
 }
 
 /// Applies `proposal` by compare-and-set.
 ///
-/// Failure: the answer to the write is lost after its effect. Symptom: the operator is told that
-/// it failed and applies again, or is told nothing while it is in force. Enough, because each
-/// try reads first: the row remembers which attempts were accepted, and a write that arrives
-/// late finds another version than it expects, unless it is the only one.
+/// The answer to a write can be lost after the write took effect. The operator must then not see a
+/// failure and apply again, nor see no outcome while the document is in force. So each try first reads
+/// the row, which records the accepted attempts. A write that arrives late finds another version than
+/// it expects, unless no other write came before it.
 ///
 /// No new try starts after `deadline`.
 pub async fn settle(client: &Client, proposal: &Proposal, deadline: Instant) -> Verdict {
@@ -80,9 +84,9 @@
     loop {
         let error = match attempt(client, proposal, &mut written).await {
             Ok(Step::Settled(verdict)) => return verdict,
-            Ok(Step::Again(error)) | Err(error) => error,
+            Ok(Step::Retry(error)) | Err(error) => error,
         };
-        let pause = spread(RETRY);
+        let pause = jittered(RETRY_DELAY);
         if Instant::now() + pause >= deadline {
             return match written {
                 true => Verdict::Unsettled,
@@ -129,7 +133,7 @@
     let (name, bytes) = (next.object(), accepted.pack());
     client.call(Call::Store { name, bytes }).await?;
     head.past.push(next);
-    let surplus = head.past.len().saturating_sub(PAST_LIMIT);
+    let surplus = head.past.len().saturating_sub(MAX_PAST_VERSIONS);
     let forgotten: Vec<Past> = head.past.drain(..surplus).collect();
     let call = Call::Write {
         key: CONFIG_ROW.into(),
@@ -140,12 +144,12 @@
     match client.call(call).await? {
         Answer::Written(version) => {
             for past in forgotten {
-                // One that stays costs some kilobytes and nothing else.
+                // An object that is left over only costs a few kilobytes.
                 let _ = client.call(Call::Remove(past.object())).await;
             }
             Ok(Step::Settled(Verdict::Accepted(version)))
         }
-        Answer::Row(_) => Ok(Step::Again(Error::Unavailable("the row changed".into()))),
+        Answer::Row(_) => Ok(Step::Retry(Error::Unavailable("the row changed".into()))),
         other => Err(unexpected(&other)),
     }
 }
@@ -172,9 +176,9 @@
 
 /// Answers a proposal that an operator posted to a proxy.
 ///
-/// `enforce` puts the document in force on this proxy, unless it knows a later one, and tells
-/// others; it ends before the operator hears "accepted". So an accepted document stays in force also when the platform
-/// fails right after.
+/// `enforce` puts the document in force on this proxy, unless it has a later one, and sends it to
+/// others. It completes before the operator gets "accepted", so that an accepted document stays in
+/// force even if the platform fails right after.
 pub async fn serve<E, R>(client: &Client, body: &[u8], enforce: E) -> http::Reply
 where
     E: FnOnce(Accepted) -> R,
@@ -205,21 +209,20 @@
     http::Reply::new(::http::StatusCode::BAD_REQUEST, text)
 }
 
-/// Proposes through a proxy at `address`, asking again under the same id while its answer is
-/// lost.
+/// Sends a proposal to the proxy at `address`, and repeats it under the same id if the answer is lost.
 pub async fn propose(
     address: std::net::SocketAddr,
     proposal: &Proposal,
 ) -> Result<Verdict, http::Error> {
     const TRIES: usize = 3;
     let body = Bytes::from(serde_json::to_vec(proposal).unwrap_or_default());
-    let mut tried = 0;
+    let mut tries = 0;
     loop {
-        tried += 1;
+        tries += 1;
         match http::post(address, PATH, body.clone()).await {
-            Ok(reply) => return Ok(doubt(read(&reply), tried > 1)),
-            Err(error @ http::Error::Connect(..)) if tried == 1 => return Err(error),
-            Err(_) if tried < TRIES => tokio::time::sleep(spread(RETRY)).await,
+            Ok(reply) => return Ok(qualify(read(&reply), tries > 1)),
+            Err(error @ http::Error::Connect(..)) if tries == 1 => return Err(error),
+            Err(_) if tries < TRIES => tokio::time::sleep(jittered(RETRY_DELAY)).await,
             Err(http::Error::Connect(..) | http::Error::Broken(..) | http::Error::Late(_)) => {
                 return Ok(Verdict::Unsettled);
             }
@@ -227,8 +230,9 @@
     }
 }
 
-/// An earlier try whose answer was lost may have written, so that a later one can't tell.
-fn doubt(verdict: Verdict, tried_before: bool) -> Verdict {
+/// Turns "not applied" into "unsettled" after an earlier try, which may have written although its
+/// answer was lost.
+fn qualify(verdict: Verdict, tried_before: bool) -> Verdict {
     match verdict {
         Verdict::NotApplied(_) if tried_before => Verdict::Unsettled,
         other => other,
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -1,7 +1,7 @@
 //! The platform's services: the table with compare-and-set, the object store, the VM list.
 //!
-//! This is the one module that knows how they are called, and `standin::platform` answers.
-//! Each call has a deadline, and an error leaves open whether a write took effect.
+//! Only this module calls them; `standin::platform` implements them for tests and demos. Each call has
+//! a deadline. After an error, a write may or may not have taken effect.
 
 pub mod apply;
 pub mod watch;
@@ -19,18 +19,18 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status};
 
-/// How long one call may take. The platform answers in a few milliseconds; a poll that waits
-/// longer than this is better asked elsewhere.
-pub const CALL: Duration = Duration::from_secs(1);
+/// How long one call may take. The platform answers in a few milliseconds; a call that takes longer
+/// than this is better sent to another address.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The row that names the configuration in force.
 pub const CONFIG_ROW: &str = "config";
 
-/// How many accepted versions the row remembers, for settling lost answers. At 1,200 changes a
-/// day, 64 are an hour's; nobody waits that long for an answer.
-pub const PAST_LIMIT: usize = 64;
+/// How many accepted versions the row records, to find the outcome of a write whose answer was lost. At
+/// 1,200 changes a day, 64 cover an hour, longer than anyone waits for an answer.
+pub const MAX_PAST_VERSIONS: usize = 64;
 
-/// A question to the platform.
+/// A request to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
     /// Reads a row, unless its version is the known one.
@@ -46,7 +46,7 @@
         key: Box<str>,
         /// The version that it must have.
         expected: Version,
-        /// Its new value; its version counts up by one.
+        /// Its new value; the version increases by one.
         value: Bytes,
     },
     /// Reads an object.
@@ -69,7 +69,7 @@
 pub enum Answer {
     /// The version is still the known one.
     Unchanged,
-    /// The row as it is, read or in the way of a write.
+    /// The current row, as the result of a read or of a write that expected another version.
     Row(Row),
     /// The row was written and has this version.
     Written(Version),
@@ -93,13 +93,13 @@
 /// The platform's list of VMs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// Counts the list's changes.
+    /// Increases with each change of the list.
     pub version: Version,
     /// The VMs, live and leaving.
     pub members: Vec<Member>,
 }
 
-/// The value of [`CONFIG_ROW`]: which attempts were accepted, the one in force last.
+/// The value of [`CONFIG_ROW`]: the accepted attempts, the one in force last.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Head {
@@ -112,7 +112,7 @@
 pub struct Past {
     /// The version.
     pub version: Version,
-    /// The attempt that won it; its document is the object `config/ID`.
+    /// The attempt that was accepted as this version; its document is the object `config/ID`.
     pub apply: ApplyId,
 }
 
@@ -123,7 +123,7 @@
 }
 
 impl Head {
-    /// What is in force; `None` before the first document.
+    /// The attempt in force; `None` before the first document.
     pub fn last(&self) -> Option<Past> {
         self.past.last().copied()
     }
@@ -141,13 +141,13 @@
     }
 }
 
-/// Why the platform did not answer well.
+/// Why a call to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// No answer. A write may have taken effect.
     #[error("the platform does not answer ({0}): ask again once it does")]
     Unavailable(Box<str>),
-    /// Its answer is not understood.
+    /// The answer could not be parsed, or is of the wrong kind.
     #[error("the platform's answer is not understood ({0}): check that the versions fit")]
     Garbled(Box<str>),
     /// A stored document is damaged.
@@ -173,7 +173,7 @@
 }
 
 impl Client {
-    /// A client that asks the first address, and the next one whenever one does not answer.
+    /// Creates a client that calls the first address, and moves to the next one after each failed call.
     pub fn new(addresses: impl Into<Box<[SocketAddr]>>) -> Self {
         Self {
             addresses: addresses.into(),
@@ -182,13 +182,13 @@
         }
     }
 
-    /// Makes one call, in at most [`CALL`].
+    /// Makes one call, in at most [`CALL_TIMEOUT`].
     pub async fn call(&self, call: Call) -> Result<Answer, Error> {
         let channel = self.channel()?;
-        let answer = tokio::time::timeout(CALL, rpc::call(channel, call)).await;
+        let answer = tokio::time::timeout(CALL_TIMEOUT, rpc::call(channel, call)).await;
         let answer = answer.unwrap_or_else(|_| Err(Status::unavailable("no answer in time")));
         answer.map_err(|status| {
-            self.give_up();
+            self.switch_address();
             status.into()
         })
     }
@@ -244,14 +244,14 @@
             .map_err(|error| Error::Unavailable(error.to_string().into()))?;
         let new = endpoint
             .tcp_nodelay(true)
-            .connect_timeout(CALL)
+            .connect_timeout(CALL_TIMEOUT)
             .connect_lazy();
         *channel = Some(new.clone());
         Ok(new)
     }
 
-    /// Leaves a connection that may be silent for good, and tries the next address.
-    fn give_up(&self) {
+    /// Drops the connection, which may have gone silent for good, and moves to the next address.
+    fn switch_address(&self) {
         let next = (self.current.get() + 1) % self.addresses.len().max(1);
         self.current.set(next);
         *self.channel.borrow_mut() = None;
@@ -271,9 +271,9 @@
     Error::Garbled(kind.into())
 }
 
-/// A pause around `span`, spread by a quarter so that nodes don't move in step.
-fn spread(span: Span) -> Duration {
-    const SPREAD: f64 = 0.25;
-    let factor = 1.0 - SPREAD + 2.0 * SPREAD * rand::random::<f64>();
+/// Returns `span` with a random jitter of up to a quarter, so that VMs don't call at the same time.
+fn jittered(span: Span) -> Duration {
+    const JITTER: f64 = 0.25;
+    let factor = 1.0 - JITTER + 2.0 * JITTER * rand::random::<f64>();
     Duration::from(span).mul_f64(factor)
 }
--- a/src/net/platform/watch.rs
+++ b/src/net/platform/watch.rs
@@ -1,21 +1,21 @@
-//! Keeping up with the configuration and the VM list, cheaply.
+//! Polls the configuration and the VM list at low cost.
 //!
-//! Load: 580 nodes ask two questions every two seconds, 580 small reads a second of the 2,000
-//! that the platform serves. An answer that brings nothing new is a few bytes. After a failure
-//! the pause doubles up to ten seconds; without that, and without the spread, the nodes would
-//! all ask at once when the platform returns, and bring it down again.
+//! Load: 580 VMs make two calls every two seconds, which is 580 small reads a second of the 2,000
+//! that the platform serves. An answer without changes is a few bytes. After a failure the pause
+//! doubles, up to ten seconds. Without this backoff and the jitter, all VMs would call at once when
+//! the platform returns, and overload it again.
 
-use super::{Client, Error, Listed, spread};
+use super::{Client, Error, Listed, jittered};
 use crate::clock::Span;
 use crate::config::Accepted;
 use crate::types::Version;
 
-/// How often the platform is asked.
+/// How often the platform is polled.
 #[derive(Debug, Clone, Copy)]
 pub struct Pace {
-    /// Between two questions.
+    /// The pause between two polls.
     pub poll: Span,
-    /// The longest pause while it does not answer.
+    /// The longest pause while the platform does not answer.
     pub longest: Span,
 }
 
@@ -28,62 +28,63 @@
     }
 }
 
-/// What the platform told.
+/// A change that polling found.
 #[derive(Debug)]
 pub enum News {
     /// A newer configuration.
     Config(Accepted),
-    /// A newer list.
+    /// A newer list of VMs.
     Members(Listed),
-    /// It does not answer any more.
+    /// The platform stopped answering.
     Lost(Error),
-    /// It answers again.
+    /// The platform answers again.
     Back,
 }
 
-/// Asks for ever. `version` tells the configuration's version known by now, perhaps from a peer.
+/// Polls until it is dropped, and reports changes to `notify`. `version` returns the known version of
+/// the configuration, which may have come from a peer.
 pub async fn run(
     client: &Client,
     pace: Pace,
     version: impl Fn() -> Version,
-    mut tell: impl FnMut(News),
+    mut notify: impl FnMut(News),
 ) {
     let mut list = Version(0);
     let mut pause = pace.poll;
     let mut lost = false;
     loop {
-        match round(client, version(), &mut list, &mut tell).await {
+        match poll_once(client, version(), &mut list, &mut notify).await {
             Ok(()) => {
                 if std::mem::take(&mut lost) {
-                    tell(News::Back);
+                    notify(News::Back);
                 }
                 pause = pace.poll;
             }
             Err(error) => {
                 if !std::mem::replace(&mut lost, true) {
-                    tell(News::Lost(error));
+                    notify(News::Lost(error));
                 }
                 pause = pause.percent(200).min(pace.longest);
             }
         }
-        tokio::time::sleep(spread(pause)).await;
+        tokio::time::sleep(jittered(pause)).await;
     }
 }
 
-async fn round(
+async fn poll_once(
     client: &Client,
     known: Version,
     list: &mut Version,
-    tell: &mut impl FnMut(News),
+    notify: &mut impl FnMut(News),
 ) -> Result<(), Error> {
     let config = client.config(known).await;
     let members = client.members(*list).await;
     if let Some(listed) = members? {
         *list = listed.version;
-        tell(News::Members(listed));
+        notify(News::Members(listed));
     }
     if let Some(accepted) = config? {
-        tell(News::Config(accepted));
+        notify(News::Config(accepted));
     }
     Ok(())
 }
--- a/src/net/splice.rs
+++ b/src/net/splice.rs
@@ -1,14 +1,14 @@
-//! What a caller expects in answer to a batch, against what a database answers.
+//! Turns a database's answer to a batch into the answer that the caller expects.
 //!
-//! A batch is not always sent as the caller wrote it: a statement is prepared again on another
-//! connection, or is there already, or the proxy answers a message itself. The answer is put
-//! right here, message by message; anything in it that no message of the batch accounts for is
-//! an error, and the connection is not used again.
+//! A batch is not always sent as the caller wrote it: a statement may be prepared again on another
+//! connection, or exist there already, or the proxy may answer a message itself. This module adapts
+//! the answer message by message. A message in it that answers no message of the batch is an error,
+//! and the connection is not used again.
 
 use crate::net::frame::{Frame, Malformed, kind};
 use bytes::{Bytes, BytesMut};
 
-/// A message of a batch, by what a database answers to it.
+/// The kind of answer that a database gives to a message of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expect {
     /// ParseComplete.
@@ -30,17 +30,17 @@
 /// One part of the answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// The database's answer goes on to the caller.
+    /// The database's answer is passed on to the caller.
     Pass(Expect),
-    /// The database's answer is for the proxy only.
+    /// The database's answer is dropped, because the proxy sent the message itself.
     Drop(Expect),
-    /// The proxy answers with these messages itself.
+    /// The proxy inserts these messages as its own answer.
     Insert(Bytes),
 }
 
 impl Expect {
-    /// Whether a message of this type belongs to the answer, and whether it ends it.
-    fn takes(self, byte: u8) -> Option<bool> {
+    /// Returns whether a message of this type ends the answer; none if it is no part of the answer.
+    fn ends_answer(self, byte: u8) -> Option<bool> {
         match (self, byte) {
             (_, kind::NOTICE) => Some(false),
             (Self::Parse, kind::PARSE_COMPLETE) => Some(true),
@@ -63,16 +63,17 @@
     }
 }
 
-/// Whether the answer to these steps is the caller's as it stands.
+/// Whether the answer to these steps can be passed on unchanged.
 pub fn plain(steps: &[Step]) -> bool {
     steps.iter().all(|step| matches!(step, Step::Pass(_)))
 }
 
-/// Puts an answer right. After an error message the rest of the steps has no answer.
+/// Builds the caller's answer from the database's. An error message ends the answer; the remaining
+/// steps have none.
 pub fn splice(steps: &[Step], answer: &[Frame]) -> Result<Bytes, Malformed> {
     let mut out = BytesMut::new();
     let mut steps = steps.iter();
-    let mut step = insert(&mut steps, &mut out);
+    let mut step = append_inserts(&mut steps, &mut out);
     for (index, frame) in answer.iter().enumerate() {
         if frame.kind() == kind::ERROR {
             out.extend_from_slice(frame.bytes());
@@ -85,12 +86,12 @@
             _ if frame.kind() == kind::NOTICE => (&Expect::Query, true),
             _ => return Err(Malformed::Order),
         };
-        let ends = expect.takes(frame.kind()).ok_or(Malformed::Order)?;
+        let ends = expect.ends_answer(frame.kind()).ok_or(Malformed::Order)?;
         if passes {
             out.extend_from_slice(frame.bytes());
         }
         if ends {
-            step = insert(&mut steps, &mut out);
+            step = append_inserts(&mut steps, &mut out);
         }
     }
     match step {
@@ -99,8 +100,11 @@
     }
 }
 
-/// Appends the proxy's own answers that come next, and gives the step after them.
-fn insert<'a>(steps: &mut std::slice::Iter<'a, Step>, out: &mut BytesMut) -> Option<&'a Step> {
+/// Appends the proxy's own answers that come next, and returns the step after them.
+fn append_inserts<'a>(
+    steps: &mut std::slice::Iter<'a, Step>,
+    out: &mut BytesMut,
+) -> Option<&'a Step> {
     for step in steps {
         let Step::Insert(bytes) = step else {
             return Some(step);
--- a/src/net/system.rs
+++ b/src/net/system.rs
@@ -1,4 +1,4 @@
-//! What the system gives to direct access: the clock that counts pauses, listeners, connections.
+//! System services of direct access: a clock that counts pauses, listeners and connections.
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::{Clock, Connect, Stream};
@@ -10,18 +10,18 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// How many connections may wait to be accepted. When the queue is full the other end tries again
-/// only after a second, so it holds all callers of a VM that come back at once.
+/// How many connections may wait to be accepted. When the queue is full, the other end retries only
+/// after a second, so the queue holds all callers of a VM that reconnect at once.
 const BACKLOG: u32 = 4_096;
 
-/// How long sent bytes may stay unacknowledged before a connection counts as broken. Far above a
-/// round trip between regions; an answer's own deadline is longer as a rule.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
+/// How long sent bytes may stay unacknowledged before a connection counts as broken. It is far above a
+/// round trip between regions, and usually below the deadline of an answer.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u64 = 1_000;
 
-/// The system's clock that goes on while the VM is paused, in microseconds.
+/// The system's clock that continues while the VM is paused, in microseconds.
 fn now() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
@@ -29,29 +29,27 @@
     seconds * MICROS_PER_SECOND + nanos / NANOS_PER_MICRO
 }
 
-/// What the clock shows when a process starts.
+/// The value of the clock when a process starts.
 ///
-/// **Failure answered.** A VM that has run for a second is told that a primary had come to a
-/// position three seconds ago, or that a reading of who leads is that old.
-/// **Symptom without it.** The moment lies before the clock's zero and is cut off there, so that it
-/// passes for one second old: a read that may be 1.5 s old missed what was acknowledged two seconds
-/// before, and a lease lasted too long.
-/// **Why it suffices.** Ages that VMs tell each other are seconds, far less than a day.
-const STARTS_AT: Span = Span::from_secs(24 * 60 * 60);
+/// VMs send each other ages of a few seconds, far less than this day. If the clock started at zero, a VM
+/// that had run for one second and received an age of three seconds would compute a time before zero,
+/// which is clamped to zero and looks one second old: a read with an age limit of 1.5 s missed what
+/// was acknowledged two seconds before, and a lease lasted too long.
+const CLOCK_START: Span = Span::from_secs(24 * 60 * 60);
 
-/// A clock that starts now, at a day, and counts pauses of the VM.
+/// Returns a clock that starts at [`CLOCK_START`] and counts pauses of the VM.
 pub fn clock() -> Clock {
     let since_start = since_now();
-    Rc::new(move || since_start() + STARTS_AT)
+    Rc::new(move || since_start() + CLOCK_START)
 }
 
-/// The same, for any thread.
+/// Returns a clock that starts at zero and can be used by any thread.
 pub fn since_now() -> impl Fn() -> Time + Copy + Send + Sync + 'static {
     let origin = now();
     move || Time(now().saturating_sub(origin))
 }
 
-/// Listens at an address, also right after the process before has ended.
+/// Listens at an address, even right after a previous process on it has ended.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
@@ -63,22 +61,22 @@
     socket.listen(BACKLOG)
 }
 
-/// Prepares a connection: what is written leaves at once, and a peer that is cut off shows.
+/// Configures a connection: writes are sent at once, and an unreachable peer is detected.
 pub fn prepare(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let limit = u32::try_from(UNACKNOWLEDGED.as_millis()).unwrap_or(u32::MAX);
+    let limit = u32::try_from(UNACKNOWLEDGED_TIMEOUT.as_millis()).unwrap_or(u32::MAX);
     sockopt::set_tcp_user_timeout(stream, limit)?;
     Ok(())
 }
 
-/// Opens connections; `abrupt` ones are reset as they are closed.
-pub fn connect(abrupt: bool) -> Connect {
-    Rc::new(move |address: SocketAddr, within: Span| {
+/// Returns the function that opens connections, which are reset when closed if `reset_on_close`.
+pub fn connect(reset_on_close: bool) -> Connect {
+    Rc::new(move |address: SocketAddr, timeout: Span| {
         Box::pin(async move {
-            let connected = tokio::time::timeout(within.into(), TcpStream::connect(address)).await;
+            let connected = tokio::time::timeout(timeout.into(), TcpStream::connect(address)).await;
             let stream = connected.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
             prepare(&stream)?;
-            if abrupt {
+            if reset_on_close {
                 sockopt::set_socket_linger(&stream, Some(Duration::ZERO))?;
             }
             Ok(Box::new(stream) as Box<dyn Stream>)
