--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -3,7 +3,7 @@
 use crate::cmd::check::read;
 use crate::cmd::{Error, parse, single, value};
 use crate::net::platform::Client;
-use crate::net::platform::apply::{self, Outrun, PATIENCE, Proposal, Verdict};
+use crate::net::platform::apply::{self, Outrun, Proposal, RETRY_TIMEOUT, Verdict};
 use crate::types::{ApplyId, Version};
 use std::net::SocketAddr;
 use tokio::time::Instant;
@@ -103,7 +103,7 @@
             .await
             .map_err(Error::failed),
         Target::Platform(address) => {
-            let deadline = Instant::now() + PATIENCE.into();
+            let deadline = Instant::now() + RETRY_TIMEOUT.into();
             Ok(apply::settle(&Client::new([address]), proposal, deadline).await)
         }
     }
--- a/src/net/platform/apply.rs
+++ b/src/net/platform/apply.rs
@@ -14,7 +14,7 @@
 
 /// How long new tries are started while the platform does not answer. Together with the calls of the
 /// last try, this is less than [`http::EXCHANGE_TIMEOUT`], so that the answer still reaches the operator.
-pub const PATIENCE: Span = Span::from_secs(5);
+pub const RETRY_TIMEOUT: Span = Span::from_secs(5);
 
 /// The average pause between two tries.
 const RETRY_DELAY: Span = Span::from_millis(200);
@@ -191,7 +191,7 @@
     if let Err(fault) = proposal.document.check() {
         return refusal(&fault);
     }
-    let deadline = Instant::now() + PATIENCE.into();
+    let deadline = Instant::now() + RETRY_TIMEOUT.into();
     let verdict = settle(client, &proposal, deadline).await;
     if let Verdict::Accepted(version) = &verdict {
         enforce(Accepted {
