--- a/src/net/pg/caller.rs
+++ b/src/net/pg/caller.rs
@@ -11,7 +11,7 @@
 use crate::clock::Span;
 use crate::core::request::{Cause, Done, Kind, NotRun, Outcome, Request, Status};
 use crate::net::frame::{self, Frame, kind, put};
-use crate::net::splice::{plain, splice};
+use crate::net::splice::{is_unchanged, splice};
 use crate::sql::Statement;
 use crate::types::{Link, Position};
 use bytes::{Bytes, BytesMut};
@@ -317,7 +317,7 @@
     fn done(&mut self, batch: &Batch, done: Done, floor: Option<Position>) -> Result<(), End> {
         self.status = done.status;
         let flushed = !batch.ready;
-        if plain(&batch.steps) && !flushed {
+        if is_unchanged(&batch.steps) && !flushed {
             self.out.extend_from_slice(&done.body);
         } else {
             let frames = frame::split(done.body).map_err(Fault::from)?;
--- a/src/net/splice.rs
+++ b/src/net/splice.rs
@@ -64,7 +64,7 @@
 }
 
 /// Whether the answer to these steps can be passed on unchanged.
-pub fn plain(steps: &[Step]) -> bool {
+pub fn is_unchanged(steps: &[Step]) -> bool {
     steps.iter().all(|step| matches!(step, Step::Pass(_)))
 }
 
