--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -4,7 +4,7 @@
 use crate::core::member::Identity;
 use crate::direct::adapter::Build;
 use crate::logs;
-use crate::net::direct::{self, Place};
+use crate::net::direct::{self, Startup};
 use crate::net::pg;
 use crate::net::platform::Client;
 use crate::net::proxy::{self, Setup};
@@ -64,12 +64,12 @@
         return system.block_on(serve(settings));
     };
     let lines = logs::install(settings.log.into(), system::since_now()).map_err(Error::failed)?;
-    let place = Place {
+    let startup = Startup {
         settings,
         direct,
         read: Box::new(move || read(&args.path)),
     };
-    let ended = system.block_on(direct::run(place, build));
+    let ended = system.block_on(direct::run(startup, build));
     lines.drain(LAST_LINES);
     ended.map_err(Error::failed)
 }
--- a/src/net/direct.rs
+++ b/src/net/direct.rs
@@ -38,7 +38,7 @@
 const RESERVED_DESCRIPTORS: u32 = 1_000;
 
 /// The settings that a VM starts with, and how to read them again.
-pub struct Place {
+pub struct Startup {
     /// All settings.
     pub settings: Settings,
     /// The settings of direct access.
@@ -47,9 +47,9 @@
     pub read: Box<dyn Fn() -> Result<Settings, Box<str>>>,
 }
 
-impl fmt::Debug for Place {
+impl fmt::Debug for Startup {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Place").finish_non_exhaustive()
+        f.debug_struct("Startup").finish_non_exhaustive()
     }
 }
 
@@ -68,19 +68,19 @@
 }
 
 /// Runs the VM until a planned stop is complete.
-pub async fn run(place: Place, build: Build) -> io::Result<()> {
+pub async fn run(startup: Startup, build: Build) -> io::Result<()> {
     let stop = util::asked_to_stop()?;
-    let listeners = Listeners::open(&place)?;
-    println!("ready {}", place.settings.callers);
+    let listeners = Listeners::open(&startup)?;
+    println!("ready {}", startup.settings.callers);
     let adapter = build(Outside {
-        store: place.settings.platform[0],
-        orders: place.direct.orders,
+        store: startup.settings.platform[0],
+        orders: startup.direct.orders,
         connect: system::connect(false),
         abrupt: system::connect(true),
         clock: system::clock(),
     });
-    log::info!(callers:% = place.settings.callers, admin:% = place.settings.admin; "listening");
-    let vm = Vm::start(&place, adapter);
+    log::info!(callers:% = startup.settings.callers, admin:% = startup.settings.admin; "listening");
+    let vm = Vm::start(&startup, adapter);
     let Listeners {
         callers,
         peers,
@@ -97,7 +97,7 @@
     if let Some(operators) = operators {
         actix_rt::spawn(http::serve(operators, admin::operators(Rc::clone(&vm))));
     }
-    actix_rt::spawn(reload::watch(Rc::clone(&vm), place));
+    actix_rt::spawn(reload::watch(Rc::clone(&vm), startup));
     if let Some(relays) = relays {
         actix_rt::spawn(accept_relays(Rc::clone(&vm), relays));
     }
@@ -120,16 +120,16 @@
 }
 
 impl Listeners {
-    fn open(place: &Place) -> io::Result<Self> {
+    fn open(startup: &Startup) -> io::Result<Self> {
         Ok(Self {
-            callers: listen("callers", place.settings.callers)?,
-            peers: listen("peers", place.settings.peers)?,
-            relays: match place.direct.relay {
+            callers: listen("callers", startup.settings.callers)?,
+            peers: listen("peers", startup.settings.peers)?,
+            relays: match startup.direct.relay {
                 Some(relay) => Some(listen("direct.relay", relay)?),
                 None => None,
             },
-            ready: listen("direct.ready", place.direct.ready)?,
-            operators: listen("admin", place.settings.admin)
+            ready: listen("direct.ready", startup.direct.ready)?,
+            operators: listen("admin", startup.settings.admin)
                 .inspect_err(|error| log::error!("metrics and dumps are not served: {error}"))
                 .ok(),
         })
@@ -164,8 +164,8 @@
 }
 
 impl Vm {
-    fn start(place: &Place, adapter: Adapter) -> Rc<Self> {
-        let (settings, direct) = (&place.settings, &place.direct);
+    fn start(startup: &Startup, adapter: Adapter) -> Rc<Self> {
+        let (settings, direct) = (&startup.settings, &startup.direct);
         let shared = Rc::new(Shared::default());
         let adapter = count_store_calls(adapter, &shared);
         let control = Control::start(Setup {
--- a/src/net/direct/reload.rs
+++ b/src/net/direct/reload.rs
@@ -1,7 +1,7 @@
 //! Applies settings that change while the process runs: on SIGHUP, and when the file has changed
 //! without one.
 
-use super::{Place, Vm, callers_limit};
+use super::{Startup, Vm, callers_limit};
 use crate::settings::Settings;
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Applies changes until it is dropped.
-pub async fn watch(vm: Rc<Vm>, place: Place) {
-    let Place {
+pub async fn watch(vm: Rc<Vm>, startup: Startup) {
+    let Startup {
         mut settings, read, ..
-    } = place;
+    } = startup;
     let mut refused: Option<Box<str>> = None;
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
