--- a/src/net/platform/watch.rs
+++ b/src/net/platform/watch.rs
@@ -30,7 +30,7 @@
 
 /// A change that polling found.
 #[derive(Debug)]
-pub enum News {
+pub enum Event {
     /// A newer configuration.
     Config(Accepted),
     /// A newer list of VMs.
@@ -47,7 +47,7 @@
     client: &Client,
     pace: Pace,
     version: impl Fn() -> Version,
-    mut notify: impl FnMut(News),
+    mut notify: impl FnMut(Event),
 ) {
     let mut list = Version(0);
     let mut pause = pace.poll;
@@ -56,13 +56,13 @@
         match poll_once(client, version(), &mut list, &mut notify).await {
             Ok(()) => {
                 if std::mem::take(&mut lost) {
-                    notify(News::Back);
+                    notify(Event::Back);
                 }
                 pause = pace.poll;
             }
             Err(error) => {
                 if !std::mem::replace(&mut lost, true) {
-                    notify(News::Lost(error));
+                    notify(Event::Lost(error));
                 }
                 pause = pause.percent(200).min(pace.longest);
             }
@@ -75,16 +75,16 @@
     client: &Client,
     known: Version,
     list: &mut Version,
-    notify: &mut impl FnMut(News),
+    notify: &mut impl FnMut(Event),
 ) -> Result<(), Error> {
     let config = client.config(known).await;
     let members = client.members(*list).await;
     if let Some(listed) = members? {
         *list = listed.version;
-        notify(News::Members(listed));
+        notify(Event::Members(listed));
     }
     if let Some(accepted) = config? {
-        notify(News::Config(accepted));
+        notify(Event::Config(accepted));
     }
     Ok(())
 }
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -3,7 +3,7 @@
 use crate::config::Accepted;
 use crate::core::member::Identity;
 use crate::core::node::Input;
-use crate::net::platform::watch::{self, News, Pace};
+use crate::net::platform::watch::{self, Event, Pace};
 use crate::net::platform::{Client, Listed};
 use crate::net::shell::{Shell, Status};
 use crate::net::{admin, pg};
@@ -69,13 +69,13 @@
 
 async fn follow(shell: Rc<Shell>, platform: Rc<Client>, vm: VmId) {
     let version = || shell.status().version;
-    watch::run(&platform, Pace::default(), version, |news| match news {
-        News::Config(accepted) => enforce(&shell, accepted),
-        News::Members(listed) => learn(&shell, &vm, listed),
-        News::Lost(error) => {
+    watch::run(&platform, Pace::default(), version, |event| match event {
+        Event::Config(accepted) => enforce(&shell, accepted),
+        Event::Members(listed) => learn(&shell, &vm, listed),
+        Event::Lost(error) => {
             log::warn!("the platform does not answer, what is in force stays: {error}");
         }
-        News::Back => log::info!("the platform answers again"),
+        Event::Back => log::info!("the platform answers again"),
     })
     .await;
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -159,15 +159,15 @@
         &client,
         pace,
         || known.get(),
-        |news| {
-            let line = match news {
-                watch::News::Config(accepted) => {
+        |event| {
+            let line = match event {
+                watch::Event::Config(accepted) => {
                     known.set(accepted.version);
                     format!("version {}", accepted.version)
                 }
-                watch::News::Members(listed) => format!("{} members", listed.members.len()),
-                watch::News::Lost(_) => "lost".into(),
-                watch::News::Back => "back".into(),
+                watch::Event::Members(listed) => format!("{} members", listed.members.len()),
+                watch::Event::Lost(_) => "lost".into(),
+                watch::Event::Back => "back".into(),
             };
             match line.as_str() {
                 "version 1" => platform.set_health(Health::Down),
