--- a/src/net/direct.rs
+++ b/src/net/direct.rs
@@ -226,7 +226,7 @@
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if system::prepare(&stream).is_ok() {
+        if system::configure(&stream).is_ok() {
             actix_rt::spawn(Rc::clone(&vm.relay).serve_stream(Box::new(stream)));
         }
     }
@@ -247,7 +247,7 @@
             log::warn!(callers = vm.callers.get(); "a caller is refused, the connection limit is reached: raise `limits.connections`");
             continue;
         }
-        if system::prepare(&stream).is_err() {
+        if system::configure(&stream).is_err() {
             continue;
         }
         vm.callers.set(vm.callers.get() + 1);
--- a/src/net/system.rs
+++ b/src/net/system.rs
@@ -62,7 +62,7 @@
 }
 
 /// Configures a connection: writes are sent at once, and an unreachable peer is detected.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let limit = u32::try_from(UNACKNOWLEDGED_TIMEOUT.as_millis()).unwrap_or(u32::MAX);
     sockopt::set_tcp_user_timeout(stream, limit)?;
@@ -75,7 +75,7 @@
         Box::pin(async move {
             let connected = tokio::time::timeout(timeout.into(), TcpStream::connect(address)).await;
             let stream = connected.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-            prepare(&stream)?;
+            configure(&stream)?;
             if reset_on_close {
                 sockopt::set_socket_linger(&stream, Some(Duration::ZERO))?;
             }
