--- a/src/main.rs
+++ b/src/main.rs
@@ -58,7 +58,7 @@
         "dump" => cmd::dump::run(rest),
         "model" => cmd::model::run(rest),
         "schedules" => cmd::schedules::run(rest),
-        "serve" => cmd::serve::run(rest, platform::SETTINGS, platform::adapter),
+        "serve" => cmd::serve::run(rest, platform::SETTINGS_VARIABLE, platform::adapter),
         "slopes" => cmd::slopes::run(rest),
         "soak" => cmd::soak::run(rest),
         "experiment" => experiment(rest),
--- a/tests/adapter/settings.rs
+++ b/tests/adapter/settings.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn the_template_gives_settings_that_are_valid() {
-    assert_eq!(platform::SETTINGS, "LENTILSPOKE_CONFIG");
+    assert_eq!(platform::SETTINGS_VARIABLE, "LENTILSPOKE_CONFIG");
     let filled = [
         ("{{node}}", "front-msa-hall-1"),
         ("{{zone}}", "msa-hall"),
