--- a/tests/adapter/cloud.rs
+++ b/tests/adapter/cloud.rs
@@ -1,4 +1,4 @@
-//! Orders to promote, against a scripted stand-in.
+//! Promotion orders, sent to a scripted server.
 
 use crate::platform;
 use crate::script::{Script, Step, clock};
@@ -8,21 +8,21 @@
 use std::time::Duration;
 
 const DEADLINE: Span = Span::from_millis(1_500);
-/// Timers end on whole milliseconds, rounded up.
-const TICK: Duration = Duration::from_millis(1);
+/// Timers fire on whole milliseconds, rounded up.
+const TIMER_RESOLUTION: Duration = Duration::from_millis(1);
 
 struct Run {
     promoted: Promoted,
     took: Duration,
 }
 
-async fn play(script: &Rc<Script>, pause: Option<Duration>) -> Run {
-    let (clock, leap) = clock();
+async fn send_order(script: &Rc<Script>, pause: Option<Duration>) -> Run {
+    let (clock, offset) = clock();
     let address = "10.0.9.1:1".parse().unwrap();
     let adapter = platform::adapter(Outside {
         store: address,
         orders: address,
-        connect: Rc::new(|_, _| panic!("an order takes a connection that can be reset")),
+        connect: Rc::new(|_, _| panic!("an order uses a connection that is reset on close")),
         abrupt: script.connect(),
         clock: Rc::clone(&clock),
     });
@@ -39,7 +39,7 @@
         while script.seen.borrow().is_empty() {
             tokio::task::yield_now().await;
         }
-        leap.set(pause);
+        offset.set(pause);
     }
     let promoted = order.await.unwrap();
     Run {
@@ -49,7 +49,7 @@
 }
 
 #[actix_rt::test]
-async fn answers_are_told_apart() {
+async fn each_answer_maps_to_its_outcome() {
     tokio::time::pause();
     let answers = [
         (Step::Answer(200, ""), Promoted::Done),
@@ -62,17 +62,21 @@
     ];
     for (step, expected) in answers {
         let script = Script::new([step.clone()]);
-        assert_eq!(play(&script, None).await.promoted, expected, "{step:?}");
+        assert_eq!(
+            send_order(&script, None).await.promoted,
+            expected,
+            "{step:?}"
+        );
     }
     let script = Script::new([]);
     script.down.set(true);
-    assert_eq!(play(&script, None).await.promoted, Promoted::Refused);
+    assert_eq!(send_order(&script, None).await.promoted, Promoted::Refused);
 }
 
 #[actix_rt::test]
-async fn an_order_is_spelled_as_the_platform_does() {
+async fn an_order_has_the_format_of_the_platform() {
     let script = Script::new([Step::Answer(200, "")]);
-    play(&script, None).await;
+    send_order(&script, None).await;
     insta::assert_snapshot!(script.seen.borrow()[0], @r#"
     POST /promote HTTP/1.1
     content-type: application/json
@@ -82,27 +86,27 @@
     "#);
 }
 
-/// An order stays without an answer. It is broken off at its deadline, since another VM may have
-/// taken the duty over by then; whether it was done is not known.
+/// An order without an answer is aborted at its deadline, because another VM may hold the duty by
+/// then. Its outcome is unknown.
 #[actix_rt::test]
 async fn an_order_ends_at_its_deadline() {
     tokio::time::pause();
-    let run = play(&Script::new([Step::Silent]), None).await;
+    let run = send_order(&Script::new([Step::Silent]), None).await;
     assert_eq!(run.promoted, Promoted::Unknown);
     assert!(run.took >= Duration::from(DEADLINE));
-    assert!(run.took <= Duration::from(DEADLINE) + TICK);
+    assert!(run.took <= Duration::from(DEADLINE) + TIMER_RESOLUTION);
 }
 
-/// The VM is paused while an order is under way. Timers don't count the pause, the clock does: the
-/// order is broken off at once, not when a timer would have ended.
+/// The VM is paused while an order is in flight. Timers don't count the pause, but the clock does: the
+/// order is aborted at once, not when a timer would have fired.
 #[actix_rt::test]
 async fn a_pause_counts_against_the_deadline() {
     tokio::time::pause();
     let pause = Some(Duration::from_secs(4));
-    let run = play(&Script::new([Step::Silent]), pause).await;
+    let run = send_order(&Script::new([Step::Silent]), pause).await;
     assert_eq!(run.promoted, Promoted::Unknown);
     assert!(
-        run.took <= Duration::from_millis(100) + TICK,
+        run.took <= Duration::from_millis(100) + TIMER_RESOLUTION,
         "{:?}",
         run.took
     );
--- a/tests/adapter/documents.rs
+++ b/tests/adapter/documents.rs
@@ -1,4 +1,4 @@
-//! The operator's manifest and the register of databases.
+//! Parsing the operator's manifest and the entries of the databases' register.
 
 use crate::platform::documents::documents;
 use lentilspoke::types::Birth;
@@ -95,8 +95,8 @@
     "#);
 }
 
-/// A manifest with organisations, and with tenants that are not understood: what is said of them shows
-/// no key.
+/// Organisations are parsed from the manifest's tenants, and the error of a malformed tenant shows no
+/// key.
 #[test]
 fn tenants_are_read_and_their_keys_never_shown() {
     let read = |tenants: &str| {
@@ -175,10 +175,10 @@
     assert!(read("i-7", ENTRY.replace(":8080", "").as_bytes()).is_err());
 }
 
-/// Another writer puts entries into the register: a field is missing or has another type, or a word
-/// is one that nobody knows. Such an entry names no database; a caller sees nothing of it.
+/// Something other than a database writes entries to the register: a field is missing or has another
+/// type, or a value is unknown. Such an entry is rejected, so that no caller is sent to it.
 #[test]
-fn an_entry_of_another_writer_names_no_database() {
+fn an_entry_of_another_writer_is_rejected() {
     let read = documents().read_database;
     let entry: serde_json::Value = serde_json::from_str(ENTRY).unwrap();
     let fields = entry.as_object().unwrap();
@@ -222,12 +222,12 @@
         let _ = (documents.read_config)(&bytes);
         let _ = (documents.read_database)("i-7f", &bytes);
         let mut manifest = MANIFEST.as_bytes().to_vec();
-        let place = at % manifest.len();
-        manifest[place] = byte;
+        let index = at % manifest.len();
+        manifest[index] = byte;
         let _ = (documents.read_config)(&manifest);
         let mut entry = ENTRY.as_bytes().to_vec();
-        let place = at % entry.len();
-        entry[place] = byte;
+        let index = at % entry.len();
+        entry[index] = byte;
         let _ = (documents.read_database)("i-7f", &entry);
         true
     }
--- a/tests/adapter/main.rs
+++ b/tests/adapter/main.rs
@@ -1,4 +1,4 @@
-//! The users' platform: its codec, documents and calls, against small stand-ins.
+//! The platform adapter: its codec, documents and calls, against scripted servers.
 
 #[path = "../../platform/mod.rs"]
 mod platform;
--- a/tests/adapter/script.rs
+++ b/tests/adapter/script.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the store and the cloud: connections whose answers are scripted.
+//! A server that stands in for the store and the cloud, and answers calls by a script.
 
 use lentilspoke::clock::Time;
 use lentilspoke::direct::adapter::{Clock, Connect, Stream};
@@ -9,28 +9,28 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 
-/// What happens to one call.
+/// How the server handles one call.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// It is answered so, and the connection stays open.
+    /// It sends this status and body, and the connection stays open.
     Answer(u16, &'static str),
-    /// It is answered so, and then the connection is closed.
+    /// It sends this status and body, then closes the connection.
     Last(u16, &'static str),
-    /// It is answered so, a quarter of the body at a time, with a pause before each.
+    /// It sends this body in quarters, with a pause before each.
     Slow(&'static str, Duration),
-    /// The answer breaks off in its body.
+    /// It closes the connection in the middle of the body.
     Cut,
-    /// No byte comes back.
+    /// It sends nothing, and the connection stays open.
     Silent,
-    /// The connection is closed once the call was read.
+    /// It closes the connection after reading the call.
     Close,
 }
 
-/// One end of a scripted world.
+/// A scripted server.
 #[derive(Default)]
 pub struct Script {
     steps: RefCell<VecDeque<Step>>,
-    /// What was called: the request line, chosen headers, and the body.
+    /// The calls received: request line, headers except host and length, and body.
     pub seen: RefCell<Vec<String>>,
     /// How many connections were opened.
     pub opened: Cell<u32>,
@@ -39,14 +39,14 @@
 }
 
 impl Script {
-    /// A world that goes through these steps.
+    /// Creates a server that handles one call by each step.
     pub fn new(steps: impl IntoIterator<Item = Step>) -> Rc<Self> {
         let script = Self::default();
         script.steps.borrow_mut().extend(steps);
         Rc::new(script)
     }
 
-    /// Opens connections to it.
+    /// Returns the function that opens connections to it.
     pub fn connect(self: &Rc<Self>) -> Connect {
         let script = Rc::clone(self);
         Rc::new(move |_, _| {
@@ -71,7 +71,7 @@
             let (status, body) = match step {
                 Step::Answer(status, body) | Step::Last(status, body) => (status, body),
                 Step::Slow(body, pause) => {
-                    slowly(&mut stream, body, pause).await?;
+                    write_in_quarters(&mut stream, body, pause).await?;
                     continue;
                 }
                 Step::Cut => (200, "{\"row_version\":9"),
@@ -88,7 +88,7 @@
     }
 }
 
-/// Reads one call: a head, and a body of the length that it names.
+/// Reads one call: the head, and a body of the length in its header.
 async fn read(stream: &mut DuplexStream) -> Option<String> {
     let mut bytes = Vec::new();
     loop {
@@ -114,19 +114,20 @@
     Some(kept.join("\n").trim_end().to_owned())
 }
 
-/// A clock that follows virtual time and can leap ahead, as after a pause of the VM.
+/// Returns a clock that follows virtual time, and the offset that moves it ahead as a pause of the VM
+/// does.
 pub fn clock() -> (Clock, Rc<Cell<Duration>>) {
-    let leap = Rc::new(Cell::new(Duration::ZERO));
+    let offset = Rc::new(Cell::new(Duration::ZERO));
     let origin = tokio::time::Instant::now();
-    let ahead = Rc::clone(&leap);
+    let added = Rc::clone(&offset);
     let clock = move || {
-        let passed = origin.elapsed() + ahead.get();
-        Time(u64::try_from(passed.as_micros()).unwrap())
+        let elapsed = origin.elapsed() + added.get();
+        Time(u64::try_from(elapsed.as_micros()).unwrap())
     };
-    (Rc::new(clock), leap)
+    (Rc::new(clock), offset)
 }
 
-async fn slowly(stream: &mut DuplexStream, body: &str, pause: Duration) -> Option<()> {
+async fn write_in_quarters(stream: &mut DuplexStream, body: &str, pause: Duration) -> Option<()> {
     let head = format!("HTTP/1.1 200 X\r\ncontent-length: {}\r\n\r\n", body.len());
     stream.write_all(head.as_bytes()).await.ok()?;
     for quarter in body.as_bytes().chunks(body.len().div_ceil(4)) {
--- a/tests/adapter/settings.rs
+++ b/tests/adapter/settings.rs
@@ -1,15 +1,15 @@
-//! The template of the settings, filled in as the platform would.
+//! The settings template, filled in as the platform does.
 
 use crate::platform;
 use lentilspoke::settings::Settings;
 
-/// Where the bench fetches metrics has to be where this process serves them.
+/// The bench fetches metrics from the port in this file, so it must be the one in the template.
 const DEPLOY: &str = include_str!("../../deploy/system.toml");
 
 const TEMPLATE: &str = include_str!("../../deploy/settings.jsonc");
 
 #[test]
-fn the_template_gives_settings_that_are_valid() {
+fn the_template_gives_valid_settings() {
     assert_eq!(platform::SETTINGS_VARIABLE, "LENTILSPOKE_CONFIG");
     let filled = [
         ("{{node}}", "front-msa-hall-1"),
--- a/tests/adapter/store.rs
+++ b/tests/adapter/store.rs
@@ -1,4 +1,4 @@
-//! The store's client, against a scripted stand-in.
+//! The store's client, against a scripted server.
 
 use crate::platform;
 use crate::script::{Script, Step, clock};
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const WITHIN: Span = Span::from_secs(2);
+const TIMEOUT: Span = Span::from_secs(2);
 const EMPTY: &str = r#"{"rows":[],"has_more":false,"row_version":530,"now_ms":1}"#;
 
 fn store(script: &Rc<Script>) -> CallStore {
@@ -40,7 +40,7 @@
     Ask::Read("my table".into())
 }
 
-/// A VM that starts reads a few rows of a long table: one page, from its own row on.
+/// A VM that starts reads a few rows of a long table, from its own row on, in one page.
 #[actix_rt::test]
 async fn a_range_is_one_page() {
     let page = r#"{"rows":[],"has_more":true,"row_version":530,"now_ms":1}"#;
@@ -52,7 +52,7 @@
             from: from.into(),
             most: 64,
         };
-        store(range, WITHIN).await.unwrap();
+        store(range, TIMEOUT).await.unwrap();
     }
     insta::assert_snapshot!(script.seen.borrow().join("\n\n"), @r#"
     GET /api/rows-get?table=my%20table&part=&limit=64 HTTP/1.1
@@ -61,21 +61,21 @@
     "#);
 }
 
-async fn play(ask: fn() -> Ask, step: Step) -> Result<Told, Fault> {
+async fn call(command: fn() -> Ask, step: Step) -> Result<Told, Fault> {
     let script = Script::new([step]);
-    store(&script)(ask(), WITHIN).await
+    store(&script)(command(), TIMEOUT).await
 }
 
-fn is_refused(told: &Result<Told, Fault>) -> bool {
-    matches!(told, Err(Fault::Refused(_)))
+fn is_refused(result: &Result<Told, Fault>) -> bool {
+    matches!(result, Err(Fault::Refused(_)))
 }
 
-fn is_unknown(told: &Result<Told, Fault>) -> bool {
-    matches!(told, Err(Fault::Unknown(_)))
+fn is_unknown(result: &Result<Told, Fault>) -> bool {
+    matches!(result, Err(Fault::Unknown(_)))
 }
 
 #[actix_rt::test]
-async fn calls_are_spelled_as_the_platform_does() {
+async fn calls_have_the_format_of_the_platform() {
     let script = Script::new([
         Step::Answer(200, EMPTY),
         Step::Answer(200, EMPTY),
@@ -87,16 +87,16 @@
         after: version(530),
         wait: Span::from_secs(60),
     };
-    store(read(), WITHIN).await.unwrap();
-    store(follow, WITHIN).await.unwrap();
+    store(read(), TIMEOUT).await.unwrap();
+    store(follow, TIMEOUT).await.unwrap();
     assert_eq!(
-        store(change(), WITHIN).await,
+        store(change(), TIMEOUT).await,
         Ok(Told::Written(version(531)))
     );
     assert_eq!(
         script.opened.get(),
         1,
-        "one connection serves calls in turn"
+        "calls in sequence share a connection"
     );
     insta::assert_snapshot!(script.seen.borrow().join("\n\n"), @r#"
     GET /api/rows-get?table=my%20table&part= HTTP/1.1
@@ -109,11 +109,11 @@
     "#);
 }
 
-/// A table has more rows than an answer. Each page begins with the last row of the one before;
-/// rows of other parts are not ours; a row changes between two pages. Whoever follows from the
-/// version told must hear of that change, so it is the first page's.
+/// A table has more rows than one page. Each page begins with the last row of the one before, rows of
+/// other parts are skipped, and a row changes between two pages. The result has the version of the
+/// first page, so that following the table from there includes that change.
 #[actix_rt::test]
-async fn pages_are_put_together() {
+async fn pages_are_joined() {
     let script = Script::new([
         Step::Answer(
             200,
@@ -127,8 +127,8 @@
             {"table":"t","part":"","key":"d","value":"NA==","row_version":6}],"has_more":false,"row_version":6}"#,
         ),
     ]);
-    let Ok(Told::Rows { rows, version }) = store(&script)(read(), WITHIN).await else {
-        panic!("rows were told");
+    let Ok(Told::Rows { rows, version }) = store(&script)(read(), TIMEOUT).await else {
+        panic!("expected rows");
     };
     assert_eq!(version, self::version(5));
     let keys: Vec<&str> = rows.iter().map(|row| &*row.id.key).collect();
@@ -137,52 +137,51 @@
     assert!(script.seen.borrow()[1].contains("from=b%20c"));
 }
 
-/// A store that says there is more and sends nothing new would be asked for ever.
+/// A store that reports more rows but sends none must not be read in an endless loop.
 #[actix_rt::test]
-async fn pages_that_lead_nowhere_end() {
+async fn a_page_without_new_rows_ends_the_read() {
     let page = r#"{"rows":[],"has_more":true,"row_version":5}"#;
-    assert!(play(read, Step::Answer(200, page)).await.is_ok());
+    assert!(call(read, Step::Answer(200, page)).await.is_ok());
 }
 
 #[actix_rt::test]
-async fn removed_rows_and_lost_history_are_told() {
+async fn removed_rows_and_lost_history_are_reported() {
     let follow = || Ask::Follow {
         table: "op".into(),
         after: version(1),
         wait: Span::from_secs(1),
     };
     let gone = r#"{"rows":[{"table":"t","part":"","key":"a","tombstone":true,"row_version":7}],"row_version":7}"#;
-    let Ok(Told::Rows { rows, .. }) = play(follow, Step::Answer(200, gone)).await else {
-        panic!("rows were told");
+    let Ok(Told::Rows { rows, .. }) = call(follow, Step::Answer(200, gone)).await else {
+        panic!("expected rows");
     };
     assert_eq!((rows[0].value.clone(), rows[0].version), (None, version(7)));
     assert_eq!(
-        play(follow, Step::Answer(410, "")).await,
+        call(follow, Step::Answer(410, "")).await,
         Ok(Told::Forgotten)
     );
 }
 
-/// A change meets another one. It is not done, and the rows under condition are told; also when
-/// the answer's body makes no sense it is known that nothing was done.
+/// A change conflicts with another one. It is not made, and the result has the rows of its conditions.
+/// If the body of the answer is malformed, it is still known that nothing was changed.
 #[actix_rt::test]
-async fn a_conflict_is_told() {
+async fn a_conflict_returns_the_current_rows() {
     let rows = r#"{"rows":[{"table":"duty","part":"","key":"steward","value":"eA==","row_version":413}],"row_version":500}"#;
-    let Ok(Told::Conflict(rows)) = play(change, Step::Answer(412, rows)).await else {
-        panic!("a conflict was told");
+    let Ok(Told::Conflict(rows)) = call(change, Step::Answer(412, rows)).await else {
+        panic!("expected a conflict");
     };
     assert_eq!(rows[0].version, version(413));
-    assert!(is_refused(&play(change, Step::Answer(412, "what?")).await));
+    assert!(is_refused(&call(change, Step::Answer(412, "what?")).await));
 }
 
-/// The caller of the store must know whether a change may have been done. It was not, if the store
-/// said so or no connection came about; it may have been, once it was sent and no whole answer
-/// came back.
+/// A result must show whether a change may have been made. It was not made if the store answered so or
+/// no connection was opened; it may have been made if it was sent and no complete answer came back.
 #[actix_rt::test]
-async fn only_what_was_not_done_counts_as_refused() {
+async fn only_a_change_that_was_not_made_is_refused() {
     tokio::time::pause();
     for status in [503, 429, 400, 403, 413] {
         assert!(
-            is_refused(&play(change, Step::Answer(status, "")).await),
+            is_refused(&call(change, Step::Answer(status, "")).await),
             "{status}"
         );
     }
@@ -194,39 +193,39 @@
         Step::Silent,
     ];
     for step in unknown {
-        let told = play(change, step.clone()).await;
-        assert!(is_unknown(&told), "{step:?}: {told:?}");
+        let result = call(change, step.clone()).await;
+        assert!(is_unknown(&result), "{step:?}: {result:?}");
     }
     let script = Script::new([]);
     script.down.set(true);
-    assert!(is_refused(&store(&script)(change(), WITHIN).await));
+    assert!(is_refused(&store(&script)(change(), TIMEOUT).await));
 }
 
-/// Guards against a long answer that is given up while it comes, and asked for again over the same link.
+/// Guards against aborting a long answer while it arrives, and repeating the call on the same link.
 #[actix_rt::test]
-async fn an_answer_that_comes_slowly_is_taken() {
+async fn a_slow_answer_is_accepted() {
     tokio::time::pause();
     let slow = Step::Slow(EMPTY, Duration::from_millis(700));
-    let told = play(read, slow).await;
-    assert!(matches!(told, Ok(Told::Rows { .. })), "{told:?}");
+    let result = call(read, slow).await;
+    assert!(matches!(result, Ok(Told::Rows { .. })), "{result:?}");
 }
 
-/// Guards against a call that waits on for an answer of which nothing comes any more, or that never ends.
+/// Guards against waiting on for an answer that has stopped arriving, or that never ends.
 #[actix_rt::test]
-async fn an_answer_that_stalls_is_lost() {
+async fn a_stalled_answer_is_lost() {
     tokio::time::pause();
     for pause in [3, 100] {
         let stalled = Step::Slow(EMPTY, Duration::from_secs(pause));
-        let began = tokio::time::Instant::now();
-        assert!(is_unknown(&play(read, stalled).await));
-        assert!(began.elapsed() <= Duration::from_secs(3));
+        let start = tokio::time::Instant::now();
+        assert!(is_unknown(&call(read, stalled).await));
+        assert!(start.elapsed() <= Duration::from_secs(3));
     }
 }
 
-/// The store's answer to one call is lost and the connection stays open. A later call on it would
-/// wait in vain, so it goes over a new one.
+/// The store's answer to one call is lost and the connection stays open. A later call on it would also
+/// get no answer, so it uses a new one.
 #[actix_rt::test]
-async fn a_lost_answer_ends_its_connection() {
+async fn a_lost_answer_closes_its_connection() {
     tokio::time::pause();
     let script = Script::new([
         Step::Answer(200, EMPTY),
@@ -234,27 +233,27 @@
         Step::Answer(200, EMPTY),
     ]);
     let store = store(&script);
-    assert!(store(read(), WITHIN).await.is_ok());
-    assert!(is_unknown(&store(read(), WITHIN).await));
-    assert!(store(read(), WITHIN).await.is_ok());
+    assert!(store(read(), TIMEOUT).await.is_ok());
+    assert!(is_unknown(&store(read(), TIMEOUT).await));
+    assert!(store(read(), TIMEOUT).await.is_ok());
     assert_eq!(script.opened.get(), 2);
 }
 
-/// The store closes a connection that lies idle. The next call notices before it sends anything,
-/// and goes over a new one.
+/// The store closes an idle connection. The next call detects this before it sends anything, and uses
+/// a new one.
 #[actix_rt::test]
-async fn a_connection_closed_while_idle_costs_nothing() {
+async fn a_connection_closed_while_idle_is_replaced() {
     let script = Script::new([Step::Last(200, EMPTY), Step::Answer(200, EMPTY)]);
     let store = store(&script);
-    assert!(store(read(), WITHIN).await.is_ok());
+    assert!(store(read(), TIMEOUT).await.is_ok());
     tokio::task::yield_now().await;
-    assert!(store(read(), WITHIN).await.is_ok());
+    assert!(store(read(), TIMEOUT).await.is_ok());
     assert_eq!(script.opened.get(), 2);
 }
 
-/// One call waits for news while others are made: they must not wait for it.
+/// One call waits for changes while others are made; it must not block them.
 #[actix_rt::test]
-async fn a_call_that_waits_holds_up_no_other() {
+async fn a_waiting_call_does_not_block_others() {
     tokio::time::pause();
     let script = Script::new([Step::Silent, Step::Answer(200, EMPTY)]);
     let store = store(&script);
@@ -267,6 +266,6 @@
     while script.seen.borrow().is_empty() {
         tokio::task::yield_now().await;
     }
-    assert!(store(read(), WITHIN).await.is_ok());
+    assert!(store(read(), TIMEOUT).await.is_ok());
     assert!(is_unknown(&waiting.await.unwrap()));
 }
--- a/tests/adapter/wire.rs
+++ b/tests/adapter/wire.rs
@@ -1,5 +1,5 @@
-//! The line codec. Bytes from callers and databases are arbitrary: they may never panic, fill the
-//! memory, or let one statement travel inside another.
+//! The line codec. Bytes from callers and databases are arbitrary: they must not cause a panic, exhaust
+//! memory, or smuggle one statement inside another.
 
 use crate::platform::wire::{MESSAGE_LIMIT, WIRE};
 use bytes::{Bytes, BytesMut};
@@ -29,7 +29,7 @@
     Position::new(Term(term), Offset(offset))
 }
 
-/// Bytes that are likely to be nearly a message.
+/// Random bytes that resemble messages.
 #[derive(Debug, Clone)]
 struct Noise(Vec<u8>);
 
@@ -63,7 +63,7 @@
         whole == parts
     }
 
-    fn a_statement_travels_unchanged_and_alone(id: String, text: String) -> bool {
+    fn a_statement_is_forwarded_unchanged_in_one_line(id: String, text: String) -> bool {
         let clean = |text: &str| text.replace(['\r', '\n'], "");
         let (id, text) = (clean(&id).replace(' ', "") + "x", clean(&text));
         let line = format!("QUERY {id} {text}\r\n");
@@ -92,7 +92,7 @@
         }
     }
 
-    fn an_answer_comes_back_as_it_was(rows: Vec<u16>, code: u8, state: u8, at: Option<(u64, u64)>) -> bool {
+    fn an_answer_survives_a_round_trip(rows: Vec<u16>, code: u8, state: u8, at: Option<(u64, u64)>) -> bool {
         let codes = [
             Code::Busy, Code::RolledBack, Code::Behind, Code::NotPrimary, Code::OtherDatabase,
             Code::Full, Code::NoStatement, Code::NoDatabase, Code::Malformed, Code::Failed,
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn texts_are_understood_or_unknown() {
+fn texts_are_known_statements_or_unknown() {
     let texts = [
         "BEGIN",
         "BEGIN READ",
@@ -216,10 +216,10 @@
     "#);
 }
 
-/// A caller ends a line in the middle of a statement by LF alone, and goes on with a statement
-/// that a database would run under an id that no caller sent. What is refused is the whole line.
+/// A caller puts a lone LF or CR in a statement, followed by a second statement that a database would
+/// run under an id that no caller sent. The whole line is refused.
 #[test]
-fn a_statement_inside_another_is_refused_whole() {
+fn a_line_with_a_statement_inside_another_is_refused() {
     for inner in ["\nQUERY 6d WRITE a b", "\rQUERY 6d WRITE a b", "\n\rx"] {
         let line = format!("QUERY 5c READ 1a4{inner}\r\nBYE\r\n");
         let read = messages(&mut BytesMut::from(line.as_bytes()));
@@ -245,7 +245,7 @@
     );
 }
 
-/// A database sends rows without an end. They are refused once they pass the limit.
+/// A database sends rows without end. The answer is refused once it exceeds the limit.
 #[test]
 fn an_endless_answer_is_refused() {
     let row = format!("ROW {}\r\n", "x".repeat(1_000_000));
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn what_we_send_is_spelled_as_the_platform_does() {
+fn what_is_written_has_the_format_of_the_platform() {
     let mut output = BytesMut::new();
     let after = Some(position(3, 1207));
     (WIRE.write_start)(
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn a_standing_is_read() {
+fn the_answer_to_status_is_read() {
     let standing = |row: &'static str| {
         (WIRE.read_standing)(&Answer {
             rows: vec![Bytes::from_static(row.as_bytes())],
--- a/tests/config_outage.rs
+++ b/tests/config_outage.rs
@@ -1,5 +1,5 @@
-//! A configuration that was accepted is in force on every proxy, whatever becomes of the
-//! platform, and never reverts.
+//! An accepted configuration comes into force on every proxy, even if the platform fails, and never
+//! reverts.
 
 use lentilspoke::config::Accepted;
 use lentilspoke::net::http;
@@ -20,7 +20,7 @@
     accepted.unwrap()
 }
 
-/// Waits until a proxy has `version`; a proxy that shows an earlier one than before fails.
+/// Waits until a proxy has `version`; panics if its version decreases.
 async fn reaches(demo: &Demo, proxy: usize, version: Version) -> Accepted {
     let mut status = demo.statuses().swap_remove(proxy);
     let mut before = Version(0);
@@ -50,8 +50,8 @@
     }
 }
 
-/// An operator applies through one proxy and hears "accepted". From that moment on the platform
-/// answers nobody. The other proxies get the version from their peers.
+/// An operator applies through one proxy and gets "accepted". From then on the platform does not answer.
+/// The other proxies get the version from their peers.
 #[actix_rt::test]
 async fn an_accepted_version_spreads_without_the_platform() {
     let demo = start().await;
@@ -67,16 +67,17 @@
     }
 }
 
-/// Two operators race through two proxies. One is accepted; the other hears what won; every
-/// proxy has the winner's document, and the platform holds the same.
+/// Two operators apply through two proxies at the same time. One is accepted, and the other gets the
+/// winner's changes. Every proxy and the platform have the winner's document.
 #[actix_rt::test]
 async fn a_race_has_one_winner_everywhere() {
     let demo = start().await;
     let admins = demo.admins();
     let first = reaches(&demo, 0, Version(1)).await;
     let (a, b) = (proposal(1, &first, 4), proposal(2, &first, 6));
-    let (told_a, told_b) = futures_util::join!(propose(admins[0], &a), propose(admins[1], &b));
-    let (winner, loser) = match (told_a.unwrap(), told_b.unwrap()) {
+    let (verdict_a, verdict_b) =
+        futures_util::join!(propose(admins[0], &a), propose(admins[1], &b));
+    let (winner, loser) = match (verdict_a.unwrap(), verdict_b.unwrap()) {
         (Verdict::Accepted(Version(2)), loser) => (a, loser),
         (loser, Verdict::Accepted(Version(2))) => (b, loser),
         neither => panic!("{neither:?}"),
@@ -92,8 +93,8 @@
     assert_eq!(stored.unwrap().unwrap().document, winner.document);
 }
 
-/// The platform is down when an operator applies: nothing is claimed and nothing changes, and
-/// after the outage the same file is accepted.
+/// The platform is down when an operator applies. The answer is "not applied" and nothing changes; after
+/// the outage the same file is accepted.
 #[actix_rt::test]
 async fn nothing_changes_while_the_platform_is_down() {
     let demo = start().await;
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP, over loopback.
+//! The HTTP server and client for operators, over loopback.
 
 use ::http::{Method, StatusCode};
 use lentilspoke::net::http::{self, Reply};
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Applying and reading configurations over the platform's services and their faults.
+//! Applying and reading configurations through the platform's services, with their faults.
 
 use lentilspoke::clock::Span;
 use lentilspoke::config::{Accepted, Document};
@@ -34,8 +34,8 @@
 }
 
 async fn settle(client: &Client, proposal: &Proposal) -> Verdict {
-    let patience = Duration::from_secs(30);
-    apply::settle(client, proposal, Instant::now() + patience).await
+    let timeout = Duration::from_secs(30);
+    apply::settle(client, proposal, Instant::now() + timeout).await
 }
 
 async fn in_force(client: &Client) -> Accepted {
@@ -53,8 +53,8 @@
     assert!(client.config(Version(1)).await.unwrap().is_none());
 }
 
-/// Two operators start from the same version. The second to arrive hears which version won and
-/// what it changed, and nothing of its own document is in force.
+/// Two operators start from the same version. The second to arrive gets the version that won and its
+/// changes, and nothing of its own document is in force.
 #[actix_rt::test]
 async fn the_loser_of_a_race_sees_what_won() {
     let (_platform, client) = start();
@@ -65,8 +65,8 @@
     assert_eq!(in_force(&client).await.version, Version(2));
 }
 
-/// The write takes effect and its answer is lost: the operator hears "accepted" all the same,
-/// also when asking again later, after others were accepted.
+/// A write takes effect and its answer is lost. The operator still gets "accepted", even when repeating
+/// the request after other documents were accepted.
 #[actix_rt::test]
 async fn a_lost_answer_is_settled_by_reading_back() {
     let (platform, client) = start();
@@ -78,10 +78,10 @@
     assert_eq!(in_force(&client).await.version, Version(2));
 }
 
-/// The platform stops answering before the write was sent, or right after: "not applied" is said
-/// in the one case only, and the document of the other turns out to be in force.
+/// The platform stops answering before the write is sent, or right after. Only the first case is
+/// reported as "not applied"; in the second, the document is in force.
 #[actix_rt::test]
-async fn nothing_is_claimed_that_is_not_known() {
+async fn only_a_write_that_was_not_sent_is_reported_as_not_applied() {
     let (platform, client) = start();
     platform.set_health(Health::Down);
     let verdict = apply::settle(&client, &proposal(1, 0, 3), Instant::now()).await;
@@ -104,8 +104,8 @@
     insta::assert_snapshot!(serde_json::to_string(&refused).unwrap(), @r#"{"refused":"groups.ledger1.databases: a, b come and go at once: apply one of them at a time, so that each majority meets the one before"}"#);
 }
 
-/// The proxy that an operator applies through has the document in force before it says
-/// "accepted", so the platform may fail right after.
+/// The proxy through which an operator applies puts the document in force before it answers
+/// "accepted", so that the platform may fail right after.
 #[actix_rt::test]
 async fn a_proxy_enforces_before_it_answers() {
     let (platform, client) = start();
@@ -122,7 +122,7 @@
     assert_eq!(nonsense.status, 400);
 }
 
-/// The list lags: a VM that is gone is still shown until the lag has passed.
+/// A VM that left is not marked as leaving until the lag of the list has passed.
 #[actix_rt::test]
 async fn the_list_lags() {
     let (platform, client) = start();
@@ -143,14 +143,14 @@
     assert!(marked.members[0].leaving);
 }
 
-/// The platform is out and comes back: the watcher says so once each, then tells the version
-/// that was accepted meanwhile.
+/// The platform fails and recovers. The watcher reports each of these once, after the version that was
+/// accepted before.
 #[actix_rt::test]
 async fn the_watcher_outlasts_an_outage() {
     let (platform, client) = start();
     settle(&client, &proposal(1, 0, 3)).await;
     let known = Cell::new(Version(0));
-    let heard = RefCell::new(Vec::new());
+    let events = RefCell::new(Vec::new());
     let pace = watch::Pace {
         poll: Span::from_millis(1),
         longest: Span::from_millis(2),
@@ -174,11 +174,11 @@
                 "lost" => platform.set_health(Health::Well),
                 _ => {}
             }
-            heard.borrow_mut().push(line);
+            events.borrow_mut().push(line);
         },
     );
     let done = async {
-        while heard.borrow().last().map(String::as_str) != Some("back") {
+        while events.borrow().last().map(String::as_str) != Some("back") {
             tokio::task::yield_now().await;
         }
     };
@@ -186,5 +186,5 @@
         () = watcher => {}
         () = done => {}
     }
-    assert_eq!(*heard.borrow(), ["version 1", "lost", "back"]);
+    assert_eq!(*events.borrow(), ["version 1", "lost", "back"]);
 }
