--- a/src/net/direct.rs
+++ b/src/net/direct.rs
@@ -197,7 +197,7 @@
         })
     }
 
-    /// Stops the VM. Callers are still accepted for [`BALANCER_DELAY`], and the front ends idle sessions
+    /// Stops the VM. Callers are still accepted for `BALANCER_DELAY`, and the front ends idle sessions
     /// only then: the balancer sends callers for two more checks, and their connections must not be
     /// refused.
     ///
--- a/src/net/mesh.rs
+++ b/src/net/mesh.rs
@@ -180,7 +180,7 @@
         while let Some((question, sender)) = questions.recv().await {
             let answer = answerer(question);
             actix_rt::spawn(async move {
-                // The VM that asked may not wait for the answer any more.
+                // Sending fails if the VM that asked no longer waits for the answer.
                 let _ = sender.send(answer.await);
             });
         }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -35,14 +35,14 @@
 pub enum Call {
     /// Reads a row, unless its version is the known one.
     Read {
-        /// The row.
+        /// The key of the row.
         key: Box<str>,
         /// The version that the caller has.
         known: Version,
     },
     /// Writes a row if its version is the expected one (0: there is none).
     Write {
-        /// The row.
+        /// The key of the row.
         key: Box<str>,
         /// The version that it must have.
         expected: Version,
--- a/src/net/system.rs
+++ b/src/net/system.rs
@@ -37,7 +37,7 @@
 /// was acknowledged two seconds before, and a lease lasted too long.
 const CLOCK_START: Span = Span::from_secs(24 * 60 * 60);
 
-/// Returns a clock that starts at [`CLOCK_START`] and counts pauses of the VM.
+/// Returns a clock that starts at `CLOCK_START` and counts pauses of the VM.
 pub fn clock() -> Clock {
     let since_start = since_now();
     Rc::new(move || since_start() + CLOCK_START)
