--- a/src/core/term.rs
+++ b/src/core/term.rs
@@ -31,7 +31,7 @@
 /// holds it without the start of `term` does not protect it: the next promotion could choose a
 /// database with a shorter log of a term in between. A log that holds a position of `term` holds
 /// the start of `term` and everything before, and goes further than any log of a term in between.
-pub fn binding(term: Term, position: Position) -> Position {
+pub fn required_position(term: Term, position: Position) -> Position {
     Position::new(term.max(position.term), position.offset)
 }
 
--- a/src/model/terms/lead.rs
+++ b/src/model/terms/lead.rs
@@ -3,7 +3,7 @@
 use super::database::{Database, Item};
 use super::{DATABASES, NOW, REPLACED, Role, Safeguard, Spec, State, TICKS, Told, WINDOW, with};
 use crate::clock::Span;
-use crate::core::term::{Confirmations, binding, majority};
+use crate::core::term::{Confirmations, majority, required_position};
 use crate::types::{Position, Term};
 
 /// A write that the primary has answered and that is not acknowledged yet.
@@ -141,7 +141,7 @@
         lead.pending = Some(Pending {
             write,
             position,
-            binding: binding(term, position),
+            binding: required_position(term, position),
             holders: 1 << lead.primary,
             early: false,
         });
--- a/tests/term.rs
+++ b/tests/term.rs
@@ -1,7 +1,7 @@
 //! Terms: when a steward may acknowledge writes, and which database it may open and when.
 
 use lentilspoke::clock::{Span, Time};
-use lentilspoke::core::term::{Confirmations, Promotion, binding};
+use lentilspoke::core::term::{Confirmations, Promotion, required_position};
 use lentilspoke::types::{DatabaseId, Offset, Position, Term};
 
 const WINDOW: Span = Span(100);
@@ -59,6 +59,6 @@
 
 #[test]
 fn a_former_terms_write_is_held_as_part_of_this_term() {
-    assert_eq!(binding(Term(3), end(1, 7)), end(3, 7));
-    assert_eq!(binding(Term(3), end(3, 7)), end(3, 7));
+    assert_eq!(required_position(Term(3), end(1, 7)), end(3, 7));
+    assert_eq!(required_position(Term(3), end(3, 7)), end(3, 7));
 }
