--- a/src/core/node.rs
+++ b/src/core/node.rs
@@ -29,7 +29,7 @@
 /// The minimum time between two ticks, so that a timer in the past does not cause a busy loop.
 const MIN_TICK_INTERVAL: Span = Span::from_millis(1);
 
-/// The interval at which the databases and groups of this VM are checked against its members.
+/// The interval at which the set of databases and groups that this VM holds is updated.
 const SWEEP_INTERVAL: Span = Span::from_secs(1);
 
 /// A stopping proxy must be quiet for this long before it exits, so that requests that other
--- a/src/core/node/settle.rs
+++ b/src/core/node/settle.rs
@@ -204,7 +204,7 @@
     /// Handles a new list of VMs from the platform.
     pub(super) fn members(&mut self, members: Vec<Member>, out: &mut Vec<Output>) {
         let first = self.world.members.is_empty();
-        self.world.list(members);
+        self.world.set_members(members);
         let (mut turn, parts) = self.turn(out);
         if first {
             parts.spread.accepted(&mut turn);
--- a/src/core/world.rs
+++ b/src/core/world.rs
@@ -173,7 +173,7 @@
     }
 
     /// Replaces the list of VMs with the platform's.
-    pub fn list(&mut self, members: Vec<Member>) {
+    pub fn set_members(&mut self, members: Vec<Member>) {
         self.clear_orders();
         let listed: HashSet<&VmId> = members.iter().map(|member| &member.vm).collect();
         self.peers.retain(|vm, peer| peer.up || listed.contains(vm));
