--- a/src/direct/control/change.rs
+++ b/src/direct/control/change.rs
@@ -215,7 +215,7 @@
                     let now = self.now();
                     for id in revocation.pending() {
                         let lapsed = revocation.until(id).is_none_or(|until| until <= now);
-                        let how = if lapsed { "lapsed" } else { "too few VMs left to extend it" };
+                        let how = if lapsed { "lapsed" } else { "nobody left to vouch" };
                         log::info!(vm:% = id, group:% = replacement.group, epoch = replacement.epoch, how; "a VM holds no lease");
                     }
                     return;
--- a/src/direct/control/duty.rs
+++ b/src/direct/control/duty.rs
@@ -306,7 +306,7 @@
                     Resolution::Applied(version) => return Renewed::Done { asked, version },
                     Resolution::Conflict => return Renewed::Conflict,
                     Resolution::Lost => {
-                        self.resign("another VM has taken the duty");
+                        self.resign("another VM has taken it");
                         return Renewed::Lost;
                     }
                 },
@@ -395,7 +395,7 @@
         let Some(stronger) = stronger else {
             return false;
         };
-        self.offer("another VM has more cores", vec![stronger])
+        self.offer("another VM has more processor", vec![stronger])
             .await;
         true
     }
--- a/src/direct/control/enroll.rs
+++ b/src/direct/control/enroll.rs
@@ -72,7 +72,7 @@
             let control = self.clone();
             actix_rt::spawn(async move { control.run_rounds().await });
         }
-        let stopped = |_| Fault::Refused("the VM that was asked is stopping".into());
+        let stopped = |_| Fault::Refused("the VM that was asked stops".into());
         result.await.map_err(stopped)?
     }
 
--- a/src/direct/control/store.rs
+++ b/src/direct/control/store.rs
@@ -551,7 +551,7 @@
             .get()
             .is_some_and(|at| now < at + FAILURE_COOLDOWN)
         {
-            return Err(Fault::Refused("it does not answer this VM either".into()));
+            return Err(Fault::Refused("it does not answer here either".into()));
         }
         self.count(|counts| counts.relayed += 1);
         self.call_directly(ask, within).await
--- a/src/direct/control/tasks.rs
+++ b/src/direct/control/tasks.rs
@@ -100,7 +100,7 @@
         let answered = control.store.health().answered;
         let unanswered = answered.is_none_or(|at| at + STORE_TIMEOUT <= now);
         if unanswered && offered + OFFER_INTERVAL <= now {
-            control.hand_over("the store does not answer this VM").await;
+            control.hand_over("the store does not answer here").await;
             offered = control.now();
         }
         backoff.wait(control.random()).await;
--- a/src/direct/control/watch.rs
+++ b/src/direct/control/watch.rs
@@ -134,7 +134,7 @@
         () = control.steward_lost.notified(), if wait == LONG_WAIT => return Ok(Some(after)),
     };
     let Some((rows, version)) = polled else {
-        log::info!(after:%; "the store no longer has the configuration's history: reading the table");
+        log::info!(after:%; "the configuration's history is gone from the store: reading the table");
         return Ok(None);
     };
     apply_rows(control, &rows);
