--- a/src/net/codec.rs
+++ b/src/net/codec.rs
@@ -1,8 +1,8 @@
-//! The codec of our own gRPC calls: postcard in place of protobuf.
+//! gRPC codec for calls between proxies: postcard instead of protobuf.
 //!
-//! The messages are the core's own types, so there is no second set to convert to, no
-//! generator and no generated code. What it costs is that both ends of a stream have to be of one
-//! protocol version, which the streams check when they open (`rpc::PROTOCOL`).
+//! The messages are the core's own types, so no second set of types and no generated code are
+//! needed. In exchange, both ends of a stream must run the same protocol version, which is
+//! checked when a stream opens (`rpc::PROTOCOL`).
 
 use bytes::{Buf, BufMut};
 use serde::Serialize;
@@ -11,7 +11,7 @@
 use tonic::Status;
 use tonic::codec::{Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 
-/// Encodes `T` and decodes `U`.
+/// Codec that encodes `T` and decodes `U`.
 #[derive(Debug)]
 pub struct Postcard<T, U>(PhantomData<fn(T) -> U>);
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// The encoding half.
+/// Encodes messages of type `T`.
 #[derive(Debug)]
 pub struct Writer<T>(PhantomData<fn(T)>);
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// The decoding half.
+/// Decodes messages of type `U`.
 #[derive(Debug)]
 pub struct Reader<U>(PhantomData<fn() -> U>);
 
--- a/src/net/dialect.rs
+++ b/src/net/dialect.rs
@@ -1,21 +1,21 @@
-//! How terms and positions travel on a database connection.
+//! Encoding of terms, orders and positions on a database connection.
 //!
-//! This is the one place that knows. Both directions are here, so that the stand-in database
-//! speaks what the proxy reads. Everything travels in the PostgreSQL protocol, version 3.
+//! Only this module defines the encoding. It holds both directions, so that the stand-in
+//! database writes what the proxy reads. Everything is sent in the PostgreSQL protocol, version 3.
 //!
-//! Assumed of a database:
+//! Requirements on a database:
 //!
 //! * **Users.** Work connections log in as [`WORK_USER`], control connections as
 //!   [`CONTROL_USER`]. Control connections do not count against the connection limit, as
-//!   PostgreSQL's reserved connections do not. A work connection too many is refused at startup
-//!   with [`Refusal::Full`].
+//!   PostgreSQL's reserved connections do not. A work connection above the limit is refused at
+//!   startup with [`Refusal::Full`].
 //! * **Orders.** An [`Order`] is the text of a simple query, such as `LENTIL RAISE 4` (see
 //!   [`Statement`]). Its answer is one row of one text column, [`STATE_COLUMN`], that holds the
 //!   [`State`] after the order as JSON ([`encode_state`]), or an error that [`Fault`] describes.
-//!   `LENTIL REACH` answers once the log holds the position, or after a time of the database's
-//!   choice with the state as it is then; meanwhile that connection takes no other order.
-//! * **Declared terms.** `LENTIL TERM 4` declares that the work on this connection, from here
-//!   on, is of term 4; `LENTIL TERM NONE` takes that back, and is how a connection starts. The
+//!   `LENTIL REACH` answers once the log holds the position, or after a timeout of the database's
+//!   choice with the state at that time; until then the connection takes no other order.
+//! * **Declared terms.** `LENTIL TERM 4` declares that all further work on this connection is of
+//!   term 4; `LENTIL TERM NONE` clears the declaration, which is the initial state. The
 //!   declaration always succeeds (command tag [`TAG`]), so it can be sent ahead of the work
 //!   without waiting. While the declared term is not the database's own, each statement is
 //!   refused with [`Refusal::Term`] before any of it runs, `COMMIT` included; an open
@@ -23,11 +23,11 @@
 //! * **Writes.** A statement that writes, on a database that is not open for writes, is refused
 //!   with [`Refusal::ReadOnly`] before any of it runs.
 //! * **Positions.** Before each ReadyForQuery of a work connection comes a ParameterStatus
-//!   [`APPLIED`] with the position that the database had applied; and, if the work since the
+//!   [`APPLIED`] with the position that the database has applied; and, if the work since the
 //!   last ReadyForQuery committed a write, [`WROTE`] with the end of that write, as `TERM/OFFSET`.
 //! * **Request keys.** The table [`REQUESTS_DDL`] exists. A second transaction that inserts the
-//!   same key waits for the first to end, and then fails with [`DUPLICATE_KEY`]; or it fails
-//!   with [`LOCK_BUSY`] where the database waits no longer.
+//!   same key waits for the first to end, and then fails with [`DUPLICATE_KEY`]; if the database
+//!   stops waiting before that, it fails with [`LOCK_BUSY`].
 
 use crate::core::database::{Order, Refusal, State};
 use crate::types::{Position, Term};
@@ -42,9 +42,9 @@
 pub const TAG: &str = "LENTIL";
 /// The column of the row that answers an order.
 pub const STATE_COLUMN: &str = "state";
-/// The parameter that tells how far a database has applied its log.
+/// The parameter that reports how far a database has applied its log.
 pub const APPLIED: &str = "lentil.applied";
-/// The parameter that tells the end of a committed write.
+/// The parameter that reports the log position at the end of a committed write.
 pub const WROTE: &str = "lentil.wrote";
 /// SQLSTATE of [`Refusal::Term`]; the DETAIL field holds the database's term as a number.
 pub const WRONG_TERM: &str = "LT001";
@@ -55,18 +55,18 @@
 /// SQLSTATE of [`Refusal::KeyBusy`], PostgreSQL's `lock_not_available`. It counts as a refusal
 /// only in answer to the insert of a request key.
 pub const LOCK_BUSY: &str = "55P03";
-/// SQLSTATE of an insert whose key is there already, PostgreSQL's `unique_violation`.
+/// SQLSTATE of an insert whose key exists already, PostgreSQL's `unique_violation`.
 pub const DUPLICATE_KEY: &str = "23505";
-/// The table of request keys, in the group's own databases. `work` is a fingerprint of what ran
-/// under the key, `answer` the backend messages of its answer in base64.
+/// Creates the table of request keys in the group's own databases. `work` is a fingerprint of the
+/// work that ran under the key, `answer` the backend messages of its answer in base64.
 pub const REQUESTS_DDL: &str = "CREATE TABLE IF NOT EXISTS lentilspoke_requests (\
      caller text NOT NULL, request_key text NOT NULL, work text NOT NULL, answer text, \
      PRIMARY KEY (caller, request_key))";
 
-/// Why a text of the other side is not of this dialect.
+/// Why a received text could not be parsed.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum Garbled {
-    /// The query is none of ours: it is work.
+    /// The query is not a [`Statement`] of this module: it is work.
     #[error("`{0}` is not an order: send it as work")]
     Statement(Box<str>),
     /// The answer to an order could not be read.
@@ -77,7 +77,7 @@
     Position(Box<str>),
 }
 
-/// A statement of the dialect, as the text of a simple query.
+/// A statement to the database's term control, sent as the text of a simple query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Statement {
     /// An order about terms.
@@ -149,7 +149,7 @@
     pub detail: Option<Box<str>>,
 }
 
-/// How a database says `refusal`.
+/// Encodes `refusal` as a database sends it.
 pub fn encode_refusal(refusal: Refusal) -> Fault {
     let (code, detail) = match refusal {
         Refusal::Term(term) => (WRONG_TERM, Some(term.to_string().into())),
@@ -164,7 +164,7 @@
     }
 }
 
-/// The refusal that an ErrorResponse with this SQLSTATE and DETAIL carries, if it is one.
+/// Decodes the refusal from an ErrorResponse's SQLSTATE and DETAIL; `None` for other errors.
 pub fn decode_refusal(code: &str, detail: Option<&str>) -> Option<Refusal> {
     match code {
         WRONG_TERM => detail?.parse().ok().map(Refusal::Term),
@@ -175,10 +175,10 @@
     }
 }
 
-/// What a database tells of its log with an answer, as a ParameterStatus.
+/// A log position that a database reports with an answer, as a ParameterStatus.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mark {
-    /// How far it has applied its log.
+    /// How far the database has applied its log.
     Applied(Position),
     /// The end of the write that the work committed.
     Wrote(Position),
--- a/src/net/frame.rs
+++ b/src/net/frame.rs
@@ -1,15 +1,15 @@
-//! Messages of the PostgreSQL protocol as bytes: where one ends, and what its fields are.
+//! Framing of PostgreSQL protocol messages, and access to their fields.
 //!
-//! The library's decoders index without checking lengths, and would end the process on a
-//! malformed message. So bytes from outside are taken apart here, with every length checked;
-//! the library encodes, and names the message types.
+//! The decoders of `pgwire` index without checking lengths and would abort the process on a
+//! malformed message. So received bytes are parsed here, with every length checked; `pgwire` is
+//! used for encoding and for the names of the message types.
 
 pub mod kind;
 
 use bytes::{Bytes, BytesMut};
 use pgwire::messages::Message;
 
-/// Why bytes are no message of the protocol.
+/// Why bytes are not a valid message of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
     /// The stated length is impossible.
@@ -21,16 +21,16 @@
     /// A field is missing, too short, or not UTF-8.
     #[error("a message with a malformed field: check that the peer speaks PostgreSQL's protocol")]
     Field,
-    /// A message that has no place here.
+    /// A message of a type that is not allowed at this point.
     #[error("a message out of place: check that the peer speaks PostgreSQL's protocol")]
     Order,
 }
 
-/// The length of a message's type byte and length field.
+/// The length of a message's type byte and length field together, in bytes.
 pub const HEADER: usize = 5;
 const LENGTH_FIELD: usize = 4;
 
-/// One message, header included.
+/// A whole message, header included.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame {
     bytes: Bytes,
@@ -53,8 +53,8 @@
     }
 }
 
-/// The length of the message that `bytes` start with, header included; `None` if too little of
-/// it is there to tell.
+/// The length in bytes of the message at the start of `bytes`, header included; `None` if the
+/// header has not arrived whole.
 pub fn length(bytes: &[u8], limit: usize) -> Result<Option<usize>, Malformed> {
     let Some(field) = bytes.get(1..).and_then(<[u8]>::first_chunk::<LENGTH_FIELD>) else {
         return Ok(None);
@@ -69,7 +69,7 @@
     Ok(Some(stated + 1))
 }
 
-/// Takes the first message off `buffer`; `None` if it is not there whole yet.
+/// Removes the first message from `buffer`; `None` if it has not arrived whole.
 pub fn take(buffer: &mut BytesMut, limit: usize) -> Result<Option<Frame>, Malformed> {
     match length(buffer, limit)? {
         Some(length) if buffer.len() >= length => Ok(Some(Frame {
@@ -79,7 +79,7 @@
     }
 }
 
-/// The messages of a whole batch or answer.
+/// Splits a whole batch or answer into its messages.
 pub fn split(mut bytes: Bytes) -> Result<Vec<Frame>, Malformed> {
     let mut frames = Vec::new();
     while !bytes.is_empty() {
@@ -99,7 +99,7 @@
 pub struct Fields<'a>(pub &'a [u8]);
 
 impl<'a> Fields<'a> {
-    /// A text that ends in a zero byte.
+    /// A UTF-8 text that ends in a zero byte.
     pub fn text(&mut self) -> Result<&'a str, Malformed> {
         let end = self.0.iter().position(|byte| *byte == 0);
         let end = end.ok_or(Malformed::Field)?;
@@ -115,21 +115,21 @@
         Ok(*byte)
     }
 
-    /// A number of two bytes.
+    /// A two-byte unsigned number.
     pub fn short(&mut self) -> Result<u16, Malformed> {
         let (bytes, rest) = self.0.split_first_chunk().ok_or(Malformed::Field)?;
         self.0 = rest;
         Ok(u16::from_be_bytes(*bytes))
     }
 
-    /// A number of four bytes.
+    /// A four-byte unsigned number.
     pub fn long(&mut self) -> Result<u32, Malformed> {
         let (bytes, rest) = self.0.split_first_chunk().ok_or(Malformed::Field)?;
         self.0 = rest;
         Ok(u32::from_be_bytes(*bytes))
     }
 
-    /// A value of a row: `None` for NULL.
+    /// A value of a row; `None` for NULL.
     pub fn value(&mut self) -> Result<Option<&'a [u8]>, Malformed> {
         let length = self.long()?;
         if length == u32::MAX {
@@ -144,7 +144,7 @@
     }
 }
 
-/// Appends a message. One that is too large for its type is left out.
+/// Appends a message, or nothing if it can't be encoded.
 pub fn put(out: &mut BytesMut, message: &impl Message) {
     let start = out.len();
     if message.encode(out).is_err() {
@@ -159,7 +159,7 @@
     out.freeze()
 }
 
-/// Appends a message of this type and these parts.
+/// Appends a message with the type byte `kind` and the concatenated `parts` as its fields.
 pub fn put_raw(out: &mut BytesMut, kind: u8, parts: &[&[u8]]) {
     let length: usize = parts.iter().map(|part| part.len()).sum();
     let stated = u32::try_from(length + LENGTH_FIELD).unwrap_or(u32::MAX);
--- a/src/net/frame/kind.rs
+++ b/src/net/frame/kind.rs
@@ -1,4 +1,4 @@
-//! Type bytes of messages, under short names. A byte can mean two things by direction.
+//! Type bytes of messages, under short names. Some bytes have another meaning in each direction.
 
 pub use pgwire::messages::copy::{
     MESSAGE_TYPE_BYTE_COPY_DATA as COPY_DATA, MESSAGE_TYPE_BYTE_COPY_DONE as COPY_DONE,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets, streams and timers round the core.
+//! Sockets, streams and timers: the I/O around the core.
 
 pub mod admin;
 pub mod codec;
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -1,4 +1,4 @@
-//! One proxy: its listeners, its core, and where its news comes from.
+//! A proxy process: its listeners, its core and its watch on the platform.
 
 use crate::config::Accepted;
 use crate::core::member::Identity;
@@ -14,29 +14,29 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch::Sender;
 
-/// All that a proxy needs from outside.
+/// The parts from which a proxy is started.
 #[derive(Debug)]
 pub struct Setup {
-    /// Who it is.
+    /// The identity of this VM and process.
     pub identity: Identity,
-    /// The address that its connections to others come from.
+    /// The local address of its outgoing connections.
     pub source: IpAddr,
-    /// Where callers connect.
+    /// The listener for callers.
     pub callers: TcpListener,
-    /// Where other proxies connect.
+    /// The listener for other proxies.
     pub peers: TcpListener,
-    /// Where operators connect.
+    /// The listener for operators.
     pub admin: TcpListener,
     /// The platform's services.
     pub platform: Client,
     /// Limits on callers.
     pub rules: pg::Rules,
-    /// Follows what the proxy is in.
+    /// Receives the proxy's status at each change.
     pub status: Sender<Status>,
 }
 
-/// Runs a proxy on this thread until a planned stop, asked for by `stop` or by the platform's
-/// list, has nothing left to do.
+/// Runs a proxy on this thread until a planned stop is complete. `stop` or the platform's list
+/// starts the planned stop.
 pub async fn run(setup: Setup, stop: impl Future<Output = ()> + 'static) {
     let vm = setup.identity.vm.clone();
     let platform = Rc::new(setup.platform);
@@ -45,33 +45,33 @@
     let operators = admin::serve(setup.admin, Rc::clone(&shell), Rc::clone(&platform));
     let tasks = [
         actix_rt::spawn(operators),
-        actix_rt::spawn(follow(Rc::clone(&shell), platform, vm)),
+        actix_rt::spawn(watch_platform(Rc::clone(&shell), platform, vm)),
     ];
-    let door = actix_rt::spawn(admit(Rc::clone(&shell), setup.callers, setup.rules));
+    let acceptor = actix_rt::spawn(admit(Rc::clone(&shell), setup.callers, setup.rules));
     tokio::select! {
         () = stop => shell.input(Input::Stop),
         () = shell.until(|status| status.stopping) => {}
     }
     log::info!("stopping: no new callers, what is in flight finishes");
-    door.abort();
+    acceptor.abort();
     shell.dismiss();
     shell.stopped().await;
     tasks.iter().for_each(|task| task.abort());
     log::info!("stopped");
 }
 
-/// Accepts callers, once there are a configuration and a list of VMs by which to serve them: a
-/// caller of a VM that has just started would be told that no pool serves it.
+/// Accepts callers once the configuration and the list of VMs are available. Before that, a VM
+/// that has just started would refuse its callers because no pool serves them.
 async fn admit(shell: Rc<Shell>, listener: TcpListener, rules: pg::Rules) {
     shell.until(|status| status.ready).await;
     pg::serve(listener, shell.for_callers(), rules).await;
 }
 
-async fn follow(shell: Rc<Shell>, platform: Rc<Client>, vm: VmId) {
+async fn watch_platform(shell: Rc<Shell>, platform: Rc<Client>, vm: VmId) {
     let version = || shell.status().version;
     watch::run(&platform, Pace::default(), version, |news| match news {
         News::Config(accepted) => enforce(&shell, accepted),
-        News::Members(listed) => learn(&shell, &vm, listed),
+        News::Members(listed) => apply_members(&shell, &vm, listed),
         News::Lost(error) => {
             log::warn!("the platform does not answer, what is in force stays: {error}");
         }
@@ -80,13 +80,13 @@
     .await;
 }
 
-/// Puts `accepted` in force on this proxy, which spreads it to others.
+/// Puts `accepted` in force on this proxy, which sends it to the others.
 pub fn enforce(shell: &Shell, accepted: Accepted) {
     log::info!(version:% = accepted.version; "configuration learned");
     shell.input(Input::Accepted(Arc::new(accepted)));
 }
 
-fn learn(shell: &Shell, vm: &VmId, listed: Listed) {
+fn apply_members(shell: &Shell, vm: &VmId, listed: Listed) {
     let addresses = listed
         .members
         .iter()
--- a/src/net/rpc.rs
+++ b/src/net/rpc.rs
@@ -1,6 +1,7 @@
-//! One typed call or stream a gRPC service, written against tonic's own pieces.
+//! gRPC services with one typed call or stream each, built on tonic's lower-level types.
 //!
-//! tonic's generator would write the same few lines; by hand there is nothing to generate.
+//! tonic's generator would write about the same few lines; writing them by hand avoids a
+//! generation step.
 
 use crate::net::codec::Postcard;
 use futures_util::future::BoxFuture;
@@ -18,11 +19,11 @@
 use tonic::transport::Channel;
 use tonic::{IntoStreamingRequest, Request, Response, Status, Streaming};
 
-/// The version of the messages between our own processes; a stream says it when it opens.
+/// The version of the messages between lentilspoke processes, sent when a stream opens.
 pub const PROTOCOL: u32 = 1;
 
-/// The largest message that a process takes from another, in bytes. A statement's answer may
-/// have up to a quarter of it.
+/// The largest message that a process accepts from another, in bytes. A statement's answer may
+/// be up to a quarter of it.
 pub const MESSAGE_LIMIT: usize = 64 << 20;
 
 const CALL: &str = "/lentilspoke/call";
@@ -31,10 +32,10 @@
 type Answer<A> = Result<Response<A>, Status>;
 type Handler<Q, A> = Arc<dyn Fn(Request<Q>) -> BoxFuture<'static, Answer<A>> + Send + Sync>;
 
-/// What a stream's handler returns: the messages to send back.
+/// The messages that a stream's handler sends back.
 pub type Answers<A> = std::pin::Pin<Box<dyn Stream<Item = Result<A, Status>> + Send>>;
 
-/// Answers calls of one type, and streams.
+/// A gRPC service that answers calls or streams of one type.
 pub struct Service<Q, A, F> {
     handler: F,
     types: std::marker::PhantomData<fn(Q) -> A>,
@@ -90,7 +91,7 @@
 opaque_debug!(Unary);
 opaque_debug!(Duplex);
 
-/// A service that answers each call by `handler`.
+/// A service that answers each call with `handler`.
 pub fn unary<Q, A, F, R>(handler: F) -> Service<Q, A, Unary<Q, A>>
 where
     F: Fn(Q) -> R + Send + Sync + 'static,
@@ -106,7 +107,7 @@
     }
 }
 
-/// A service that gives each incoming stream to `handler`, which returns the answering stream.
+/// A service that passes each incoming stream to `handler`, which returns the stream of answers.
 pub fn duplex<Q, A, F, R>(handler: F) -> Service<Q, A, Duplex<Q, A>>
 where
     F: Fn(Request<Streaming<Q>>) -> R + Send + Sync + 'static,
@@ -184,7 +185,7 @@
 http_service!(Unary, CALL, unary);
 http_service!(Duplex, STREAM, streaming);
 
-/// A client of `channel`, once its connection takes a call.
+/// A client of `channel`, returned once the channel is ready for a call.
 async fn client(channel: Channel) -> Result<Client<Channel>, Status> {
     let mut client = Client::new(channel)
         .max_decoding_message_size(MESSAGE_LIMIT)
@@ -209,7 +210,7 @@
         .into_inner())
 }
 
-/// Opens a stream: sends `messages`, returns what comes back and the metadata before it.
+/// Opens a stream that sends `messages`. Returns the peer's initial metadata and its messages.
 pub async fn open<Q, A, M>(channel: Channel, messages: M) -> Answer<Streaming<A>>
 where
     Q: Serialize + Send + Sync + 'static,
--- a/src/net/shell.rs
+++ b/src/net/shell.rs
@@ -1,4 +1,4 @@
-//! Drives one core with the sockets and timers of its process.
+//! Connects a core to the sockets and timers of its process.
 
 use crate::clock::{Span, Time};
 use crate::core::member::Identity;
@@ -14,7 +14,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 
-/// One proxy's core and all that it is connected to.
+/// A proxy's core and all its connections.
 #[derive(Debug)]
 pub struct Shell {
     origin: Instant,
@@ -24,13 +24,14 @@
     dismissing: Cell<bool>,
     targets: Targets,
     peers: Rc<Peers>,
+    /// When the timer fires.
     armed: Cell<Option<Time>>,
     rearmed: Notify,
     status: watch::Sender<Status>,
     stopped: watch::Sender<bool>,
 }
 
-/// What those who wait on a proxy want to know of it.
+/// The state of a proxy that other tasks wait on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Status {
     /// The version of the configuration in force.
@@ -52,7 +53,7 @@
 }
 
 impl Shell {
-    /// Starts a core with nothing known yet; `status` follows what it is in.
+    /// Starts a core without configuration or members; `status` receives its status changes.
     pub fn start(
         identity: Identity,
         source: std::net::IpAddr,
@@ -94,49 +95,49 @@
         &self.peers
     }
 
-    /// Looks at the core.
-    pub fn inspect<T>(&self, look: impl FnOnce(&Node) -> T) -> T {
-        look(&self.node.borrow())
+    /// Reads the core through `read`.
+    pub fn inspect<T>(&self, read: impl FnOnce(&Node) -> T) -> T {
+        read(&self.node.borrow())
     }
 
-    /// A caller connected: its link, and where it is told things.
+    /// Registers a caller's connection: its link, and the receiver of the core's messages to it.
     fn open(&self) -> (Link, mpsc::UnboundedReceiver<Told>) {
         let link = Link(self.last_link.get() + 1);
         self.last_link.set(link.0);
         let (sender, receiver) = mpsc::unbounded_channel();
         if self.dismissing.get() {
-            // The receiver is at hand.
+            // The send can't fail: the receiver is still in scope.
             let _ = sender.send(Told::Dismiss);
         }
         self.links.borrow_mut().insert(link, sender);
         (link, receiver)
     }
 
-    /// Tells every caller, now and from now on, to connect elsewhere as soon as it is idle.
+    /// Asks every present and future caller's connection to close as soon as it is idle.
     ///
-    /// Failure: a caller that never sent a statement is unknown to the core. Symptom: it stays
-    /// connected to a proxy that stops, and is cut off in its first statement. Enough, because
-    /// every connection is told here, and ends only between its transactions.
+    /// The core doesn't know callers that never sent a statement. Without this they would stay
+    /// connected to a stopping proxy, and be cut off during their first statement. Connections
+    /// close only between transactions.
     pub fn dismiss(&self) {
         self.dismissing.set(true);
         let links: Vec<Link> = self.links.borrow().keys().copied().collect();
         for link in links {
-            self.tell(link, Told::Dismiss);
+            self.notify(link, Told::Dismiss);
         }
     }
 
-    /// A caller's connection is gone.
+    /// Removes a caller's connection that has closed.
     fn depart(&self, link: Link) {
         self.links.borrow_mut().remove(&link);
         self.input(Input::Depart(link));
     }
 
-    /// How many callers are connected.
+    /// The number of connected callers.
     pub fn callers(&self) -> usize {
         self.links.borrow().len()
     }
 
-    /// The shell as callers' connections use it.
+    /// The operations that callers' connections use.
     pub fn for_callers(self: &Rc<Self>) -> pg::Core {
         let shell = || Rc::clone(self);
         let (open, submit, depart, cancel, now, pool) =
@@ -160,29 +161,29 @@
         }
     }
 
-    /// What the proxy is in.
+    /// The current status of the proxy.
     pub fn status(&self) -> Status {
         *self.status.borrow()
     }
 
-    /// Completes once the proxy is as wanted.
+    /// Completes once `wanted` holds for the status.
     pub async fn until(&self, wanted: impl Fn(Status) -> bool) {
         let mut status = self.status.subscribe();
         // The sender lives as long as the shell.
         let _ = status.wait_for(|status| wanted(*status)).await;
     }
 
-    /// Completes once a planned stop has nothing left to do.
+    /// Completes once a planned stop is complete.
     pub async fn stopped(&self) {
         let mut stopped = self.stopped.subscribe();
         // The sender lives as long as the shell.
         let _ = stopped.wait_for(|stopped| *stopped).await;
     }
 
-    /// Hands `input` to the core and carries out what it answers.
+    /// Passes `input` to the core and executes the resulting outputs.
     ///
-    /// The clock is read here, after the event was taken from its socket: a process that was
-    /// paused in between decides with the time at which it woke.
+    /// The clock is read here, after the event was read from its socket, so that a process that
+    /// was paused in between decides by the time at which it resumed.
     pub fn input(&self, input: Input) {
         let mut outputs = Vec::new();
         let (wake, status) = {
@@ -190,24 +191,22 @@
             node.handle(self.now(), input, &mut outputs);
             (node.wake(), Status::of(&node))
         };
-        outputs
-            .into_iter()
-            .for_each(|output| self.carry_out(output));
+        outputs.into_iter().for_each(|output| self.execute(output));
         self.status
             .send_if_modified(|known| std::mem::replace(known, status) != status);
         self.arm(wake);
     }
 
-    fn carry_out(&self, output: Output) {
+    fn execute(&self, output: Output) {
         match output {
             Output::Reply {
                 link,
                 outcome,
                 floor,
             } => {
-                self.tell(link, Told::Outcome { outcome, floor });
+                self.notify(link, Told::Outcome { outcome, floor });
             }
-            Output::Dismiss(link) => self.tell(link, Told::Dismiss),
+            Output::Dismiss(link) => self.notify(link, Told::Dismiss),
             Output::Send { to, message } => self.peers.send(to, message),
             Output::Database(command) => self.targets.command(command),
             Output::Stopped => {
@@ -216,9 +215,9 @@
         }
     }
 
-    fn tell(&self, link: Link, told: Told) {
+    fn notify(&self, link: Link, told: Told) {
         if let Some(sender) = self.links.borrow().get(&link) {
-            // A receiver that is gone has its departure under way.
+            // If the receiver was dropped, the connection is about to report its end.
             let _ = sender.send(told);
         }
     }
