--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -1,7 +1,8 @@
-//! Streams to other proxies: one fate a pair, whoever opened it.
+//! Streams to other proxies. All streams between two VMs are closed together, regardless of
+//! which VM opened them.
 //!
-//! A stream that is in doubt is closed and reported as down; nothing that was sent on it is sent
-//! again here, because only the core knows what may be.
+//! A stream whose frames go unacknowledged is closed and reported as down. Nothing that was sent
+//! on it is resent here, because only the core can decide which messages may be.
 
 mod handshake;
 mod stream;
@@ -16,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use stream::Stream;
-pub use stream::{DOUBT, Frame, UNREAD_LIMIT};
+pub use stream::{ACKNOWLEDGEMENT_TIMEOUT, Frame, MAX_UNACKNOWLEDGED};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -24,43 +25,44 @@
 use tonic::transport::Server;
 use tonic::transport::server::TcpIncoming;
 
-/// How often doubts and owed acknowledgements are looked at; an acknowledgement that no
-/// message carries is sent after at most this long.
-pub const CHECK: Duration = Duration::from_millis(500);
+/// How often streams are checked for overdue acknowledgements, both expected and owed. An
+/// acknowledgement that no message carries is sent after at most this time.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a connection attempt may take.
-pub const DIAL: Duration = Duration::from_secs(1);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long after a failed attempt the next one waits.
-pub const REDIAL: Duration = Duration::from_millis(250);
+/// The delay between a failed connection attempt and the next one.
+pub const RECONNECT_DELAY: Duration = Duration::from_millis(250);
 
-const FLUSH_CHECK: Duration = Duration::from_millis(20);
+/// How often [`Peers::flushed`] checks for acknowledgements.
+const FLUSH_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What happens on the streams.
 #[derive(Debug)]
 pub enum Event {
     /// A stream to this VM is open.
     Up(VmId),
-    /// The streams to this VM are closed, or none could be opened. Without an `Up` since the
-    /// last `Down`, nothing that was to be sent has left.
+    /// The streams to this VM are closed, or none could be opened. If there was no `Up` since
+    /// the last `Down`, none of the queued messages were sent.
     Down(VmId),
     /// A message arrived.
     Message {
         /// The sender.
         from: VmId,
-        /// What it says.
+        /// The message.
         message: Box<Message>,
     },
 }
 
-/// Who this process is to its peers.
+/// How this process identifies itself to its peers.
 #[derive(Debug, Clone)]
 pub struct Identity {
     /// This VM.
     pub vm: VmId,
-    /// This process's life.
+    /// This process's life: its incarnation, which changes at each start.
     pub life: Life,
-    /// The address that its streams come from.
+    /// The local address of its outgoing streams.
     pub source: IpAddr,
 }
 
@@ -69,38 +71,38 @@
 pub struct Peers {
     identity: Identity,
     events: mpsc::UnboundedSender<Event>,
-    book: RefCell<HashMap<VmId, SocketAddr>>,
-    pairs: RefCell<HashMap<VmId, Pair>>,
+    addresses: RefCell<HashMap<VmId, SocketAddr>>,
+    connections: RefCell<HashMap<VmId, Connection>>,
     serial: Cell<u64>,
-    /// `Down` events that were emitted and not taken yet.
-    untold: RefCell<HashMap<VmId, u32>>,
+    /// The number of `Down` events for each VM that were emitted but not yet received by the core.
+    queued_downs: RefCell<HashMap<VmId, u32>>,
 }
 
 #[derive(Debug)]
-enum Pair {
+enum Connection {
     Dialing(Vec<Message>),
     Open { life: Life, streams: Vec<Stream> },
     Failed(Instant),
 }
 
 impl Peers {
-    /// No streams yet. What happens on them goes to `events`.
+    /// Starts without streams; their events are sent to `events`.
     pub fn new(identity: Identity, events: mpsc::UnboundedSender<Event>) -> Rc<Self> {
         let peers = Rc::new(Self {
             identity,
             events,
-            book: RefCell::default(),
-            pairs: RefCell::default(),
+            addresses: RefCell::default(),
+            connections: RefCell::default(),
             serial: Cell::new(0),
-            untold: RefCell::default(),
+            queued_downs: RefCell::default(),
         });
         actix_rt::spawn(check(Rc::downgrade(&peers)));
         peers
     }
 
-    /// Where each VM listens, as the platform's list has it.
+    /// Replaces the listening address of each VM, taken from the platform's list.
     pub fn learn(&self, addresses: impl IntoIterator<Item = (VmId, SocketAddr)>) {
-        *self.book.borrow_mut() = addresses.into_iter().collect();
+        *self.addresses.borrow_mut() = addresses.into_iter().collect();
     }
 
     /// Serves the streams that other proxies open.
@@ -133,34 +135,38 @@
         });
     }
 
-    /// Sends `message`, opening a stream if there is none.
+    /// Sends `message`, opening a stream if none is open.
     ///
-    /// Failure: a stream breaks, and work is sent before the core has heard of it. Symptom: the
-    /// core takes that work for lost with the old stream and sends it again, and it runs twice.
-    /// Enough, because nothing is sent to a VM until its `Down` was taken.
+    /// Nothing is sent to a VM while a `Down` for it is still queued for the core. Otherwise the
+    /// core would count work sent on the new stream as lost with the old one and resend it, and
+    /// it would run twice.
     pub fn send(self: &Rc<Self>, to: VmId, message: Message) {
-        if self.untold.borrow().contains_key(&to) {
+        if self.queued_downs.borrow().contains_key(&to) {
             return;
         }
-        let mut pairs = self.pairs.borrow_mut();
-        match pairs.get_mut(&to) {
-            Some(Pair::Open { streams, .. }) if !streams.is_empty() => streams[0].send(message),
-            Some(Pair::Dialing(waiting)) => waiting.push(message),
-            Some(Pair::Failed(until)) if *until > Instant::now() => self.emit(Event::Down(to)),
+        let mut connections = self.connections.borrow_mut();
+        match connections.get_mut(&to) {
+            Some(Connection::Open { streams, .. }) if !streams.is_empty() => {
+                streams[0].send(message)
+            }
+            Some(Connection::Dialing(waiting)) => waiting.push(message),
+            Some(Connection::Failed(until)) if *until > Instant::now() => {
+                self.emit(Event::Down(to))
+            }
             _ => {
-                pairs.insert(to.clone(), Pair::Dialing(vec![message]));
-                drop(pairs);
+                connections.insert(to.clone(), Connection::Dialing(vec![message]));
+                drop(connections);
                 self.dial(to);
             }
         }
     }
 
-    /// Waits until the peers have taken all that was sent so far, but no longer than `patience`.
-    pub async fn flushed(&self, patience: Duration) {
-        let sent: Vec<(u64, u64)> = self.each_stream(|stream| (stream.serial, stream.sent));
-        let deadline = Instant::now() + patience;
+    /// Waits until the peers have acknowledged everything sent so far, or until `timeout` has passed.
+    pub async fn flushed(&self, timeout: Duration) {
+        let sent: Vec<(u64, u64)> = self.map_streams(|stream| (stream.serial, stream.sent));
+        let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
-            let taken = self.each_stream(|stream| (stream.serial, stream.acknowledged));
+            let taken = self.map_streams(|stream| (stream.serial, stream.acknowledged));
             let behind = |&(serial, sent): &(u64, u64)| {
                 taken
                     .iter()
@@ -169,51 +175,57 @@
             if !sent.iter().any(behind) {
                 return;
             }
-            tokio::time::sleep(FLUSH_CHECK).await;
+            tokio::time::sleep(FLUSH_CHECK_INTERVAL).await;
         }
     }
 
-    fn each_stream<T>(&self, look: impl Fn(&Stream) -> T) -> Vec<T> {
-        let pairs = self.pairs.borrow();
-        let open = pairs.values().filter_map(|pair| match pair {
-            Pair::Open { streams, .. } => Some(streams),
-            _ => None,
-        });
-        open.flatten().map(look).collect()
+    fn map_streams<T>(&self, read: impl Fn(&Stream) -> T) -> Vec<T> {
+        let connections = self.connections.borrow();
+        let open = connections
+            .values()
+            .filter_map(|connection| match connection {
+                Connection::Open { streams, .. } => Some(streams),
+                _ => None,
+            });
+        open.flatten().map(read).collect()
     }
 
-    /// How many VMs this one has streams to.
+    /// The number of VMs with open streams.
     pub fn open(&self) -> usize {
-        let pairs = self.pairs.borrow();
-        pairs
+        let connections = self.connections.borrow();
+        connections
             .values()
-            .filter(|pair| matches!(pair, Pair::Open { .. }))
+            .filter(|connection| matches!(connection, Connection::Open { .. }))
             .count()
     }
 
-    /// The core is about to hear of a `Down` of `vm`.
+    /// Records that a `Down` of `vm` is about to be handed to the core.
     pub fn taken_down(&self, vm: &VmId) {
-        let mut untold = self.untold.borrow_mut();
-        if let Some(count) = untold.get_mut(vm) {
+        let mut queued_downs = self.queued_downs.borrow_mut();
+        if let Some(count) = queued_downs.get_mut(vm) {
             *count -= 1;
             if *count == 0 {
-                untold.remove(vm);
+                queued_downs.remove(vm);
             }
         }
     }
 
     fn emit(&self, event: Event) {
         if let Event::Down(vm) = &event {
-            *self.untold.borrow_mut().entry(vm.clone()).or_default() += 1;
+            *self
+                .queued_downs
+                .borrow_mut()
+                .entry(vm.clone())
+                .or_default() += 1;
         }
-        // The receiver goes away only when the process ends.
+        // The receiver is dropped only when the process ends.
         let _ = self.events.send(event);
     }
 
     fn dial(self: &Rc<Self>, to: VmId) {
         let peers = Rc::clone(self);
         actix_rt::spawn(async move {
-            let address = peers.book.borrow().get(&to).copied();
+            let address = peers.addresses.borrow().get(&to).copied();
             let Some(address) = address else {
                 log::debug!(vm:% = to; "no address for a peer: it is not in the platform's list");
                 return peers.dial_failed(&to);
@@ -229,11 +241,11 @@
     }
 
     fn dial_failed(&self, to: &VmId) {
-        let failed = Pair::Failed(Instant::now() + REDIAL);
-        let mut pairs = self.pairs.borrow_mut();
-        // Otherwise the peer's own stream came in meanwhile and took what was waiting.
-        if let Some(Pair::Dialing(_)) = pairs.get(to) {
-            pairs.insert(to.clone(), failed);
+        let failed = Connection::Failed(Instant::now() + RECONNECT_DELAY);
+        let mut connections = self.connections.borrow_mut();
+        // Any other state means that the peer opened a stream meanwhile, which took the queued messages.
+        if let Some(Connection::Dialing(_)) = connections.get(to) {
+            connections.insert(to.clone(), failed);
             self.emit(Event::Down(to.clone()));
         }
     }
@@ -248,16 +260,16 @@
         self.end_former_life(&vm, life);
         let serial = self.serial.replace(self.serial.get() + 1);
         let mut stream = Stream::new(serial, frames);
-        let mut pairs = self.pairs.borrow_mut();
-        match pairs.get_mut(&vm) {
-            Some(Pair::Open { streams, .. }) => streams.push(stream),
+        let mut connections = self.connections.borrow_mut();
+        match connections.get_mut(&vm) {
+            Some(Connection::Open { streams, .. }) => streams.push(stream),
             former => {
-                if let Some(Pair::Dialing(waiting)) = former {
+                if let Some(Connection::Dialing(waiting)) = former {
                     waiting.drain(..).for_each(|message| stream.send(message));
                 }
-                pairs.insert(
+                connections.insert(
                     vm.clone(),
-                    Pair::Open {
+                    Connection::Open {
                         life,
                         streams: vec![stream],
                     },
@@ -265,14 +277,15 @@
                 self.emit(Event::Up(vm.clone()));
             }
         }
-        drop(pairs);
+        drop(connections);
         actix_rt::spawn(read(Rc::clone(self), vm, serial, messages));
     }
 
-    /// A VM that was restarted under the same name knows nothing of what its former life was sent.
+    /// Closes the streams to a former life of `vm`: the restarted process has none of the messages
+    /// that were sent to the former one.
     fn end_former_life(&self, vm: &VmId, life: Life) {
-        let other = match self.pairs.borrow().get(vm) {
-            Some(Pair::Open { life: known, .. }) => *known != life,
+        let other = match self.connections.borrow().get(vm) {
+            Some(Connection::Open { life: known, .. }) => *known != life,
             _ => false,
         };
         if other {
@@ -281,15 +294,15 @@
     }
 
     fn close(&self, vm: &VmId) {
-        let former = self.pairs.borrow_mut().remove(vm);
-        if let Some(Pair::Open { .. }) = former {
+        let former = self.connections.borrow_mut().remove(vm);
+        if let Some(Connection::Open { .. }) = former {
             self.emit(Event::Down(vm.clone()));
         }
     }
 
     fn received(&self, vm: &VmId, serial: u64, frame: Frame) -> bool {
-        let mut pairs = self.pairs.borrow_mut();
-        let Some(Pair::Open { streams, .. }) = pairs.get_mut(vm) else {
+        let mut connections = self.connections.borrow_mut();
+        let Some(Connection::Open { streams, .. }) = connections.get_mut(vm) else {
             return false;
         };
         let Some(stream) = streams.iter_mut().find(|stream| stream.serial == serial) else {
@@ -307,8 +320,8 @@
     }
 
     fn ended(&self, vm: &VmId, serial: u64) {
-        let ours = match self.pairs.borrow().get(vm) {
-            Some(Pair::Open { streams, .. }) => streams.iter().any(|s| s.serial == serial),
+        let ours = match self.connections.borrow().get(vm) {
+            Some(Connection::Open { streams, .. }) => streams.iter().any(|s| s.serial == serial),
             _ => false,
         };
         if ours {
@@ -316,30 +329,30 @@
         }
     }
 
-    /// Closes streams in doubt and sends the acknowledgements that no message carried.
+    /// Closes stalled streams and sends the acknowledgements that no message carried.
     ///
-    /// Failure: something between two VMs loses track of a stream, and both ends keep it open.
-    /// Symptom: every statement sent over it waits out its deadline. Enough, because whatever is
-    /// sent has to be acknowledged within `DOUBT`, and a new stream is opened by the next send.
+    /// If a device between two VMs drops a stream's state, both ends keep the stream open and
+    /// every statement sent on it waits until its deadline. So every message must be acknowledged
+    /// within [`ACKNOWLEDGEMENT_TIMEOUT`]; after a close, the next send opens a new stream.
     fn check(&self) {
         let now = Instant::now();
-        let mut doubtful = Vec::new();
-        for (vm, pair) in self.pairs.borrow_mut().iter_mut() {
-            let Pair::Open { streams, .. } = pair else {
+        let mut stalled = Vec::new();
+        for (vm, connection) in self.connections.borrow_mut().iter_mut() {
+            let Connection::Open { streams, .. } = connection else {
                 continue;
             };
-            if streams.iter().any(|stream| stream.in_doubt(now)) {
-                doubtful.push(vm.clone());
+            if streams.iter().any(|stream| stream.is_stalled(now)) {
+                stalled.push(vm.clone());
                 continue;
             }
             for stream in streams
                 .iter_mut()
-                .filter(|stream| stream.told < stream.taken)
+                .filter(|stream| stream.reported < stream.taken)
             {
                 stream.push(None);
             }
         }
-        for vm in doubtful {
+        for vm in stalled {
             log::warn!(vm:%; "a peer stream fell silent and was closed");
             self.close(&vm);
         }
@@ -348,7 +361,7 @@
 
 async fn check(peers: std::rc::Weak<Peers>) {
     loop {
-        tokio::time::sleep(CHECK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let Some(peers) = peers.upgrade() else { return };
         peers.check();
     }
--- a/src/net/peer/handshake.rs
+++ b/src/net/peer/handshake.rs
@@ -1,6 +1,6 @@
-//! How two proxies open a stream: each says who it is before anything else is sent.
+//! The handshake of a stream between two proxies: each sends its identity before anything else.
 
-use super::{DIAL, Frame, Identity};
+use super::{CONNECT_TIMEOUT, Frame, Identity};
 use crate::net::rpc;
 use crate::types::{Life, VmId};
 use std::net::SocketAddr;
@@ -22,10 +22,10 @@
     pub frames: mpsc::UnboundedSender<Frame>,
 }
 
-/// What an opened stream consists of: the peer's life, what it sends, and where to send.
+/// An opened stream: the peer's life, the frames received from it, and the sender to it.
 pub(super) type Opened = (Life, Streaming<Frame>, mpsc::UnboundedSender<Frame>);
 
-/// Opens a stream to the VM `expected`, which has to be the one that listens at `address`.
+/// Opens a stream to `address`. Fails if a VM other than `expected` listens there.
 pub(super) async fn connect(
     identity: &Identity,
     expected: &VmId,
@@ -35,31 +35,36 @@
         .map_err(|error| Status::invalid_argument(error.to_string()))?
         .tcp_nodelay(true)
         .local_address(Some(identity.source))
-        .connect_timeout(DIAL);
+        .connect_timeout(CONNECT_TIMEOUT);
     let attempt = async {
         let channel = endpoint.connect().await;
         let channel = channel.map_err(|error| Status::unavailable(error.to_string()))?;
         let (frames, receiver) = mpsc::unbounded_channel();
         let mut request = UnboundedReceiverStream::new(receiver).into_streaming_request();
-        introduce(identity, request.metadata_mut())?;
+        write_identity(identity, request.metadata_mut())?;
         let response = rpc::open(channel, request).await?;
-        let (vm, life) = introduced(response.metadata())?;
+        let (vm, life) = read_identity(response.metadata())?;
         if vm != *expected {
-            return Err(Status::not_found(format!("{vm} listens there now")));
+            return Err(Status::not_found(format!(
+                "{vm} listens at this address now"
+            )));
         }
         Ok((life, response.into_inner(), frames))
     };
-    let late = |_| Status::deadline_exceeded("no answer to the attempt");
-    tokio::time::timeout(DIAL, attempt).await.map_err(late)?
+    let late =
+        |_| Status::deadline_exceeded("the peer did not answer the connection attempt in time");
+    tokio::time::timeout(CONNECT_TIMEOUT, attempt)
+        .await
+        .map_err(late)?
 }
 
-/// Takes a stream that another VM opens, and hands it to `incoming`.
+/// Accepts a stream that another VM opens, and passes it to `incoming`.
 pub(super) fn accept(
     identity: &Identity,
     request: tonic::Request<Streaming<Frame>>,
     incoming: &mpsc::UnboundedSender<Incoming>,
 ) -> Result<tonic::Response<rpc::Answers<Frame>>, Status> {
-    let (vm, life) = introduced(request.metadata())?;
+    let (vm, life) = read_identity(request.metadata())?;
     let (frames, receiver) = mpsc::unbounded_channel();
     let messages = request.into_inner();
     let accepted = incoming.send(Incoming {
@@ -68,14 +73,14 @@
         messages,
         frames,
     });
-    accepted.map_err(|_| Status::unavailable("this process is ending"))?;
+    accepted.map_err(|_| Status::unavailable("this process is stopping"))?;
     let answers = tokio_stream::StreamExt::map(UnboundedReceiverStream::new(receiver), Ok);
     let mut response = tonic::Response::new(Box::pin(answers) as rpc::Answers<Frame>);
-    introduce(identity, response.metadata_mut())?;
+    write_identity(identity, response.metadata_mut())?;
     Ok(response)
 }
 
-fn introduce(identity: &Identity, metadata: &mut MetadataMap) -> Result<(), Status> {
+fn write_identity(identity: &Identity, metadata: &mut MetadataMap) -> Result<(), Status> {
     let entries = [
         (VM, identity.vm.to_string()),
         (LIFE, identity.life.to_string()),
@@ -84,13 +89,13 @@
     for (key, value) in entries {
         let value = value
             .parse()
-            .map_err(|_| Status::internal("unprintable identity"))?;
+            .map_err(|_| Status::internal("the identity is not valid in a header"))?;
         metadata.insert(key, value);
     }
     Ok(())
 }
 
-fn introduced(metadata: &MetadataMap) -> Result<(VmId, Life), Status> {
+fn read_identity(metadata: &MetadataMap) -> Result<(VmId, Life), Status> {
     let text = |key: &str| {
         let value = metadata.get(key).and_then(|value| value.to_str().ok());
         value.ok_or_else(|| Status::invalid_argument(format!("the stream does not state `{key}`")))
--- a/src/net/peer/stream.rs
+++ b/src/net/peer/stream.rs
@@ -1,4 +1,4 @@
-//! One stream's two counts: what was sent and what the other end has taken.
+//! The counts of one stream: messages sent, and messages that the peer has acknowledged.
 
 use crate::core::message::Message;
 use crate::core::request::Outcome;
@@ -7,35 +7,40 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How long a frame may go unacknowledged before its stream is in doubt. Far above a round trip
-/// between regions (20 ms), and short enough that a silent stream costs a caller one wait.
-pub const DOUBT: Duration = Duration::from_secs(2);
+/// How long a message may go unacknowledged before its stream counts as stalled. This is far above
+/// a round trip between regions (20 ms), and short enough that a stalled stream delays a caller
+/// only once.
+pub const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes of work and answers that may be unacknowledged on one stream. A peer that reads too
-/// slowly would otherwise fill this process's memory; past it the stream counts as in doubt.
-pub const UNREAD_LIMIT: usize = 64 << 20;
+/// Bytes of work and answers that may be unacknowledged on one stream. Above it the stream counts
+/// as stalled; otherwise a peer that reads too slowly would fill this process's memory.
+pub const MAX_UNACKNOWLEDGED: usize = 64 << 20;
 
-/// What travels on a stream.
+/// A message of a stream, with the acknowledgement of the other direction.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Frame {
-    /// How many messages the sender has taken from this stream so far.
+    /// The number of messages that the sender has received on this stream.
     pub(super) taken: u64,
-    /// What it says; `None` if it only acknowledges.
+    /// The message; `None` if the frame only acknowledges.
     pub(super) message: Option<Message>,
 }
 
-/// What was sent on a stream, and what came back.
+/// The sending half of a stream and its counts.
 #[derive(Debug)]
 pub(super) struct Stream {
     pub serial: u64,
     frames: mpsc::UnboundedSender<Frame>,
     pub sent: u64,
     pub acknowledged: u64,
-    unread: usize,
-    doubtful: Option<Instant>,
+    /// Bytes that were sent since everything was last acknowledged.
+    unacknowledged: usize,
+    /// When the next acknowledgement is due.
+    acknowledgement_due: Option<Instant>,
+    /// Messages received.
     pub taken: u64,
-    pub told: u64,
+    /// Messages received that were acknowledged to the peer.
+    pub reported: u64,
 }
 
 impl Stream {
@@ -45,23 +50,24 @@
             frames,
             sent: 0,
             acknowledged: 0,
-            unread: 0,
-            doubtful: None,
+            unacknowledged: 0,
+            acknowledgement_due: None,
             taken: 0,
-            told: 0,
+            reported: 0,
         }
     }
 
     pub fn send(&mut self, message: Message) {
         self.sent += 1;
-        self.unread += size(&message);
-        self.doubtful.get_or_insert_with(|| Instant::now() + DOUBT);
+        self.unacknowledged += size(&message);
+        self.acknowledgement_due
+            .get_or_insert_with(|| Instant::now() + ACKNOWLEDGEMENT_TIMEOUT);
         self.push(Some(message));
     }
 
     pub fn push(&mut self, message: Option<Message>) {
-        self.told = self.taken;
-        // A closed channel shows as the end of the stream's reader, which reports it.
+        self.reported = self.taken;
+        // If the channel is closed, the stream's reader ends too and reports it.
         let _ = self.frames.send(Frame {
             taken: self.taken,
             message,
@@ -74,14 +80,17 @@
         }
         self.acknowledged = taken;
         let rest = self.sent.saturating_sub(taken);
-        self.doubtful = (rest > 0).then(|| Instant::now() + DOUBT);
+        self.acknowledgement_due = (rest > 0).then(|| Instant::now() + ACKNOWLEDGEMENT_TIMEOUT);
         if rest == 0 {
-            self.unread = 0;
+            self.unacknowledged = 0;
         }
     }
 
-    pub fn in_doubt(&self, now: Instant) -> bool {
-        self.unread > UNREAD_LIMIT || self.doubtful.is_some_and(|deadline| deadline <= now)
+    pub fn is_stalled(&self, now: Instant) -> bool {
+        self.unacknowledged > MAX_UNACKNOWLEDGED
+            || self
+                .acknowledgement_due
+                .is_some_and(|deadline| deadline <= now)
     }
 }
 
--- a/src/slopes/fleet.rs
+++ b/src/slopes/fleet.rs
@@ -25,7 +25,7 @@
 const TO_DATABASE: Span = Span::from_millis(1);
 const TO_CONNECT: Span = Span::from_millis(10);
 
-/// How long until a stream to a VM that vanished counts as broken (`net::peer::DOUBT`).
+/// How long until a stream to a VM that vanished counts as broken (`net::peer::ACKNOWLEDGEMENT_TIMEOUT`).
 const UNTIL_DOWN: Span = Span::from_secs(2);
 
 /// How many nodes and groups a fleet has.
