--- a/src/net/pg.rs
+++ b/src/net/pg.rs
@@ -1,14 +1,13 @@
-//! The callers' side: connections that speak the PostgreSQL protocol.
+//! Callers' connections, which use the PostgreSQL protocol.
 //!
-//! A caller's messages up to Query, Sync or Flush make one request to the core, and a caller
-//! has one request under way at a time; what it pipelines behind that stays in the socket.
-//! Connections to databases are pooled by transaction, see `prepared` and `sql` for what that
-//! means to a caller.
+//! A caller's messages up to Query, Sync or Flush make one request to the core. A caller has one
+//! request in flight at a time; messages pipelined behind it stay in the socket. Connections to
+//! databases are pooled by transaction; `prepared` and `sql` describe what that means for callers.
 //!
-//! Load and abuse: many callers are idle, so an idle one keeps no buffers. A caller that sends
-//! without reading is read no further than [`READ_AHEAD`], and one that does not take its answer
-//! within [`SEND_LIMIT`] is closed. What all callers have sent and not yet had run is bounded by
-//! [`Rules::buffered`].
+//! Limits: many callers are idle, so an idle connection keeps no buffers. From a caller that sends
+//! without reading, at most [`READ_AHEAD`] bytes are read, and a caller that does not take its
+//! answer within [`SEND_TIMEOUT`] is disconnected. The requests of all callers that wait to be run
+//! are bounded by [`Rules::buffered`].
 
 mod batch;
 mod caller;
@@ -42,56 +41,56 @@
 
 /// The longest batch that a caller may send, in bytes.
 pub const BATCH_LIMIT: usize = 4 * 1024 * 1024;
-/// How much is read of what a caller pipelines behind its request under way, in bytes.
+/// How much is read of what a caller pipelines behind its request in flight, in bytes.
 pub const READ_AHEAD: usize = 16 * 1024;
 /// How long a caller may take to receive an answer.
-pub const SEND_LIMIT: Duration = Duration::from_secs(30);
+pub const SEND_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a caller may take to log in.
-pub const LOGIN_LIMIT: Duration = Duration::from_secs(10);
-/// How long accepting waits after it failed, for want of file descriptors as a rule.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+pub const LOGIN_TIMEOUT: Duration = Duration::from_secs(10);
+/// The delay after a failed accept, which usually fails because file descriptors ran out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What the core tells a caller's connection.
+/// A message from the core to a caller's connection.
 #[derive(Debug)]
 pub enum Told {
-    /// What came of the request under way.
+    /// The request in flight has ended.
     Outcome {
-        /// What came of it.
+        /// The outcome of the request.
         outcome: Outcome,
         /// The session's floor, for the token.
         floor: Option<Position>,
     },
-    /// The connection is to end as soon as it is idle.
+    /// The connection must close as soon as it has no open transaction.
     Dismiss,
 }
 
-/// The core as callers' connections use it.
+/// The operations of the core that callers' connections use.
 pub struct Core {
-    /// Makes a new link, with the end at which it is told things.
+    /// Makes a new link, with the receiver of its messages.
     pub open: Box<dyn Fn() -> (Link, UnboundedReceiver<Told>)>,
-    /// Submits a request; the link is told its outcome.
+    /// Submits a request; its outcome is sent to the link.
     pub submit: Box<dyn Fn(Request)>,
-    /// Says that a link is gone.
+    /// Reports that a link's connection has closed.
     pub depart: Box<dyn Fn(Link)>,
-    /// Asks to cancel what a link has under way.
+    /// Asks to cancel a link's request in flight.
     pub cancel: Box<dyn Fn(Link)>,
     /// Reads the clock.
     pub now: Box<dyn Fn() -> Time>,
-    /// The pool by whose rules a caller uses a group.
+    /// Finds the pool that serves a caller and a group.
     pub pool: Lookup,
 }
 
 /// Finds a caller's pool.
 pub type Lookup = Box<dyn Fn(&CallerId, &GroupId) -> Option<Pool>>;
 
-/// What a caller's connection needs to know of its pool.
+/// The part of a pool's configuration that a caller's connection uses.
 #[derive(Debug, Clone)]
 pub struct Pool {
-    /// The pool.
+    /// The pool's id.
     pub id: PoolId,
-    /// How old a read may be, where the caller does not say.
+    /// The maximum age of a read's data, if the caller does not set one.
     pub max_age: Option<Span>,
-    /// How long a request may take in all.
+    /// The time limit of a whole request.
     pub patience: Span,
 }
 
@@ -108,7 +107,7 @@
     pub callers: usize,
     /// How many bytes of requests all callers together may have buffered.
     pub buffered: usize,
-    /// The key under which session tokens are signed; without it none are shown.
+    /// The key that signs session tokens; without it none are issued.
     pub key: Option<Rc<Key>>,
 }
 
@@ -122,77 +121,77 @@
     }
 }
 
-/// What all callers' connections share.
+/// The state that all callers' connections share.
 #[derive(Debug)]
-struct Door {
+struct Shared {
     core: Core,
     rules: Rules,
     library: Library,
-    secrets: RefCell<HashMap<Cancel, Link>>,
+    cancel_keys: RefCell<HashMap<Cancel, Link>>,
     callers: Cell<usize>,
     buffered: Cell<usize>,
 }
 
-/// Accepts callers until the future is dropped. Connections accepted by then go on.
+/// Accepts callers until the future is dropped. Connections that were accepted stay open.
 pub async fn serve(listener: TcpListener, core: Core, rules: Rules) {
-    let door = Rc::new(Door {
+    let shared = Rc::new(Shared {
         core,
         rules,
         library: Library::default(),
-        secrets: RefCell::default(),
+        cancel_keys: RefCell::default(),
         callers: Cell::new(0),
         buffered: Cell::new(0),
     });
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => admit(&door, stream),
+            Ok((stream, _)) => admit(&shared, stream),
             Err(error) => {
                 log::warn!(error:%; "could not accept a caller");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn admit(door: &Rc<Door>, stream: TcpStream) {
-    if door.callers.get() >= door.rules.callers {
+fn admit(shared: &Rc<Shared>, stream: TcpStream) {
+    if shared.callers.get() >= shared.rules.callers {
         let _ = stream.try_write(&encode(&Fault::Callers.response(true)));
         return;
     }
     let _ = stream.set_nodelay(true);
-    let place = Place::new(Rc::clone(door));
-    actix_rt::spawn(login::run(stream, place));
+    let slot = Slot::new(Rc::clone(shared));
+    actix_rt::spawn(login::run(stream, slot));
 }
 
-/// A caller's place among those that may be connected.
+/// A caller's share of the limits on connections and buffers, returned on drop.
 #[derive(Debug)]
-struct Place {
-    door: Rc<Door>,
+struct Slot {
+    shared: Rc<Shared>,
     charged: Cell<usize>,
 }
 
-impl Place {
-    fn new(door: Rc<Door>) -> Self {
-        door.callers.set(door.callers.get() + 1);
+impl Slot {
+    fn new(shared: Rc<Shared>) -> Self {
+        shared.callers.set(shared.callers.get() + 1);
         Self {
-            door,
+            shared,
             charged: Cell::new(0),
         }
     }
 
-    /// Charges `bytes` of buffers to the caller, in place of what was charged before; false if
-    /// that is more than there is for all.
+    /// Sets the caller's buffered bytes to `bytes`; false if the total of all callers is then above
+    /// the limit.
     fn charge(&self, bytes: usize) -> bool {
-        let buffered = self.door.buffered.get() - self.charged.get() + bytes;
-        self.door.buffered.set(buffered);
+        let buffered = self.shared.buffered.get() - self.charged.get() + bytes;
+        self.shared.buffered.set(buffered);
         self.charged.set(bytes);
-        buffered <= self.door.rules.buffered
+        buffered <= self.shared.rules.buffered
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.charge(0);
-        self.door.callers.set(self.door.callers.get() - 1);
+        self.shared.callers.set(self.shared.callers.get() - 1);
     }
 }
--- a/src/net/pg/batch.rs
+++ b/src/net/pg/batch.rs
@@ -1,4 +1,4 @@
-//! A caller's messages up to the point where it waits, made into work for a database.
+//! Translates a caller's messages up to Query, Sync or Flush into work for a database.
 
 use super::fault::Fault;
 use super::prepared::{Library, Names, Prepared};
@@ -12,22 +12,22 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// Work for a database, and how its answer becomes the caller's.
+/// Work for a database, and how the caller's answer is made from the database's answer.
 #[derive(Debug)]
 pub struct Batch {
     /// The messages for the database; empty if the proxy answers everything itself.
     pub body: Bytes,
     /// The parts of the answer.
     pub steps: Vec<Step>,
-    /// What the database is to execute.
+    /// The statements that the database executes.
     pub statements: Vec<Statement>,
-    /// Whether every statement mentioned ends a transaction.
+    /// Whether every statement in the batch ends a transaction.
     pub ending: bool,
     /// Whether the caller expects ReadyForQuery: it does unless the batch ends in Flush.
     pub ready: bool,
 }
 
-/// What a caller's earlier messages left behind.
+/// The state of a caller's connection that lasts between batches.
 #[derive(Debug)]
 pub struct Session {
     /// Its prepared statements.
@@ -36,7 +36,7 @@
     pub settings: Settings,
 }
 
-/// What a batch does, by the statements that it executes.
+/// The kind of a batch, derived from the statements that it executes.
 ///
 /// Several statements outside a transaction count as one that may write if one of them does.
 pub fn kind(statements: &[Statement], idle: bool) -> Kind {
@@ -56,8 +56,8 @@
     }
 }
 
-/// Makes a batch of the messages up to Query, Sync or Flush. `idle` says that the caller has no
-/// transaction open.
+/// Builds a batch from the messages up to Query, Sync or Flush. `idle` is true if the caller has
+/// no transaction open.
 pub fn build(
     frames: &[Frame],
     session: &mut Session,
@@ -116,8 +116,8 @@
     Ok(batch)
 }
 
-/// Refuses a request key that is set inside a transaction: what follows would run without it,
-/// and its caller would think it safe to repeat.
+/// Refuses a request key that is set inside a transaction: the statements that follow would run
+/// without the key, but the caller would assume that they are safe to repeat.
 fn check_key(statements: &[Statement], idle: bool) -> Result<(), Fault> {
     let key = |statement| matches!(statement, &Statement::Set(Setting::Request, Some(_)));
     if !idle && statements.iter().any(key) {
@@ -126,7 +126,7 @@
     Ok(())
 }
 
-/// Whether the proxy answers for the whole text itself; it must not be a mixture.
+/// Whether the proxy answers the whole script itself. Returns an error if only part of it is local.
 fn unmixed(script: &Script) -> Result<bool, Fault> {
     let local = script.local();
     if !local && script.statements.iter().any(Statement::local) {
@@ -139,14 +139,15 @@
     session: &'a mut Session,
     library: &'a Library,
     idle: bool,
-    /// Parse messages of statements that earlier batches prepared.
+    /// Parse messages of statements that this batch uses and earlier batches prepared.
     prefix: BytesMut,
+    /// The number of messages in `prefix`.
     injected: usize,
     body: BytesMut,
     steps: Vec<Step>,
     statements: Vec<Statement>,
     ending: bool,
-    /// The statements, by their names on databases, that the batch itself prepares.
+    /// The statements that the batch prepares, `prefix` included, by their names on databases.
     present: HashSet<Box<str>>,
     portals: HashMap<Box<str>, Rc<Prepared>>,
 }
@@ -169,7 +170,7 @@
             return Err(Fault::Refused(refused));
         }
         unmixed(&prepared.script)?;
-        self.mention(&prepared);
+        self.update_ending(&prepared);
         if local(&prepared) {
             self.insert(reply::parse_complete());
         } else {
@@ -254,11 +255,11 @@
         Ok(())
     }
 
-    /// What `name` stands for; the batch prepares it if it does not already.
+    /// The statement prepared as `name`. Adds its Parse message unless the batch has one already.
     fn lookup(&mut self, name: &str) -> Result<Rc<Prepared>, Fault> {
         let prepared = self.session.names.get(name).cloned();
         let prepared = prepared.ok_or_else(|| Fault::NoStatement(name.into()))?;
-        self.mention(&prepared);
+        self.update_ending(&prepared);
         if !local(&prepared) && self.present.insert(prepared.name.clone()) {
             self.prefix.extend_from_slice(&prepared.parse);
             self.injected += 1;
@@ -266,7 +267,7 @@
         Ok(prepared)
     }
 
-    fn mention(&mut self, prepared: &Prepared) {
+    fn update_ending(&mut self, prepared: &Prepared) {
         self.ending &= prepared.script.statements == [Statement::End];
     }
 
@@ -279,9 +280,9 @@
         self.steps.push(Step::Insert(answer));
     }
 
-    /// Ends the batch. A database gets a Sync also where the caller sent a Flush: in a
-    /// transaction that changes nothing, and outside one nothing may be executed before a Flush,
-    /// because the Sync would commit it without what follows.
+    /// Ends the batch. The database receives a Sync even if the caller sent a Flush. Inside a
+    /// transaction that makes no difference; outside one, statements before a Flush are refused,
+    /// because the Sync would commit them without the statements that follow.
     fn finish(self, last: &Frame) -> Result<Batch, Fault> {
         let ready = match last.kind() {
             kind::SYNC => true,
@@ -313,7 +314,7 @@
     }
 }
 
-/// Whether the proxy answers for the statement itself. An empty one goes to a database.
+/// Whether the proxy executes the statement itself. An empty statement goes to a database.
 fn local(prepared: &Prepared) -> bool {
     !prepared.script.statements.is_empty() && prepared.script.local()
 }
--- a/src/net/pg/caller.rs
+++ b/src/net/pg/caller.rs
@@ -1,13 +1,13 @@
-//! One caller's connection, from its login on.
+//! A caller's connection after its login.
 
 use super::batch::{self, Batch, Session};
-use super::end::{End, say, send};
+use super::end::{End, close, send};
 use super::fault::Fault;
 use super::gather::{Inbox, Next};
 use super::prepared::Names;
 use super::settings::Settings;
 use super::startup::{self, Cancel, Login};
-use super::{Place, READ_AHEAD, Told, reply};
+use super::{READ_AHEAD, Slot, Told, reply};
 use crate::clock::Span;
 use crate::core::request::{Cause, Done, Kind, NotRun, Outcome, Request, Status};
 use crate::net::frame::{self, Frame, kind, put};
@@ -20,77 +20,77 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Answers larger than this are sent before the next batch is looked at, in bytes.
-const COALESCE: usize = 16 * 1024;
-/// A transaction that is over while the caller does not know it yet.
+/// If more bytes of answers than this are buffered, they are sent before the next batch is run.
+const FLUSH_THRESHOLD: usize = 16 * 1024;
+/// A transaction that was aborted before the caller ended it.
 ///
-/// Failure: the transaction's connection is lost, and the caller has pipelined more of it.
-/// Symptom: the rest would run outside any transaction, and be kept. Enough, because nothing is
-/// run until the caller ends the transaction, and that is answered with a rollback.
+/// If a transaction's connection is lost, statements that the caller has already pipelined would
+/// run outside any transaction and be committed. So nothing is run until the caller ends the
+/// transaction, which is answered with a rollback.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Over {
-    /// The database's side may still be open and has to be rolled back.
+enum Aborted {
+    /// The transaction may still be open in the database and must be rolled back there.
     Open,
-    /// Nothing is left of it.
+    /// The transaction no longer exists in the database.
     Gone,
 }
 
 struct Caller {
     stream: TcpStream,
-    place: Place,
+    slot: Slot,
     inbox: Inbox,
     out: BytesMut,
     login: Login,
     link: Link,
-    told: UnboundedReceiver<Told>,
+    signals: UnboundedReceiver<Told>,
     cancel: Cancel,
     session: Session,
     status: Status,
-    over: Option<Over>,
+    aborted: Option<Aborted>,
     /// A batch that ended in Flush failed: everything up to the next Sync is ignored.
     skipping: bool,
     dismissed: bool,
 }
 
-/// Serves a caller that has logged in, until its end.
-pub(super) async fn start(mut stream: TcpStream, place: Place, inbox: Inbox, login: Box<Login>) {
-    let mut settings = Settings::new(place.door.rules.key.clone());
-    let served = (place.door.core.pool)(&login.caller, &login.group).is_some();
+/// Serves a caller that has logged in, until its connection ends.
+pub(super) async fn start(mut stream: TcpStream, slot: Slot, inbox: Inbox, login: Box<Login>) {
+    let mut settings = Settings::new(slot.shared.rules.key.clone());
+    let served = (slot.shared.core.pool)(&login.caller, &login.group).is_some();
     let checked = if served {
         startup::apply(&login, &mut settings)
     } else {
         Err(Fault::NoPool)
     };
     if let Err(fault) = checked {
-        return say(&mut stream, &End::Fault(fault)).await;
+        return close(&mut stream, &End::Fault(fault)).await;
     }
-    let (link, told) = (place.door.core.open)();
+    let (link, signals) = (slot.shared.core.open)();
     let mut caller = Box::new(Caller {
-        cancel: secret(link),
+        cancel: cancel_key(link),
         stream,
         inbox,
         out: BytesMut::new(),
         login: *login,
         link,
-        told,
+        signals,
         session: Session {
             names: Names::default(),
             settings,
         },
         status: Status::Idle,
-        over: None,
+        aborted: None,
         skipping: false,
         dismissed: false,
-        place,
+        slot,
     });
     let end = caller.serve().await;
     let _ = caller.flush().await;
-    say(&mut caller.stream, &end).await;
+    close(&mut caller.stream, &end).await;
 }
 
-/// What a caller shows to cancel its request: the number tells connections of this proxy apart,
-/// the secret keeps others from guessing it.
-fn secret(link: Link) -> Cancel {
+/// The key that a caller sends to cancel its request. The number identifies the connection in this
+/// proxy; the random secret keeps others from guessing the key.
+fn cancel_key(link: Link) -> Cancel {
     Cancel {
         process: link.0 as u32 & u32::MAX >> 1,
         secret: rand::random(),
@@ -99,16 +99,23 @@
 
 impl Drop for Caller {
     fn drop(&mut self) {
-        self.place.door.secrets.borrow_mut().remove(&self.cancel);
-        (self.place.door.core.depart)(self.link);
+        self.slot
+            .shared
+            .cancel_keys
+            .borrow_mut()
+            .remove(&self.cancel);
+        (self.slot.shared.core.depart)(self.link);
     }
 }
 
 impl Caller {
     async fn serve(&mut self) -> End {
-        let door = Rc::clone(&self.place.door);
-        door.secrets.borrow_mut().insert(self.cancel, self.link);
-        startup::welcome(&mut self.out, &self.login, self.cancel);
+        let shared = Rc::clone(&self.slot.shared);
+        shared
+            .cancel_keys
+            .borrow_mut()
+            .insert(self.cancel, self.link);
+        startup::accept(&mut self.out, &self.login, self.cancel);
         self.ready();
         loop {
             if let Err(end) = self.step().await {
@@ -117,7 +124,7 @@
         }
     }
 
-    /// Answers the next batch, or waits for more of it.
+    /// Answers the next batch, or waits until more of it arrives.
     async fn step(&mut self) -> Result<(), End> {
         match self.inbox.next()? {
             Next::Leave => Err(End::Gone),
@@ -127,7 +134,7 @@
             Next::More => self.wait().await,
             Next::Batch(frames) => {
                 self.answer(&frames).await?;
-                if self.out.len() > COALESCE {
+                if self.out.len() > FLUSH_THRESHOLD {
                     self.flush().await?;
                 }
                 Ok(())
@@ -135,20 +142,20 @@
         }
     }
 
-    /// Waits for more to arrive, with as little memory as possible.
+    /// Waits for more to arrive. Sends the output and frees empty buffers first, to save memory.
     async fn wait(&mut self) -> Result<(), End> {
         self.flush().await?;
-        self.inbox.rest();
-        self.place.charge(self.inbox.len());
+        self.inbox.release_buffers();
+        self.slot.charge(self.inbox.len());
         tokio::select! {
-            told = self.told.recv() => match told {
+            signal = self.signals.recv() => match signal {
                 Some(Told::Dismiss) => self.dismissed = true,
                 Some(Told::Outcome { .. }) => log::error!("an outcome without a request"),
                 None => return Err(End::Fault(Fault::Dismissed)),
             },
             readable = self.stream.readable() => {
                 readable?;
-                if !self.inbox.read(&self.stream, &self.place)? {
+                if !self.inbox.read(&self.stream, &self.slot)? {
                     return Err(End::Gone);
                 }
             }
@@ -174,8 +181,8 @@
             return Ok(());
         }
         let idle = self.status == Status::Idle;
-        let door = Rc::clone(&self.place.door);
-        match batch::build(frames, &mut self.session, &door.library, idle) {
+        let shared = Rc::clone(&self.slot.shared);
+        match batch::build(frames, &mut self.session, &shared.library, idle) {
             Ok(batch) => self.run(batch).await,
             Err(Fault::Malformed(malformed)) => Err(End::Fault(malformed.into())),
             Err(fault) => {
@@ -195,8 +202,8 @@
             }
             return Ok(());
         }
-        if self.over.is_some() {
-            return self.run_over(batch).await;
+        if self.aborted.is_some() {
+            return self.answer_aborted(batch).await;
         }
         let request = match self.request(&batch) {
             Ok(request) => request,
@@ -206,7 +213,7 @@
             }
         };
         let kind = request.kind;
-        match self.ask(request).await? {
+        match self.submit(request).await? {
             (Outcome::Done(done), floor) => self.done(&batch, done, floor),
             (Outcome::NotRun(not_run), _) => {
                 self.not_run(kind, not_run, batch.ready);
@@ -215,7 +222,7 @@
             (Outcome::Unknown(unknown), _) => {
                 if kind == Kind::Continue {
                     self.status = Status::Failed;
-                    self.over = Some(Over::Gone);
+                    self.aborted = Some(Aborted::Gone);
                 }
                 self.fail(&Fault::Unknown(unknown), batch.ready);
                 Ok(())
@@ -223,17 +230,17 @@
         }
     }
 
-    /// Answers a batch of a transaction that is over.
-    async fn run_over(&mut self, batch: Batch) -> Result<(), End> {
+    /// Answers a batch of an aborted transaction.
+    async fn answer_aborted(&mut self, batch: Batch) -> Result<(), End> {
         if !batch.ending {
             self.fail(&Fault::Aborted, batch.ready);
             return Ok(());
         }
         if !batch.statements.is_empty() {
-            if self.over == Some(Over::Open) {
+            if self.aborted == Some(Aborted::Open) {
                 self.roll_back().await?;
             }
-            self.over = None;
+            self.aborted = None;
             self.status = Status::Idle;
         }
         self.out
@@ -244,20 +251,20 @@
         Ok(())
     }
 
-    /// Ends the database's side of a transaction of which a request was not run.
+    /// Rolls back a transaction in the database after one of its requests was not run.
     async fn roll_back(&mut self) -> Result<(), End> {
         let mut body = BytesMut::new();
         frame::put_raw(&mut body, kind::QUERY, &[b"ROLLBACK\0"]);
         if let Ok(request) = self.request_of(Kind::Continue, body.freeze()) {
-            self.ask(request).await?;
+            self.submit(request).await?;
         }
         Ok(())
     }
 
     fn request(&self, batch: &Batch) -> Result<Request, Fault> {
         let kind = batch::kind(&batch.statements, self.status == Status::Idle);
-        // A COMMIT among the work would end the transaction that holds the key, and what follows
-        // would run again with each retry.
+        // A COMMIT in the batch would end the transaction that holds the key, and the statements
+        // after it would run again with each retry.
         let ends = batch.statements.contains(&Statement::End);
         if kind == Kind::Write && ends && self.session.settings.request.is_some() {
             return Err(Fault::KeyInTransaction);
@@ -266,7 +273,7 @@
     }
 
     fn request_of(&self, kind: Kind, body: Bytes) -> Result<Request, Fault> {
-        let core = &self.place.door.core;
+        let core = &self.slot.shared.core;
         let pool = (core.pool)(&self.login.caller, &self.login.group).ok_or(Fault::NoPool)?;
         let settings = &self.session.settings;
         let key = match kind {
@@ -284,29 +291,29 @@
             kind,
             max_age: max_age.filter(|age| *age > Span::ZERO),
             key,
-            token_floor: settings.shown(&self.login.group),
+            token_floor: settings.token_floor(&self.login.group),
             deadline: (core.now)() + pool.patience,
             body,
         })
     }
 
-    /// Submits a request and waits for its outcome, reading ahead within bounds so that the
-    /// caller's end is noticed.
-    async fn ask(&mut self, request: Request) -> Result<(Outcome, Option<Position>), End> {
+    /// Submits a request and waits for its outcome. Reads up to [`READ_AHEAD`] bytes meanwhile, so
+    /// that the end of the caller's connection is noticed.
+    async fn submit(&mut self, request: Request) -> Result<(Outcome, Option<Position>), End> {
         self.flush().await?;
-        (self.place.door.core.submit)(request);
+        (self.slot.shared.core.submit)(request);
         loop {
             let ahead = self.inbox.len() < READ_AHEAD;
             tokio::select! {
                 biased;
-                told = self.told.recv() => match told {
+                signal = self.signals.recv() => match signal {
                     Some(Told::Outcome { outcome, floor }) => return Ok((outcome, floor)),
                     Some(Told::Dismiss) => self.dismissed = true,
                     None => return Err(End::Fault(Fault::Dismissed)),
                 },
                 readable = self.stream.readable(), if ahead => {
                     readable?;
-                    if !self.inbox.read(&self.stream, &self.place)? {
+                    if !self.inbox.read(&self.stream, &self.slot)? {
                         return Err(End::Gone);
                     }
                 }
@@ -327,7 +334,7 @@
             self.skipping = flushed && failed;
         }
         if let (Some(_), Some(floor)) = (done.wrote, floor) {
-            self.show(floor);
+            self.send_token(floor);
         }
         if batch.ready {
             self.ready();
@@ -335,8 +342,8 @@
         Ok(())
     }
 
-    /// Shows the caller a token that holds its write.
-    fn show(&mut self, floor: Position) {
+    /// Sends the caller a session token that covers its write.
+    fn send_token(&mut self, floor: Position) {
         let token = self.session.settings.issue(&self.login.group, floor);
         if let Some(token) = token {
             let name = crate::sql::Setting::Token.to_string();
@@ -346,27 +353,27 @@
 
     fn not_run(&mut self, kind: Kind, not_run: NotRun, ready: bool) {
         if not_run.cause == Cause::Lost {
-            self.session.settings.forget();
+            self.session.settings.clear_tokens();
         }
         let pipelined = self.inbox.len() > 0;
-        let over = match kind {
-            Kind::Continue if not_run.cause == Cause::RolledBack => Some(Over::Gone),
-            Kind::Continue => Some(Over::Open),
-            Kind::Begin | Kind::BeginRead if pipelined => Some(Over::Gone),
+        let aborted = match kind {
+            Kind::Continue if not_run.cause == Cause::RolledBack => Some(Aborted::Gone),
+            Kind::Continue => Some(Aborted::Open),
+            Kind::Begin | Kind::BeginRead if pipelined => Some(Aborted::Gone),
             _ => None,
         };
-        if over.is_some() {
+        if aborted.is_some() {
             self.status = Status::Failed;
-            self.over = over;
+            self.aborted = aborted;
         }
         self.fail(&Fault::NotRun(not_run), ready);
     }
 
-    /// Answers a batch with an error, which ends the use of an open transaction as any error does.
+    /// Answers a batch with an error, which aborts an open transaction.
     fn fail(&mut self, fault: &Fault, ready: bool) {
         if self.status == Status::Open {
             self.status = Status::Failed;
-            self.over = Some(Over::Open);
+            self.aborted = Some(Aborted::Open);
         }
         put(&mut self.out, &fault.response(false));
         if ready {
--- a/src/net/pg/fault.rs
+++ b/src/net/pg/fault.rs
@@ -1,7 +1,7 @@
-//! What a caller is told when it gets no answer: errors with an SQLSTATE, a cause and a remedy.
+//! Errors that the proxy itself sends to callers, each with an SQLSTATE, a cause and a remedy.
 //!
-//! The proxy's own SQLSTATEs are of class `LS`; the third character tells what became of the
-//! request, so that a program can decide by it alone:
+//! The proxy's own SQLSTATEs are of class `LS`. The third character states whether the request
+//! was run, so that a program can decide by it alone:
 //!
 //! | SQLSTATE | the request | cause |
 //! | --- | --- | --- |
@@ -9,8 +9,8 @@
 //! | `LS201` to `LS205` | has an **unknown outcome** | connection broke, primary replaced, too few replicas, proxy lost, key in use |
 //! | `LS301` | was not run; an earlier write of the session is **lost** | failover |
 //!
-//! The message is the cause with its remedy, DETAIL says what became of the request, and HINT
-//! when to come back. Other errors use PostgreSQL's own codes.
+//! The message holds the cause and the remedy, DETAIL whether the request was run, and HINT when
+//! to retry. Other errors use PostgreSQL's own codes.
 
 use crate::clock::Span;
 use crate::core::request::{Cause, NotRun, Unknown};
@@ -26,16 +26,16 @@
     /// The core did not run the request.
     #[error("{}", .0.cause)]
     NotRun(NotRun),
-    /// The core does not know.
+    /// The core does not know whether the request was run.
     #[error("{0}")]
     Unknown(Unknown),
-    /// The statement must not run here.
+    /// The statement is not allowed on a pooled connection.
     #[error("{0}")]
     Refused(Refused),
-    /// The bytes are no message of the protocol.
+    /// The bytes are not a valid message of the protocol.
     #[error("{0}")]
     Malformed(Malformed),
-    /// A setting has no such value.
+    /// The value is not valid for the setting.
     #[error("{setting}: {reason}")]
     Value {
         /// The setting.
@@ -43,13 +43,13 @@
         /// What is wrong with the value, and the remedy.
         reason: Box<str>,
     },
-    /// The token shown is not one of ours.
+    /// The session token was not issued under this proxy's key.
     #[error("{0}")]
     Token(token::Invalid),
     /// A `SET lentilspoke...` among other statements of one query.
     #[error("the proxy's settings can't be mixed with other statements: send them by themselves")]
     Mixed,
-    /// A transaction under a request key, which covers one statement.
+    /// A request key was used with a transaction, but it covers only one statement.
     #[error(
         "a request key covers one statement or query outside a transaction: RESET lentilspoke.request first"
     )]
@@ -57,28 +57,28 @@
     /// A message names a prepared statement that was never prepared.
     #[error("prepared statement \"{0}\" does not exist: prepare it first")]
     NoStatement(Box<str>),
-    /// One caller prepared too much.
+    /// The caller has too many prepared statements.
     #[error("too many prepared statements on this connection: close some")]
     Statements,
-    /// A flush in the middle of an implicit transaction.
+    /// A Flush inside an implicit transaction.
     #[error("Flush after Execute is not supported outside a transaction: use Sync, or BEGIN")]
     Flush,
-    /// The caller is in a failed transaction.
+    /// The caller's transaction has failed.
     #[error("current transaction is aborted: roll it back, and run it again from its start")]
     Aborted,
-    /// One caller sent too much at once.
+    /// One caller sent too large a batch.
     #[error("too much was sent at once: send smaller batches")]
     TooLarge,
-    /// All callers together sent too much at once.
+    /// The buffers of all callers together are full.
     #[error("this proxy is short of memory: send the request again later")]
     Memory,
-    /// The proxy has no place for another caller.
+    /// The maximum number of callers is connected.
     #[error("this proxy has too many callers: connect again later, or to another proxy")]
     Callers,
-    /// The proxy stops.
+    /// The proxy is stopping.
     #[error("this proxy is stopping: connect again")]
     Dismissed,
-    /// The protocol version is another one.
+    /// The protocol version is not supported.
     #[error("protocol {major}.{minor} is not supported: use protocol 3.0")]
     Protocol {
         /// The major version.
@@ -86,10 +86,10 @@
         /// The minor version.
         minor: u16,
     },
-    /// The startup message lacks or garbles something.
+    /// A field of the startup message is missing or invalid.
     #[error("startup: {0}")]
     Startup(Box<str>),
-    /// The caller asked for no database that exists.
+    /// No pool serves the caller's user and database.
     #[error(
         "no pool serves this user and database: check the names, and the configuration's pools"
     )]
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The message for the caller. A fatal one closes the connection.
+    /// The message for the caller, with severity FATAL if the connection is closed after it.
     pub fn response(&self, fatal: bool) -> ErrorResponse {
         let severity = if fatal { "FATAL" } else { "ERROR" };
         let mut info = ErrorInfo::new(severity.into(), self.code().into(), self.to_string());
--- a/src/net/pg/gather.rs
+++ b/src/net/pg/gather.rs
@@ -1,74 +1,75 @@
-//! A caller's bytes as they arrive, until a batch is whole.
+//! Buffers a caller's bytes until a batch is complete.
 
 use super::fault::Fault;
-use super::{BATCH_LIMIT, Place};
+use super::{BATCH_LIMIT, Slot};
 use crate::net::frame::{self, Frame, Malformed, kind};
 use bytes::BytesMut;
 use std::io::{Error, ErrorKind};
 use tokio::net::TcpStream;
 
-/// How much is read at least, in bytes.
-const READ: usize = 4 * 1024;
-/// How much room is made at most beyond what has arrived: a stated length alone gets no memory.
-const GROWTH: usize = 64 * 1024;
+/// The minimum buffer space for one read, in bytes.
+const MIN_RESERVE: usize = 4 * 1024;
+/// The maximum buffer space for one read, in bytes. The length that a message states allocates
+/// nothing by itself.
+const MAX_RESERVE: usize = 64 * 1024;
 
-/// What is charged for a message beside its bytes: a flood of the shortest ones would otherwise
-/// take twenty times their size in memory.
+/// Bytes that are charged for a message in addition to its length. Otherwise a flood of the
+/// shortest messages would take twenty times their charged size in memory.
 const MESSAGE_COST: usize = 96;
 
-/// Bytes that have arrived and are not yet answered.
+/// Received bytes that are not part of a completed batch yet.
 #[derive(Debug, Default)]
 pub struct Inbox {
     buffer: BytesMut,
     frames: Vec<Frame>,
-    /// What is charged for `frames`, in bytes.
-    held: usize,
+    /// The bytes charged for `frames`.
+    charged: usize,
 }
 
-/// What a caller wants next.
+/// The result of looking for the next batch.
 #[derive(Debug)]
 pub enum Next {
-    /// A batch is whole.
+    /// A complete batch.
     Batch(Vec<Frame>),
-    /// More has to arrive.
+    /// The batch is not complete yet.
     More,
-    /// The caller ends the connection.
+    /// The caller sent Terminate.
     Leave,
 }
 
 impl Inbox {
-    /// What has arrived and belongs to no batch yet.
+    /// The received bytes that are not parsed yet.
     pub fn buffer(&mut self) -> &mut BytesMut {
         &mut self.buffer
     }
 
-    /// How many bytes are held.
+    /// The number of bytes charged for everything buffered.
     pub fn len(&self) -> usize {
-        self.buffer.len() + self.held
+        self.buffer.len() + self.charged
     }
 
-    /// Gives up the memory, if nothing is held.
-    pub fn rest(&mut self) {
+    /// Frees the memory if nothing is buffered.
+    pub fn release_buffers(&mut self) {
         if self.len() == 0 {
             *self = Self::default();
         }
     }
 
-    /// Takes the next batch, if it is whole.
+    /// Removes the next batch, if it is complete.
     pub fn next(&mut self) -> Result<Next, Fault> {
         while let Some(frame) = self.take()? {
             match frame.kind() {
                 kind::TERMINATE => return Ok(Next::Leave),
-                // What a caller sends of a COPY that failed is ignored, as in PostgreSQL.
+                // The data of a COPY that failed is ignored, as in PostgreSQL.
                 kind::COPY_DATA | kind::COPY_DONE | kind::COPY_FAIL => {}
                 kind::QUERY if !self.frames.is_empty() => return Err(Malformed::Order.into()),
                 kind::QUERY | kind::SYNC | kind::FLUSH => {
                     self.frames.push(frame);
-                    self.held = 0;
+                    self.charged = 0;
                     return Ok(Next::Batch(std::mem::take(&mut self.frames)));
                 }
                 kind::PARSE | kind::BIND | kind::DESCRIBE | kind::EXECUTE | kind::CLOSE => {
-                    self.held += frame.bytes().len() + MESSAGE_COST;
+                    self.charged += frame.bytes().len() + MESSAGE_COST;
                     self.frames.push(frame);
                 }
                 _ => return Err(Malformed::Order.into()),
@@ -78,7 +79,7 @@
     }
 
     fn take(&mut self) -> Result<Option<Frame>, Fault> {
-        if self.held > BATCH_LIMIT {
+        if self.charged > BATCH_LIMIT {
             return Err(Fault::TooLarge);
         }
         match frame::take(&mut self.buffer, BATCH_LIMIT) {
@@ -87,18 +88,19 @@
         }
     }
 
-    /// Reads what is there, without waiting; false at the end of the stream.
-    pub fn read(&mut self, stream: &TcpStream, place: &Place) -> Result<bool, Fault> {
-        self.buffer.reserve(self.buffer.len().clamp(READ, GROWTH));
+    /// Reads available bytes without waiting; false at the end of the stream.
+    pub fn read(&mut self, stream: &TcpStream, slot: &Slot) -> Result<bool, Fault> {
+        self.buffer
+            .reserve(self.buffer.len().clamp(MIN_RESERVE, MAX_RESERVE));
         match stream.try_read_buf(&mut self.buffer) {
             Ok(0) => Ok(false),
-            Ok(_) if place.charge(self.len()) => Ok(true),
+            Ok(_) if slot.charge(self.len()) => Ok(true),
             Ok(_) => Err(Fault::Memory),
-            Err(error) => Ok(passing(&error)),
+            Err(error) => Ok(is_transient(&error)),
         }
     }
 }
 
-fn passing(error: &Error) -> bool {
+fn is_transient(error: &Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
--- a/src/net/pg/prepared.rs
+++ b/src/net/pg/prepared.rs
@@ -1,9 +1,9 @@
-//! Prepared statements of callers, kept while connections to databases come and go.
+//! Callers' prepared statements, kept independently of the connections to databases.
 //!
-//! A caller prepares a statement once and uses it on whichever connection its next transaction
-//! gets. So the proxy remembers what each name stands for; a batch that uses a statement which it does
-//! not prepare itself gets the Parse message put in front. On databases a statement is named
-//! after its text, so that callers share it.
+//! A caller prepares a statement once and may use it on any connection that a later transaction
+//! gets. So the proxy stores the statement of each name, and puts its Parse message in front of a
+//! batch that uses the statement without preparing it. On databases a statement is named by a
+//! digest of its text, so that callers share it.
 
 use crate::net::frame::{Fields, Malformed, kind, put_raw};
 use crate::sql::Script;
@@ -14,36 +14,36 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// A statement as the proxy knows it.
+/// A prepared statement.
 #[derive(Debug)]
 pub struct Prepared {
-    /// Its name on databases; empty for a caller's unnamed one.
+    /// Its name on databases; empty for an unnamed statement.
     pub name: Box<str>,
     /// The Parse message under that name.
     pub parse: Bytes,
-    /// What it does.
+    /// Its parsed text.
     pub script: Script,
 }
 
-/// The statements of all callers: many callers prepare the same ones.
+/// The named statements of all callers, shared because many callers prepare the same ones.
 #[derive(Debug, Default)]
 pub struct Library {
-    shelf: RefCell<HashMap<Box<str>, Rc<Prepared>>>,
+    statements: RefCell<HashMap<Box<str>, Rc<Prepared>>>,
 }
 
-/// How many statements are kept before those that no caller uses are thrown out.
-const SHELF: usize = 1_024;
+/// At this number of statements, those that no caller uses are evicted.
+const MAX_CACHED: usize = 1_024;
 /// How many statements one caller may keep. Drivers keep a few hundred at most.
-const NAMES: usize = 512;
+const MAX_NAMES: usize = 512;
 /// How many bytes of statements one caller may keep.
-const BYTES: usize = 1024 * 1024;
-/// How many bytes of the digest name a statement. They name what runs for every caller, so no
-/// caller must be able to make two texts share a name: 128 bits of SHA-256 prevent that.
-const DIGEST: usize = 16;
+const MAX_BYTES: usize = 1024 * 1024;
+/// How many bytes of the digest are in a statement's name. The name is shared by all callers, so no
+/// caller may be able to create two texts with the same name: 128 bits of SHA-256 prevent that.
+const DIGEST_BYTES: usize = 16;
 const NAME_PREFIX: &str = "ls_";
 
 impl Library {
-    /// The statement of a Parse message, given by its fields.
+    /// The name and the statement of a Parse message with these fields.
     pub fn prepare(&self, mut fields: Fields<'_>) -> Result<(Box<str>, Rc<Prepared>), Malformed> {
         let name = fields.text()?;
         let rest = fields.0;
@@ -60,15 +60,15 @@
 
     fn shared(&self, rest: &[u8], text: &str) -> Rc<Prepared> {
         let name = digest(rest);
-        let mut shelf = self.shelf.borrow_mut();
-        if let Some(prepared) = shelf.get(&name) {
+        let mut statements = self.statements.borrow_mut();
+        if let Some(prepared) = statements.get(&name) {
             return Rc::clone(prepared);
         }
-        if shelf.len() >= SHELF {
-            shelf.retain(|_, prepared| Rc::strong_count(prepared) > 1);
+        if statements.len() >= MAX_CACHED {
+            statements.retain(|_, prepared| Rc::strong_count(prepared) > 1);
         }
         let prepared = Rc::new(Prepared::new(name.clone(), rest, text));
-        shelf.insert(name, Rc::clone(&prepared));
+        statements.insert(name, Rc::clone(&prepared));
         prepared
     }
 }
@@ -87,13 +87,13 @@
 
 fn digest(rest: &[u8]) -> Box<str> {
     let mut name = String::from(NAME_PREFIX);
-    for byte in &Sha256::digest(rest)[..DIGEST] {
+    for byte in &Sha256::digest(rest)[..DIGEST_BYTES] {
         let _ = write!(name, "{byte:02x}");
     }
     name.into()
 }
 
-/// One caller's statements by its own names.
+/// One caller's statements, by the names that it gave them.
 #[derive(Debug, Default)]
 pub struct Names {
     names: HashMap<Box<str>, Rc<Prepared>>,
@@ -101,15 +101,15 @@
 }
 
 impl Names {
-    /// What a name stands for.
+    /// The statement with this name.
     pub fn get(&self, name: &str) -> Option<&Rc<Prepared>> {
         self.names.get(name)
     }
 
-    /// Lets a name stand for a statement; false if the caller keeps too much already.
+    /// Stores a statement under a name; false if that would exceed the caller's limits.
     pub fn insert(&mut self, name: Box<str>, prepared: Rc<Prepared>) -> bool {
         self.remove(&name);
-        if self.names.len() >= NAMES || self.bytes + prepared.parse.len() > BYTES {
+        if self.names.len() >= MAX_NAMES || self.bytes + prepared.parse.len() > MAX_BYTES {
             return false;
         }
         self.bytes += prepared.parse.len();
@@ -117,7 +117,7 @@
         true
     }
 
-    /// Forgets a name.
+    /// Removes a name.
     pub fn remove(&mut self, name: &str) {
         if let Some(prepared) = self.names.remove(name) {
             self.bytes -= prepared.parse.len();
--- a/src/net/pg/reply.rs
+++ b/src/net/pg/reply.rs
@@ -1,4 +1,4 @@
-//! Messages that the proxy answers by itself.
+//! Answers that the proxy makes itself.
 
 use super::fault::Fault;
 use super::settings::Settings;
@@ -52,7 +52,7 @@
     out.freeze()
 }
 
-/// The description of such a statement's portal.
+/// The description of a portal of such a statement.
 pub fn describe_portal(script: &Script) -> Bytes {
     match script.statements.last() {
         Some(Statement::Show(setting)) => encode(&columns(*setting)),
@@ -75,7 +75,7 @@
     Ok(out.freeze())
 }
 
-/// The answer to the execution of such statements by the extended protocol.
+/// The answer to an Execute of such statements in the extended protocol.
 pub fn execute(statements: &[Statement], settings: &mut Settings) -> Result<Bytes, Fault> {
     let mut out = BytesMut::new();
     for statement in statements {
@@ -104,7 +104,7 @@
     Ok(())
 }
 
-/// The answer to the rollback of a transaction that is gone already, in place of a database's.
+/// The answer to the rollback of a transaction that no longer exists in any database.
 pub fn rolled_back(steps: &[Step]) -> Bytes {
     let mut out = BytesMut::new();
     for step in steps {
--- a/src/net/pg/settings.rs
+++ b/src/net/pg/settings.rs
@@ -9,24 +9,25 @@
 use std::rc::Rc;
 use std::str::FromStr;
 
-/// What a caller has set, and what it was shown.
+/// A caller's settings, and the session tokens exchanged with it.
 #[derive(Debug, Default)]
 pub struct Settings {
     /// The session whose writes its reads must see.
     pub session: Option<SessionId>,
-    /// The age that it accepts; zero asks for its session's own floor, whatever the pool says.
+    /// The maximum age of data that it accepts; zero requires its session's floor, regardless of the
+    /// pool's setting.
     pub max_age: Option<Span>,
-    /// The key of its writes.
+    /// The request key of its writes.
     pub request: Option<RequestKey>,
-    /// The floors that it showed.
-    shown: Token,
-    /// The floors that it was shown.
+    /// The floors in the token that the caller sent.
+    presented: Token,
+    /// The floors in the last token sent to the caller.
     issued: Token,
     key: Option<Rc<Key>>,
 }
 
 impl Settings {
-    /// Nothing set, with the key under which tokens are signed, if there is one.
+    /// Default settings, with the key that signs tokens, if there is one.
     pub fn new(key: Option<Rc<Key>>) -> Self {
         Self {
             key,
@@ -34,14 +35,14 @@
         }
     }
 
-    /// Sets a setting, or takes it back.
+    /// Sets a setting, or resets it if `value` is `None` or empty.
     pub fn set(&mut self, setting: Setting, value: Option<&str>) -> Result<(), Fault> {
         let value = value.filter(|value| !value.is_empty());
         match setting {
             Setting::Session => self.session = parse(setting, value)?,
             Setting::MaxAge => self.max_age = parse(setting, value)?,
             Setting::Request => self.request = parse(setting, value)?,
-            Setting::Token => self.shown = self.verify(value)?,
+            Setting::Token => self.presented = self.verify(value)?,
         }
         Ok(())
     }
@@ -67,19 +68,19 @@
         }
     }
 
-    /// The floor that the caller showed for a group.
-    pub fn shown(&self, group: &GroupId) -> Option<Position> {
-        self.shown.floor(group)
+    /// The floor for a group in the token that the caller sent.
+    pub fn token_floor(&self, group: &GroupId) -> Option<Position> {
+        self.presented.floor(group)
     }
 
-    /// A write of the session was lost and the caller has been told: what it showed counts no
-    /// more, or each of its reads would be refused again.
-    pub fn forget(&mut self) {
-        self.shown = Token::default();
+    /// Clears both tokens, after the caller was informed that a write of the session was lost.
+    /// Otherwise each of its reads would be refused again.
+    pub fn clear_tokens(&mut self) {
+        self.presented = Token::default();
         self.issued = Token::default();
     }
 
-    /// The token to show after a write that raised the floor of `group`, if tokens are signed.
+    /// The token to send after a write that raised the floor of `group`; `None` without a key.
     pub fn issue(&mut self, group: &GroupId, floor: Position) -> Option<String> {
         self.issued.raise(group, floor);
         self.sign()
--- a/src/net/pg/startup.rs
+++ b/src/net/pg/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a caller's connection: who it is and what it wants.
+//! The startup messages of a caller's connection.
 
 use super::fault::Fault;
 use super::settings::Settings;
@@ -20,16 +20,16 @@
 
 /// A message that a connection can start with.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Opening {
-    /// The caller asks for encryption; it is answered `N` and goes on without.
+pub enum Packet {
+    /// The caller asks for encryption; the answer is `N`, and the connection stays unencrypted.
     Encryption,
-    /// The caller asks to cancel what another connection runs.
+    /// The caller asks to cancel another connection's request.
     Cancel(Cancel),
     /// The caller logs in.
     Login(Box<Login>),
 }
 
-/// Which connection's request to cancel.
+/// The key that identifies the connection whose request is cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Cancel {
     /// The number that the connection was given.
@@ -38,7 +38,7 @@
     pub secret: u32,
 }
 
-/// Who logs in.
+/// The fields of a login.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Login {
     /// The user name.
@@ -47,14 +47,14 @@
     pub group: GroupId,
     /// Settings of the proxy, in the order given.
     pub settings: Vec<(Setting, Box<str>)>,
-    /// The protocol's minor version, if it is above the one spoken here.
+    /// The protocol's minor version; only 0 is supported.
     pub minor: u16,
-    /// Options of the protocol that are not known here.
+    /// Protocol options, none of which are supported.
     pub unknown: Vec<Box<str>>,
 }
 
-/// Takes the first message off `buffer`; `None` if it is not there whole yet.
-pub fn take(buffer: &mut BytesMut) -> Result<Option<Opening>, Fault> {
+/// Removes the first message from `buffer`; `None` if it has not arrived whole.
+pub fn take(buffer: &mut BytesMut) -> Result<Option<Packet>, Fault> {
     let Some(field) = buffer.first_chunk::<LENGTH_FIELD>() else {
         return Ok(None);
     };
@@ -69,12 +69,12 @@
     read(Fields(&message[LENGTH_FIELD..])).map(Some)
 }
 
-fn read(mut fields: Fields<'_>) -> Result<Opening, Fault> {
+fn read(mut fields: Fields<'_>) -> Result<Packet, Fault> {
     let code = fields.long()?;
     match code {
-        TLS | GSS => return Ok(Opening::Encryption),
+        TLS | GSS => return Ok(Packet::Encryption),
         CANCEL => {
-            return Ok(Opening::Cancel(Cancel {
+            return Ok(Packet::Cancel(Cancel {
                 process: fields.long()?,
                 secret: fields.long()?,
             }));
@@ -85,7 +85,7 @@
     if major != MAJOR {
         return Err(Fault::Protocol { major, minor });
     }
-    login(fields, minor).map(|login| Opening::Login(Box::new(login)))
+    login(fields, minor).map(|login| Packet::Login(Box::new(login)))
 }
 
 fn login(mut fields: Fields<'_>, minor: u16) -> Result<Login, Fault> {
@@ -113,17 +113,17 @@
         }
     }
     let user = user.ok_or_else(|| Fault::Startup("no user name: give one".into()))?;
-    let named = |error: crate::types::Invalid| Fault::Startup(error.to_string().into());
+    let invalid_name = |error: crate::types::Invalid| Fault::Startup(error.to_string().into());
     Ok(Login {
-        caller: user.parse().map_err(named)?,
-        group: database.unwrap_or(user).parse().map_err(named)?,
+        caller: user.parse().map_err(invalid_name)?,
+        group: database.unwrap_or(user).parse().map_err(invalid_name)?,
         settings,
         minor,
         unknown,
     })
 }
 
-/// A setting given at start: one of the proxy's, or one that every connection has anyway.
+/// Reads a setting given at startup; `None` if it is one that every connection already has.
 fn setting(name: &str, value: &str) -> Result<Option<(Setting, Box<str>)>, Fault> {
     if let Ok(setting) = name.parse() {
         return Ok(Some((setting, value.into())));
@@ -138,8 +138,8 @@
     }
 }
 
-/// The pairs of an `options` string: `-c NAME=VALUE`, `-cNAME=VALUE` or `--NAME=VALUE`, with a
-/// backslash in front of a blank that belongs to a value.
+/// Parses the pairs of an `options` string: `-c NAME=VALUE`, `-cNAME=VALUE` or `--NAME=VALUE`. A
+/// blank within a value is escaped by a backslash.
 fn options(text: &str) -> Result<Vec<(String, String)>, Fault> {
     let mut words = words(text).into_iter();
     let mut pairs = Vec::new();
@@ -172,8 +172,8 @@
     words
 }
 
-/// What every connection reports of itself. `standard_conforming_strings` and `client_encoding`
-/// tell the caller how its text is read.
+/// The parameters that every connection reports. `standard_conforming_strings` and
+/// `client_encoding` define how the caller's text is parsed.
 const PARAMETERS: [(&str, &str); 8] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -186,7 +186,7 @@
 ];
 
 /// Appends the answer to a login, without ReadyForQuery.
-pub fn welcome(out: &mut BytesMut, login: &Login, cancel: Cancel) {
+pub fn accept(out: &mut BytesMut, login: &Login, cancel: Cancel) {
     if login.minor > 0 || !login.unknown.is_empty() {
         let unknown = login.unknown.iter().map(|name| name.to_string()).collect();
         put(out, &NegotiateProtocolVersion::new(0, unknown));
@@ -205,7 +205,7 @@
     );
 }
 
-/// Applies the settings given at start.
+/// Applies the settings given at startup.
 pub fn apply(login: &Login, settings: &mut Settings) -> Result<(), Fault> {
     for (setting, value) in &login.settings {
         settings.set(*setting, Some(value))?;
