--- a/src/net/target.rs
+++ b/src/net/target.rs
@@ -1,10 +1,10 @@
-//! The databases' side: connections for callers' work, and connections for orders about terms.
+//! Connections to databases: work connections for callers' work, control connections for orders
+//! about terms.
 //!
-//! A work connection runs one batch at a time and hands back its whole answer. If anything on
-//! it is not accounted for, it is closed: failure, an answer that comes late would reach another
-//! caller; enough, because a connection that was closed is never read again, and one that stays
-//! open has answered exactly what it was asked. A connection that falls silent is closed by the
-//! core, which keeps the deadlines of callers' work.
+//! A work connection runs one batch at a time and returns its whole answer. After any unexpected
+//! message it is closed and never read again; otherwise a late answer could reach another caller.
+//! A connection that stays open has answered exactly the requests that were sent. The core keeps
+//! the deadlines of callers' work, and closes a connection that does not answer.
 
 mod conn;
 mod control;
@@ -31,39 +31,40 @@
     source: IpAddr,
     events: UnboundedSender<Event>,
     conns: Rc<RefCell<HashMap<ConnId, Conn>>>,
-    lanes: RefCell<HashMap<Lane, UnboundedSender<control::Request>>>,
+    channels: RefCell<HashMap<Channel, UnboundedSender<control::Request>>>,
 }
 
-/// A work connection, as commands reach it. Dropping it closes the connection.
+/// The handle of a work connection. Dropping it closes the connection.
 #[derive(Debug)]
 struct Conn {
     runs: UnboundedSender<Run>,
     address: SocketAddr,
-    /// What a cancel request has to show, once the database has told.
+    /// The key for cancel requests, once the database has sent it.
     key: Rc<Cell<Option<Key>>>,
 }
 
-/// A control connection. Orders that wait have one of their own, so as not to hold up probes.
+/// Identifies a control connection. Orders that wait for a position use a separate connection, so
+/// that they don't delay probes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Lane {
+struct Channel {
     database: DatabaseId,
     address: SocketAddr,
     waits: bool,
 }
 
 impl Targets {
-    /// No connections yet. They will come from the address `source`, and tell `events` what
-    /// happens.
+    /// Starts without connections. They use the local address `source`, and send their events to
+    /// `events`.
     pub fn new(source: IpAddr, events: UnboundedSender<Event>) -> Self {
         Self {
             source,
             events,
             conns: Rc::default(),
-            lanes: RefCell::default(),
+            channels: RefCell::default(),
         }
     }
 
-    /// Carries out a command; what comes of it is told as an event. A `Close` is not answered.
+    /// Executes a command; its result is sent as an event. A `Close` has none.
     pub fn command(&self, command: Command) {
         match command {
             Command::Connect {
@@ -94,7 +95,7 @@
             key: Rc::clone(&key),
         };
         self.conns.borrow_mut().insert(id, conn);
-        let end = wire::End {
+        let endpoints = wire::Endpoints {
             source: self.source,
             address,
             database: database.clone(),
@@ -102,7 +103,7 @@
         let events = self.events.clone();
         let conns = Rc::clone(&self.conns);
         actix_rt::spawn(async move {
-            let event = conn::serve(id, end, key, receiver, &events).await;
+            let event = conn::serve(id, endpoints, key, receiver, &events).await;
             if let Some(event) = event {
                 conns.borrow_mut().remove(&id);
                 let _ = events.send(event);
@@ -132,13 +133,13 @@
 
     fn control(&self, id: RequestId, database: DatabaseId, address: SocketAddr, order: Order) {
         let request = control::Request::new(id, order);
-        let lane = Lane {
+        let channel = Channel {
             database,
             address,
             waits: matches!(order, Order::Reach(_)),
         };
-        let mut lanes = self.lanes.borrow_mut();
-        let request = match lanes.get(&lane) {
+        let mut channels = self.channels.borrow_mut();
+        let request = match channels.get(&channel) {
             Some(orders) => match orders.send(request) {
                 Ok(()) => return,
                 Err(refused) => refused.0,
@@ -147,13 +148,13 @@
         };
         let (orders, receiver) = unbounded_channel();
         let _ = orders.send(request);
-        let end = wire::End {
+        let endpoints = wire::Endpoints {
             source: self.source,
             address,
-            database: lane.database.clone(),
+            database: channel.database.clone(),
         };
-        actix_rt::spawn(control::serve(end, receiver, self.events.clone()));
-        lanes.retain(|_, orders| !orders.is_closed());
-        lanes.insert(lane, orders);
+        actix_rt::spawn(control::serve(endpoints, receiver, self.events.clone()));
+        channels.retain(|_, orders| !orders.is_closed());
+        channels.insert(channel, orders);
     }
 }
--- a/src/net/target/conn.rs
+++ b/src/net/target/conn.rs
@@ -1,8 +1,8 @@
-//! One connection for callers' work.
+//! A work connection to a database.
 
 use super::names::Names;
 use super::rewrite::{Rewritten, rewrite};
-use super::wire::{Answer, Broken, End, Key, Wire, full, query};
+use super::wire::{Answer, Broken, Endpoints, Key, Wire, is_full, query};
 use super::{keyed, wire};
 use crate::core::database::{Event, Refusal, Reply, Run};
 use crate::core::request::Status;
@@ -17,55 +17,55 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 
-/// An open connection and what it holds.
+/// An open connection and its state in the database.
 #[derive(Debug)]
 pub(super) struct Session {
     pub wire: Wire,
     names: Names,
-    /// The term declared last.
+    /// The term that was declared last.
     declared: Option<Term>,
     pub status: Status,
     pub applied: Position,
 }
 
-/// What came of a batch.
+/// The result of running a batch.
 #[derive(Debug)]
-pub(super) enum Ran {
-    /// It was answered.
-    Answered(Ended),
+pub(super) enum Execution {
+    /// The database answered it.
+    Answered(Response),
     /// It was refused before any of it was run.
     Refused(Refusal),
 }
 
-/// A whole answer.
+/// The whole answer to a batch.
 #[derive(Debug)]
-pub(super) struct Ended {
+pub(super) struct Response {
     /// The messages for the caller.
     pub body: Bytes,
-    /// Whether there is an error among them.
+    /// Whether they contain an error.
     pub failed: bool,
-    /// The end of a write, if one was committed.
+    /// The log position at the end of the committed write, if there was one.
     pub wrote: Option<Position>,
 }
 
-/// Opens a connection and runs work on it until it ends. The event given back is the last one;
-/// there is none if the core closed the connection.
+/// Opens a connection and runs work on it until it ends. Returns the connection's last event, or
+/// `None` if the core closed the connection.
 pub(super) async fn serve(
     id: ConnId,
-    end: End,
+    endpoints: Endpoints,
     key: Rc<Cell<Option<Key>>>,
     mut runs: UnboundedReceiver<Run>,
     events: &UnboundedSender<Event>,
 ) -> Option<Event> {
     let opened = tokio::select! {
-        opened = Wire::open(&end, dialect::WORK_USER) => opened,
+        opened = Wire::open(&endpoints, dialect::WORK_USER) => opened,
         () = closed(&mut runs) => return None,
     };
     let wire = match opened {
         Ok(wire) => wire,
         Err(error) => {
-            let full = full(&error);
-            log::info!(database:% = end.database, error:%; "could not open a connection");
+            let full = is_full(&error);
+            log::info!(database:% = endpoints.database, error:%; "could not open a connection");
             return Some(Event::ConnectFailed { conn: id, full });
         }
     };
@@ -81,13 +81,14 @@
     match session.work(id, &mut runs, events).await {
         Ok(()) => None,
         Err(error) => {
-            log::info!(database:% = end.database, error:%; "closing a connection");
+            log::info!(database:% = endpoints.database, error:%; "closing a connection");
             Some(Event::Closed { conn: id })
         }
     }
 }
 
-/// Waits until the core has closed the connection. It sends no work to one that is not open.
+/// Waits until the core closes a connection that is still being opened. The core sends no work
+/// to it before `Connected`.
 async fn closed(runs: &mut UnboundedReceiver<Run>) {
     while runs.recv().await.is_some() {}
 }
@@ -101,11 +102,11 @@
         events: &UnboundedSender<Event>,
     ) -> Result<(), Broken> {
         loop {
-            self.wire.rest();
+            self.wire.release_buffers();
             let run = tokio::select! {
                 biased;
                 frame = self.wire.frame() => {
-                    aside(frame?.kind())?;
+                    check_unsolicited(frame?.kind())?;
                     continue;
                 }
                 run = runs.recv() => run,
@@ -125,27 +126,27 @@
         }
     }
 
-    fn event(&self, conn: ConnId, request: RequestId, ran: Ran) -> Event {
+    fn event(&self, conn: ConnId, request: RequestId, ran: Execution) -> Event {
         match ran {
-            Ran::Refused(refusal) => Event::Refused {
+            Execution::Refused(refusal) => Event::Refused {
                 conn,
                 request,
                 refusal,
             },
-            Ran::Answered(ended) => Event::Answered {
+            Execution::Answered(response) => Event::Answered {
                 conn,
                 reply: Reply {
                     request,
-                    body: ended.body,
+                    body: response.body,
                     status: self.status,
                     applied: self.applied,
-                    wrote: ended.wrote,
+                    wrote: response.wrote,
                 },
             },
         }
     }
 
-    async fn run(&mut self, run: Run) -> Result<Ran, Broken> {
+    async fn run(&mut self, run: Run) -> Result<Execution, Broken> {
         let mut out = BytesMut::new();
         let declares = run.term != self.declared;
         if declares {
@@ -155,44 +156,48 @@
         match run.key {
             Some(key) if self.status == Status::Idle => {
                 let work = keyed::Work::new(&run.caller, &key, &run.body);
-                work.open(&mut out);
+                work.begin(&mut out);
                 out.extend_from_slice(&rewritten.body);
                 self.wire.send(&out);
-                self.declared(declares, run.term).await?;
+                self.receive_declaration(declares, run.term).await?;
                 work.run(self, &rewritten).await
             }
             _ => {
                 out.extend_from_slice(&rewritten.body);
                 self.wire.send(&out);
-                self.declared(declares, run.term).await?;
+                self.receive_declaration(declares, run.term).await?;
                 self.receive(&rewritten).await
             }
         }
     }
 
     /// Receives the answer to the declaration of a term, if one was sent.
-    async fn declared(&mut self, declares: bool, term: Option<Term>) -> Result<(), Broken> {
+    async fn receive_declaration(
+        &mut self,
+        declares: bool,
+        term: Option<Term>,
+    ) -> Result<(), Broken> {
         if !declares {
             return Ok(());
         }
         let answer = self.wire.answer().await?;
-        own(&answer)?;
+        check_internal(&answer)?;
         self.declared = term;
         Ok(())
     }
 
     /// Receives the answer to a batch.
-    pub(super) async fn receive(&mut self, rewritten: &Rewritten) -> Result<Ran, Broken> {
-        let answer = self.take().await?;
-        if !self.wire.clear() {
+    pub(super) async fn receive(&mut self, rewritten: &Rewritten) -> Result<Execution, Broken> {
+        let answer = self.receive_answer().await?;
+        if !self.wire.is_drained() {
             return Err(Malformed::Order.into());
         }
-        self.remember(rewritten, &answer);
+        self.record_prepared(rewritten, &answer);
         if let Some(refusal) = self.refusal(&answer)? {
             if self.status != Status::Idle {
-                self.own("ROLLBACK").await?;
+                self.run_internal("ROLLBACK").await?;
             }
-            return Ok(Ran::Refused(refusal));
+            return Ok(Execution::Refused(refusal));
         }
         let (body, failed) = if answer.cut {
             (encode(&too_long()), true)
@@ -200,23 +205,23 @@
             let body = splice(&rewritten.steps, &answer.frames)?;
             (body, answer.error()?.is_some())
         };
-        Ok(Ran::Answered(Ended {
+        Ok(Execution::Answered(Response {
             body,
             failed,
             wrote: answer.wrote,
         }))
     }
 
-    /// Receives an answer and notes what it says of the connection.
-    pub(super) async fn take(&mut self) -> Result<Answer, Broken> {
+    /// Receives an answer and updates the connection's state from it.
+    pub(super) async fn receive_answer(&mut self) -> Result<Answer, Broken> {
         let answer = self.wire.answer().await?;
         self.status = answer.status.unwrap_or(Status::Idle);
         self.applied = answer.applied.unwrap_or(self.applied);
         Ok(answer)
     }
 
-    /// The statements that the answer confirms are held from now on.
-    fn remember(&mut self, rewritten: &Rewritten, answer: &Answer) {
+    /// Records the statements that the answer confirms as prepared.
+    fn record_prepared(&mut self, rewritten: &Rewritten, answer: &Answer) {
         let complete = answer
             .frames
             .iter()
@@ -229,10 +234,11 @@
         }
     }
 
-    /// The refusal that the answer is, if nothing was run.
+    /// The refusal in the answer, if nothing was run.
     ///
-    /// A read-only refusal in a transaction is an answer like any other: the transaction was
-    /// opened to read only. After a completed statement it is too, because that one may stay.
+    /// A read-only refusal inside a transaction is passed on as an ordinary answer, because the
+    /// transaction was opened read-only. So is one after a completed statement, because that
+    /// statement may have been committed.
     fn refusal(&self, answer: &Answer) -> Result<Option<Refusal>, Malformed> {
         let Some(error) = answer.error()? else {
             return Ok(None);
@@ -251,37 +257,38 @@
         })
     }
 
-    /// Runs a statement of the proxy's own, after which no transaction may be open.
-    pub(super) async fn own(&mut self, text: &str) -> Result<Answer, Broken> {
+    /// Runs a statement of the proxy itself. No transaction may be open after it.
+    pub(super) async fn run_internal(&mut self, text: &str) -> Result<Answer, Broken> {
         let mut out = BytesMut::new();
         query(&mut out, text);
         self.wire.send(&out);
-        let answer = self.take().await?;
-        own(&answer)?;
-        if self.status != Status::Idle || !self.wire.clear() {
+        let answer = self.receive_answer().await?;
+        check_internal(&answer)?;
+        if self.status != Status::Idle || !self.wire.is_drained() {
             return Err(Malformed::Order.into());
         }
         Ok(answer)
     }
 }
 
-/// Checks the answer to a statement of the proxy's own.
-fn own(answer: &Answer) -> Result<(), Broken> {
+/// Checks the answer to a statement of the proxy itself.
+fn check_internal(answer: &Answer) -> Result<(), Broken> {
     match answer.error()? {
-        Some(error) => Err(Broken::Own(error.code)),
+        Some(error) => Err(Broken::Internal(error.code)),
         None => Ok(()),
     }
 }
 
-/// Checks a message that came while nothing was asked.
-fn aside(byte: u8) -> Result<(), wire::Broken> {
+/// Checks the type of a message that arrived while no request was in flight.
+fn check_unsolicited(byte: u8) -> Result<(), wire::Broken> {
     match byte {
         kind::PARAMETER | kind::NOTICE | kind::NOTIFICATION => Ok(()),
         _ => Err(Malformed::Order.into()),
     }
 }
 
-/// Stands for an answer that was too long to keep. The connection has read it to the end.
+/// The error that replaces an answer above the size limit. The connection has read the answer to
+/// its end.
 fn too_long() -> ErrorResponse {
     let message = "the answer is longer than 16 MiB, and was dropped: fetch it in parts";
     let mut info = ErrorInfo::new("ERROR".into(), "54000".into(), message.into());
--- a/src/net/target/control.rs
+++ b/src/net/target/control.rs
@@ -1,10 +1,10 @@
-//! Connections for orders about terms.
+//! Control connections, which carry orders about terms.
 //!
-//! Orders are sent as they come, without waiting for earlier answers, and answered in order. An
-//! order that is not answered by its deadline fails, and so do all behind it, because the
-//! connection may have gone silent for good; the next order opens a new one.
+//! Orders are pipelined and answered in order. An order that is not answered by its deadline
+//! fails, and so do all orders queued behind it, because the connection may never answer again;
+//! the next order opens a new connection.
 
-use super::wire::{Answer, Broken, End, Wire, query};
+use super::wire::{Answer, Broken, Endpoints, Wire, query};
 use crate::core::database::{Event, Order, Refusal, State};
 use crate::net::dialect::{self, Statement};
 use crate::net::frame::{Malformed, kind};
@@ -15,13 +15,13 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::time::Instant;
 
-/// How long an order may take, its connection included. Well below the time after which a
-/// primary is suspected (1 s), so that a connection gone silent is replaced before.
-const ORDER_LIMIT: Duration = Duration::from_millis(400);
-/// How long an order to wait for a position may take. Databases tire before.
-const WAIT_LIMIT: Duration = Duration::from_secs(10);
+/// How long an order may take, including the connect. It is well below the time after which a
+/// primary is suspected (1 s), so that an unresponsive connection is replaced before that.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long an order to wait for a position may take. Databases stop waiting earlier.
+const REACH_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a connection is kept without an order.
-const IDLE_LIMIT: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// An order and its deadline.
 #[derive(Debug)]
@@ -32,11 +32,11 @@
 }
 
 impl Request {
-    /// An order that is given now.
+    /// An order whose deadline counts from now.
     pub fn new(id: RequestId, order: Order) -> Self {
         let limit = match order {
-            Order::Reach(_) => WAIT_LIMIT,
-            _ => ORDER_LIMIT,
+            Order::Reach(_) => REACH_TIMEOUT,
+            _ => ORDER_TIMEOUT,
         };
         Self {
             id,
@@ -46,41 +46,41 @@
     }
 }
 
-/// Carries out orders until none has come for a while.
+/// Sends orders until none has arrived for [`IDLE_TIMEOUT`].
 pub(super) async fn serve(
-    end: End,
+    endpoints: Endpoints,
     mut orders: UnboundedReceiver<Request>,
     events: UnboundedSender<Event>,
 ) {
-    while let Ok(Some(first)) = tokio::time::timeout(IDLE_LIMIT, orders.recv()).await {
+    while let Ok(Some(first)) = tokio::time::timeout(IDLE_TIMEOUT, orders.recv()).await {
         let mut pending = VecDeque::from([first]);
-        if let Err(error) = connected(&end, &mut orders, &mut pending, &events).await {
-            log::info!(database:% = end.database, error:%; "a control connection failed");
+        if let Err(error) = run_connection(&endpoints, &mut orders, &mut pending, &events).await {
+            log::info!(database:% = endpoints.database, error:%; "a control connection failed");
         }
         for request in pending {
-            tell(&events, request.id, None);
+            report(&events, request.id, None);
         }
     }
-    // Orders that came while the lane gave up are answered, not lost.
+    // Orders that arrived while the task was ending are answered as failed.
     orders.close();
     while let Some(request) = orders.recv().await {
-        tell(&events, request.id, None);
+        report(&events, request.id, None);
     }
 }
 
-fn tell(events: &UnboundedSender<Event>, id: RequestId, result: Option<Result<State, Refusal>>) {
+fn report(events: &UnboundedSender<Event>, id: RequestId, result: Option<Result<State, Refusal>>) {
     let _ = events.send(Event::Controlled { id, result });
 }
 
-/// Opens a connection, sends the orders that are pending and those that come, and hears the
-/// answers, until the connection fails or has been idle for long.
-async fn connected(
-    end: &End,
+/// Opens a connection, sends pending and new orders and receives their answers, until the
+/// connection fails or has been idle for [`IDLE_TIMEOUT`].
+async fn run_connection(
+    endpoints: &Endpoints,
     orders: &mut UnboundedReceiver<Request>,
     pending: &mut VecDeque<Request>,
     events: &UnboundedSender<Event>,
 ) -> Result<(), Broken> {
-    let opening = Wire::open(end, dialect::CONTROL_USER);
+    let opening = Wire::open(endpoints, dialect::CONTROL_USER);
     let mut wire = tokio::time::timeout_at(deadline(pending), opening).await??;
     for request in pending.iter() {
         wire.send(&text(request));
@@ -103,22 +103,22 @@
                 let answer = std::mem::take(&mut answer);
                 let result = result(&answer)?;
                 let request = pending.pop_front().ok_or(Malformed::Order)?;
-                tell(events, request.id, result);
+                report(events, request.id, result);
             }
             () = tokio::time::sleep_until(deadline(pending)) => {
                 if pending.is_empty() {
                     return Ok(());
                 }
-                return Err(Broken::Late);
+                return Err(Broken::Timeout);
             }
         }
     }
 }
 
-/// When the connection is given up: with the first order pending, or for being idle.
+/// When the connection is abandoned: at the deadline of the first pending order, or when idle.
 fn deadline(pending: &VecDeque<Request>) -> Instant {
     let first = pending.front().map(|request| request.deadline);
-    first.unwrap_or_else(|| Instant::now() + IDLE_LIMIT)
+    first.unwrap_or_else(|| Instant::now() + IDLE_TIMEOUT)
 }
 
 fn text(request: &Request) -> BytesMut {
@@ -127,7 +127,7 @@
     out
 }
 
-/// What a database said to an order; `None` if it failed in a way that says nothing of terms.
+/// The database's answer to an order; `None` for an error that is not a [`Refusal`].
 fn result(answer: &Answer) -> Result<Option<Result<State, Refusal>>, Broken> {
     if let Some(error) = answer.error()? {
         let refusal = dialect::decode_refusal(&error.code, error.detail.as_deref());
--- a/src/net/target/keyed.rs
+++ b/src/net/target/keyed.rs
@@ -1,15 +1,15 @@
-//! Work under a request key: run at most once, and answered again as the first time.
+//! Work under a request key: it is run at most once, and a retry gets the stored first answer.
 //!
-//! The key is inserted in the same transaction as the work, ahead of it, so that a second run
-//! meets the first one's row or waits for its end; the answer is stored before the commit. Where
-//! the row exists, the work is skipped by the database itself, because the transaction has
-//! failed by then. This costs one round trip more than the work alone.
+//! The key is inserted before the work, in the same transaction, so that a second run finds the
+//! first one's row or waits for its transaction to end. The answer is stored before the commit. If
+//! the row exists, the insert fails the transaction and the database skips the work. This costs
+//! one round trip more than the work alone.
 //!
-//! The row holds a fingerprint of the work. Failure: a caller forgets to change its key. Symptom:
-//! another booking is answered with the first one's result, and never made. Enough, because work
-//! with another fingerprint is answered with an error.
+//! The row holds a fingerprint of the work, and other work under the same key is answered with an
+//! error. Otherwise a caller that forgot to change its key would receive the first booking's
+//! result for another booking, which would never be made.
 
-use super::conn::{Ended, Ran, Session};
+use super::conn::{Execution, Response, Session};
 use super::rewrite::Rewritten;
 use super::wire::{Answer, Broken, query};
 use crate::core::database::Refusal;
@@ -24,7 +24,7 @@
 use pgwire::messages::response::ErrorResponse;
 use sha2::{Digest, Sha256};
 
-/// The longest answer that is stored, in bytes. A booking's answer is a few dozen.
+/// The longest answer that is stored, in bytes. A booking's answer is a few dozen bytes long.
 const STORED_LIMIT: usize = 64 * 1024;
 
 /// Work under a key.
@@ -35,7 +35,7 @@
 }
 
 impl Work {
-    /// The work of these messages.
+    /// The work that the messages in `body` run.
     pub fn new(caller: &CallerId, key: &RequestKey, body: &Bytes) -> Self {
         Self {
             caller: caller.clone(),
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Appends what comes ahead of the work. Names and base64 hold no quotes.
-    pub fn open(&self, out: &mut BytesMut) {
+    /// Appends the query that is sent before the work. Names and base64 contain no quotes.
+    pub fn begin(&self, out: &mut BytesMut) {
         let Self {
             caller,
             key,
@@ -68,63 +68,67 @@
     }
 
     /// Receives the answers to what was sent, and ends the transaction.
-    pub async fn run(&self, session: &mut Session, rewritten: &Rewritten) -> Result<Ran, Broken> {
-        let inserted = session.take().await?;
+    pub async fn run(
+        &self,
+        session: &mut Session,
+        rewritten: &Rewritten,
+    ) -> Result<Execution, Broken> {
+        let inserted = session.receive_answer().await?;
         if let Some(error) = inserted.error()? {
-            let skipped = session.take().await?;
+            let skipped = session.receive_answer().await?;
             if skipped.error()?.is_none() {
                 return Err(Malformed::Order.into());
             }
-            session.own("ROLLBACK").await?;
+            session.run_internal("ROLLBACK").await?;
             return match dialect::decode_refusal(&error.code, error.detail.as_deref()) {
-                Some(refusal) => Ok(Ran::Refused(refusal)),
-                None if *error.code == *dialect::DUPLICATE_KEY => self.first(session).await,
-                None => Err(Broken::Own(error.code)),
+                Some(refusal) => Ok(Execution::Refused(refusal)),
+                None if *error.code == *dialect::DUPLICATE_KEY => self.stored_answer(session).await,
+                None => Err(Broken::Internal(error.code)),
             };
         }
-        let ended = match session.receive(rewritten).await? {
-            Ran::Answered(ended) => ended,
-            refused @ Ran::Refused(_) => return Ok(refused),
+        let response = match session.receive(rewritten).await? {
+            Execution::Answered(response) => response,
+            refused @ Execution::Refused(_) => return Ok(refused),
         };
-        if ended.failed || session.status != Status::Open {
-            return Self::abandon(session, ended).await;
+        if response.failed || session.status != Status::Open {
+            return Self::roll_back(session, response).await;
         }
-        if ended.body.len() > STORED_LIMIT {
-            let ended = failed(&too_long());
-            return Self::abandon(session, ended).await;
+        if response.body.len() > STORED_LIMIT {
+            let response = failed(&too_long());
+            return Self::roll_back(session, response).await;
         }
-        self.commit(session, ended).await
+        self.commit(session, response).await
     }
 
-    /// Rolls back work that failed: its key is free again.
-    async fn abandon(session: &mut Session, ended: Ended) -> Result<Ran, Broken> {
+    /// Rolls back failed work, so that its key can be used again.
+    async fn roll_back(session: &mut Session, response: Response) -> Result<Execution, Broken> {
         if session.status != Status::Idle {
-            session.own("ROLLBACK").await?;
+            session.run_internal("ROLLBACK").await?;
         }
-        Ok(Ran::Answered(ended))
+        Ok(Execution::Answered(response))
     }
 
-    async fn commit(&self, session: &mut Session, ended: Ended) -> Result<Ran, Broken> {
-        let stored = STANDARD.encode(&ended.body);
+    async fn commit(&self, session: &mut Session, response: Response) -> Result<Execution, Broken> {
+        let stored = STANDARD.encode(&response.body);
         let row = self.row();
         let text =
             format!("UPDATE lentilspoke_requests SET answer = '{stored}' WHERE {row}; COMMIT");
         let mut out = BytesMut::new();
         query(&mut out, &text);
         session.wire.send(&out);
-        let answer = session.take().await?;
+        let answer = session.receive_answer().await?;
         let Some(error) = answer.error()? else {
-            return Ok(Ran::Answered(Ended {
+            return Ok(Execution::Answered(Response {
                 wrote: answer.wrote,
-                ..ended
+                ..response
             }));
         };
         if session.status != Status::Idle {
-            session.own("ROLLBACK").await?;
+            session.run_internal("ROLLBACK").await?;
         }
         match dialect::decode_refusal(&error.code, error.detail.as_deref()) {
-            Some(refusal) => Ok(Ran::Refused(refusal)),
-            None => Ok(Ran::Answered(Ended {
+            Some(refusal) => Ok(Execution::Refused(refusal)),
+            None => Ok(Execution::Answered(Response {
                 body: first_error(&answer),
                 failed: true,
                 wrote: None,
@@ -132,22 +136,22 @@
         }
     }
 
-    /// The result of the first run. It counts as a write up to the log's end as it is now, which
-    /// holds the first run's write.
-    async fn first(&self, session: &mut Session) -> Result<Ran, Broken> {
+    /// Returns the stored answer of the first run. Its reported write position is the log's current
+    /// end, which includes the first run's write.
+    async fn stored_answer(&self, session: &mut Session) -> Result<Execution, Broken> {
         let row = self.row();
         let text = format!("SELECT work, answer FROM lentilspoke_requests WHERE {row}");
-        let found = session.own(&text).await?;
+        let found = session.run_internal(&text).await?;
         let Some([work, answer]) = columns(&found)? else {
-            return Ok(Ran::Refused(Refusal::KeyBusy));
+            return Ok(Execution::Refused(Refusal::KeyBusy));
         };
         if work != self.fingerprint {
-            return Ok(Ran::Answered(failed(&other_work())));
+            return Ok(Execution::Answered(failed(&key_reused())));
         }
         let body = STANDARD.decode(answer).map_err(|_| Malformed::Field)?;
         let body = Bytes::from(body);
         split(body.clone())?;
-        Ok(Ran::Answered(Ended {
+        Ok(Execution::Answered(Response {
             body,
             failed: false,
             wrote: Some(session.applied),
@@ -163,7 +167,7 @@
     error.map(|frame| frame.bytes().clone()).unwrap_or_default()
 }
 
-/// The two columns of the one row of an answer, if there is a row.
+/// The two columns of the answer's row, if there is a row.
 fn columns(answer: &Answer) -> Result<Option<[String; 2]>, Malformed> {
     let row = answer
         .frames
@@ -183,15 +187,15 @@
     Ok(Some([column()?, column()?]))
 }
 
-fn failed(error: &ErrorResponse) -> Ended {
-    Ended {
+fn failed(error: &ErrorResponse) -> Response {
+    Response {
         body: encode(error),
         failed: true,
         wrote: None,
     }
 }
 
-fn other_work() -> ErrorResponse {
+fn key_reused() -> ErrorResponse {
     let message = "the request key was used for other work: SET lentilspoke.request to a new one";
     let mut info = ErrorInfo::new("ERROR".into(), "22023".into(), message.into());
     info.detail = Some("Nothing was run.".into());
--- a/src/net/target/names.rs
+++ b/src/net/target/names.rs
@@ -1,12 +1,12 @@
-//! The prepared statements that one connection to a database holds.
+//! The prepared statements of one connection to a database.
 
 use std::collections::HashMap;
 
-/// How many statements a connection may hold before the one unused longest is closed. A
-/// database holds a plan for each, some tens of kilobytes.
+/// The maximum number of prepared statements on a connection; above it the least recently used are
+/// closed. A database keeps a plan of some tens of kilobytes for each.
 pub const LIMIT: usize = 256;
 
-/// Names of prepared statements, with when each was used last.
+/// The names of prepared statements, in order of their last use.
 #[derive(Debug, Default)]
 pub struct Names {
     used: HashMap<Box<str>, u64>,
@@ -14,7 +14,7 @@
 }
 
 impl Names {
-    /// Whether the connection holds `name`, which then counts as used.
+    /// Whether `name` is prepared on the connection; if so, marks it as used now.
     pub fn touch(&mut self, name: &str) -> bool {
         self.clock += 1;
         let clock = self.clock;
@@ -22,13 +22,13 @@
         used.map(|used| *used = clock).is_some()
     }
 
-    /// The connection holds `name` from now on.
+    /// Adds `name` as prepared on the connection.
     pub fn insert(&mut self, name: Box<str>) {
         self.clock += 1;
         self.used.insert(name, self.clock);
     }
 
-    /// Takes out the names unused longest, so that there is room for `more`.
+    /// Removes and returns the least recently used names, to make room for `more` new ones.
     pub fn evict(&mut self, more: usize) -> Vec<Box<str>> {
         let mut evicted = Vec::new();
         while self.used.len() + more > LIMIT {
@@ -42,12 +42,12 @@
         evicted
     }
 
-    /// How many the connection holds.
+    /// The number of prepared statements.
     pub fn len(&self) -> usize {
         self.used.len()
     }
 
-    /// Whether it holds none.
+    /// Whether no statement is prepared.
     pub fn is_empty(&self) -> bool {
         self.used.is_empty()
     }
--- a/src/net/target/rewrite.rs
+++ b/src/net/target/rewrite.rs
@@ -1,4 +1,4 @@
-//! A batch as one connection needs it: what the connection holds is not prepared again.
+//! Adapts a batch to a connection: statements that it already holds are not prepared again.
 
 use super::names::Names;
 use crate::net::frame::{Frame, Malformed, encode, kind, put_raw, split};
@@ -7,19 +7,19 @@
 use pgwire::messages::extendedquery::ParseComplete;
 use std::collections::HashSet;
 
-/// A batch for one connection.
+/// A batch adapted to one connection.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Rewritten {
-    /// The messages.
+    /// The messages to send.
     pub body: Bytes,
     /// The parts of the answer.
     pub steps: Vec<Step>,
-    /// The names that the batch prepares, in order; empty for an unnamed statement.
+    /// The names of the statements that the batch prepares, in order; empty for an unnamed one.
     pub prepares: Vec<Box<str>>,
 }
 
-/// Rewrites a batch for a connection that holds `names`. The batch ends in its only Query or
-/// Sync, so that it has exactly one ReadyForQuery in its answer.
+/// Rewrites a batch for a connection that has `names` prepared. The batch must end in its only
+/// Query or Sync, so that its answer has exactly one ReadyForQuery.
 pub fn rewrite(body: &Bytes, names: &mut Names) -> Result<Rewritten, Malformed> {
     let frames = split(body.clone())?;
     let (last, rest) = frames.split_last().ok_or(Malformed::Order)?;
@@ -81,7 +81,8 @@
         self.steps.push(Step::Pass(expect));
     }
 
-    /// Ends the batch with a Sync, and puts in front what makes room for new statements.
+    /// Ends the batch with a Sync, and starts it with the Close messages that make room for new
+    /// statements.
     fn finish(self, names: &mut Names) -> Result<Rewritten, Malformed> {
         let named = self.prepares.iter().filter(|name| !name.is_empty()).count();
         let mut body = BytesMut::new();
--- a/src/net/target/wire.rs
+++ b/src/net/target/wire.rs
@@ -1,4 +1,4 @@
-//! One TCP connection to a database: login, messages, cancel.
+//! A TCP connection to a database: login, messages and cancel requests.
 
 use crate::core::request::Status;
 use crate::net::dialect::{self, Garbled, Mark};
@@ -15,62 +15,62 @@
 use tokio::time::timeout;
 
 /// How long a connection may take to open and log in. A new one takes about 10 ms.
-pub(super) const CONNECT_LIMIT: Duration = Duration::from_secs(2);
-/// The longest answer that is kept, in bytes.
+pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest answer that is kept, in bytes. Longer ones are read to their end but dropped.
 pub(super) const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
-const READ: usize = 8 * 1024;
+const READ_SIZE: usize = 8 * 1024;
 const AUTHENTICATED: u32 = 0;
 
-/// Both ends of a connection.
+/// The two ends of a connection.
 #[derive(Debug, Clone)]
-pub(super) struct End {
-    /// The address it comes from.
+pub(super) struct Endpoints {
+    /// The local address.
     pub source: IpAddr,
-    /// Where the database listens.
+    /// The address that the database listens at.
     pub address: SocketAddr,
-    /// The database.
+    /// The database's id.
     pub database: DatabaseId,
 }
 
-/// What a cancel request has to show.
+/// The key that a cancel request has to contain.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Key {
     process: u32,
     secret: u32,
 }
 
-/// Why a connection can't be used any more.
+/// Why a connection is no longer usable.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Broken {
-    /// The network's failure.
+    /// A network error.
     #[error("the connection broke: {0}")]
     Io(#[from] io::Error),
-    /// It was closed by the other side.
+    /// The database closed it.
     #[error("the database closed the connection")]
     Closed,
-    /// The bytes are no messages.
+    /// The received bytes are not valid messages.
     #[error("{0}")]
     Malformed(#[from] Malformed),
-    /// A position could not be read.
+    /// A position or state could not be parsed.
     #[error("{0}")]
     Garbled(#[from] Garbled),
-    /// It took too long.
+    /// A deadline passed.
     #[error("the database did not answer in time")]
-    Late,
+    Timeout,
     /// The login was refused.
     #[error("the database refused the login with SQLSTATE {0}: check its users and limits")]
     Login(Box<str>),
-    /// The database wants a password.
+    /// The database requires a password.
     #[error("the database wants a password: let the proxy's addresses log in without one")]
     Password,
-    /// A statement of the proxy's own failed.
+    /// A statement of the proxy itself failed.
     #[error("the database failed a statement of the proxy with SQLSTATE {0}")]
-    Own(Box<str>),
+    Internal(Box<str>),
 }
 
 impl From<tokio::time::error::Elapsed> for Broken {
     fn from(_: tokio::time::error::Elapsed) -> Self {
-        Self::Late
+        Self::Timeout
     }
 }
 
@@ -81,16 +81,16 @@
     pub frames: Vec<Frame>,
     /// Whether the answer was too long and `frames` holds only its start.
     pub cut: bool,
-    /// What ReadyForQuery said.
+    /// The transaction status from ReadyForQuery.
     pub status: Option<Status>,
-    /// How far the database had applied its log, if it said so.
+    /// How far the database had applied its log, if it reported that.
     pub applied: Option<Position>,
-    /// The end of the write that was committed.
+    /// The log position at the end of the committed write.
     pub wrote: Option<Position>,
     size: usize,
 }
 
-/// An error message's fields that matter here.
+/// The fields of an ErrorResponse that are used here.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(super) struct Error {
     /// The SQLSTATE.
@@ -123,14 +123,14 @@
         error.map(|frame| Error::read(frame.fields())).transpose()
     }
 
-    /// Takes in a message; true if it was ReadyForQuery.
+    /// Adds a message to the answer; true if it was ReadyForQuery.
     pub fn take(&mut self, frame: Frame) -> Result<bool, Broken> {
         match frame.kind() {
             kind::READY => {
                 self.status = Some(status(frame.fields().byte()?)?);
                 return Ok(true);
             }
-            kind::PARAMETER => self.mark(frame.fields())?,
+            kind::PARAMETER => self.record_position(frame.fields())?,
             kind::NOTIFICATION => {}
             _ => {
                 self.size += frame.bytes().len() + size_of::<Frame>();
@@ -143,7 +143,7 @@
         Ok(false)
     }
 
-    fn mark(&mut self, mut fields: Fields<'_>) -> Result<(), Broken> {
+    fn record_position(&mut self, mut fields: Fields<'_>) -> Result<(), Broken> {
         let name = fields.text()?;
         match Mark::read(name, fields.text()?)? {
             Some(Mark::Applied(position)) => self.applied = Some(position),
@@ -168,25 +168,25 @@
 pub(super) struct Wire {
     stream: TcpStream,
     buffer: BytesMut,
-    /// What is still to be sent.
+    /// Bytes still to be sent.
     outbox: BytesMut,
-    /// How much of a message that is too long is still to be dropped.
+    /// How many bytes of an oversized message are still to be dropped.
     skip: usize,
-    /// A message that was too long has been dropped.
+    /// Whether an oversized message was dropped since the last answer.
     dropped: bool,
-    /// What a cancel request has to show, if the database told.
+    /// The key for cancel requests, if the database sent one.
     pub key: Option<Key>,
 }
 
 impl Wire {
     /// Connects and logs in as `user`.
-    pub async fn open(end: &End, user: &str) -> Result<Self, Broken> {
-        timeout(CONNECT_LIMIT, Self::login(end, user)).await?
+    pub async fn open(endpoints: &Endpoints, user: &str) -> Result<Self, Broken> {
+        timeout(CONNECT_TIMEOUT, Self::login(endpoints, user)).await?
     }
 
-    async fn login(end: &End, user: &str) -> Result<Self, Broken> {
+    async fn login(endpoints: &Endpoints, user: &str) -> Result<Self, Broken> {
         let mut wire = Self {
-            stream: dial(end.source, end.address).await?,
+            stream: dial(endpoints.source, endpoints.address).await?,
             buffer: BytesMut::new(),
             outbox: BytesMut::new(),
             skip: 0,
@@ -196,7 +196,7 @@
         let mut startup = Startup::new();
         let parameters = [
             ("user", user),
-            ("database", end.database.as_str()),
+            ("database", endpoints.database.as_str()),
             ("application_name", "lentilspoke"),
             ("client_encoding", "UTF8"),
         ];
@@ -225,21 +225,21 @@
         }
     }
 
-    /// Sends bytes, as far as they go while messages are received.
+    /// Queues bytes; they are written while messages are received.
     ///
-    /// Failure: a long pipeline is sent whole before its answers are read. Symptom: both sides
-    /// wait for the other to read, for good. Enough, because nothing here writes without reading.
+    /// Writing a long pipeline before reading its answers would deadlock, with both sides waiting
+    /// for the other to read. So every write here runs together with a read.
     pub fn send(&mut self, bytes: &[u8]) {
         self.outbox.extend_from_slice(bytes);
     }
 
-    /// Receives the next message. Nothing is lost if the future is dropped.
+    /// Receives the next message. Cancel safe: no bytes are lost if the future is dropped.
     pub async fn frame(&mut self) -> Result<Frame, Broken> {
         loop {
             if let Some(frame) = self.take()? {
                 return Ok(frame);
             }
-            self.buffer.reserve(READ);
+            self.buffer.reserve(READ_SIZE);
             let (mut reader, mut writer) = self.stream.split();
             tokio::select! {
                 read = reader.read_buf(&mut self.buffer) => {
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Takes a message out of what has arrived. One that is too long is dropped as it arrives,
-    /// so that the connection stays in sync without the memory.
+    /// Removes a message from the received bytes. An oversized one is dropped while it arrives, so
+    /// that the connection stays in sync without buffering it.
     fn take(&mut self) -> Result<Option<Frame>, Broken> {
         let skipped = self.skip.min(self.buffer.len());
         self.buffer.advance(skipped);
@@ -284,21 +284,21 @@
         }
     }
 
-    /// Whether nothing is left over after an answer.
-    pub fn clear(&self) -> bool {
+    /// Whether both buffers are empty, as they must be after an answer.
+    pub fn is_drained(&self) -> bool {
         self.buffer.is_empty() && self.outbox.is_empty()
     }
 
-    /// Gives up memory while the connection is idle.
-    pub fn rest(&mut self) {
-        if self.clear() {
+    /// Frees the buffers if they are empty, to save memory while the connection is idle.
+    pub fn release_buffers(&mut self) {
+        if self.is_drained() {
             self.buffer = BytesMut::new();
             self.outbox = BytesMut::new();
         }
     }
 }
 
-/// A simple query.
+/// Appends a simple query.
 pub(super) fn query(out: &mut BytesMut, text: &str) {
     put_raw(out, kind::QUERY, &[text.as_bytes(), &[0]]);
 }
@@ -314,12 +314,12 @@
     Ok(stream)
 }
 
-/// Asks a database to cancel what a connection runs. Nothing is told of the result: the
-/// connection's own answer tells.
+/// Asks a database to cancel a connection's running statement. The result shows in that
+/// connection's own answer.
 pub(super) async fn cancel(source: IpAddr, address: SocketAddr, key: Key) {
     let secret = SecretKey::I32(key.secret.cast_signed());
     let request = encode(&CancelRequest::new(key.process.cast_signed(), secret));
-    let sent = timeout(CONNECT_LIMIT, async {
+    let sent = timeout(CONNECT_TIMEOUT, async {
         let mut stream = dial(source, address).await?;
         stream.write_all(&request).await?;
         stream.read_u8().await.map(|_| ())
@@ -329,7 +329,7 @@
     }
 }
 
-/// Whether a login was refused for want of connections.
-pub(super) fn full(broken: &Broken) -> bool {
+/// Whether a login was refused because the database's connection limit is reached.
+pub(super) fn is_full(broken: &Broken) -> bool {
     matches!(broken, Broken::Login(code) if **code == *dialect::FULL)
 }
