--- a/benches/wire.rs
+++ b/benches/wire.rs
@@ -6,7 +6,7 @@
 use lentilspoke::core::request::{Done, Outcome, Status};
 use lentilspoke::net::frame::{Frame, encode, kind, put, put_raw, split};
 use lentilspoke::net::pg::prepared::{Library, Names};
-use lentilspoke::net::pg::{Core, Pool, Rules, Told, serve};
+use lentilspoke::net::pg::{Core, Pool, Rules, Signal, serve};
 use lentilspoke::net::pg::{Session, Settings, build};
 use lentilspoke::net::splice::{Expect, Step, splice};
 use lentilspoke::net::target::{Names as Held, rewrite};
@@ -155,12 +155,12 @@
     put(&mut body, &DataRow::new(BytesMut::from(&[0; 64][..]), 2));
     body.extend_from_slice(&encode(&CommandComplete::new("SELECT 1".into())));
     let body = body.freeze();
-    let told = Rc::new(RefCell::new(None));
-    let teller = Rc::clone(&told);
+    let signals = Rc::new(RefCell::new(None));
+    let submitter = Rc::clone(&signals);
     Core {
         open: Box::new(move || {
             let (sender, receiver) = unbounded_channel();
-            told.replace(Some(sender));
+            signals.replace(Some(sender));
             (Link(1), receiver)
         }),
         submit: Box::new(move |_| {
@@ -170,8 +170,8 @@
                 wrote: None,
                 replica: true,
             });
-            if let Some(told) = teller.borrow().as_ref() {
-                let _ = told.send(Told::Outcome {
+            if let Some(signals) = submitter.borrow().as_ref() {
+                let _ = signals.send(Signal::Outcome {
                     outcome,
                     floor: None,
                 });
--- a/src/net/pg.rs
+++ b/src/net/pg.rs
@@ -52,7 +52,7 @@
 
 /// A message from the core to a caller's connection.
 #[derive(Debug)]
-pub enum Told {
+pub enum Signal {
     /// The request in flight has ended.
     Outcome {
         /// The outcome of the request.
@@ -67,7 +67,7 @@
 /// The operations of the core that callers' connections use.
 pub struct Core {
     /// Makes a new link, with the receiver of its messages.
-    pub open: Box<dyn Fn() -> (Link, UnboundedReceiver<Told>)>,
+    pub open: Box<dyn Fn() -> (Link, UnboundedReceiver<Signal>)>,
     /// Submits a request; its outcome is sent to the link.
     pub submit: Box<dyn Fn(Request)>,
     /// Reports that a link's connection has closed.
--- a/src/net/pg/caller.rs
+++ b/src/net/pg/caller.rs
@@ -7,7 +7,7 @@
 use super::prepared::Names;
 use super::settings::Settings;
 use super::startup::{self, Cancel, Login};
-use super::{READ_AHEAD, Slot, Told, reply};
+use super::{READ_AHEAD, Signal, Slot, reply};
 use crate::clock::Span;
 use crate::core::request::{Cause, Done, Kind, NotRun, Outcome, Request, Status};
 use crate::net::frame::{self, Frame, kind, put};
@@ -42,7 +42,7 @@
     out: BytesMut,
     login: Login,
     link: Link,
-    signals: UnboundedReceiver<Told>,
+    signals: UnboundedReceiver<Signal>,
     cancel: Cancel,
     session: Session,
     status: Status,
@@ -149,8 +149,8 @@
         self.slot.charge(self.inbox.len());
         tokio::select! {
             signal = self.signals.recv() => match signal {
-                Some(Told::Dismiss) => self.dismissed = true,
-                Some(Told::Outcome { .. }) => log::error!("an outcome without a request"),
+                Some(Signal::Dismiss) => self.dismissed = true,
+                Some(Signal::Outcome { .. }) => log::error!("an outcome without a request"),
                 None => return Err(End::Fault(Fault::Dismissed)),
             },
             readable = self.stream.readable() => {
@@ -307,8 +307,8 @@
             tokio::select! {
                 biased;
                 signal = self.signals.recv() => match signal {
-                    Some(Told::Outcome { outcome, floor }) => return Ok((outcome, floor)),
-                    Some(Told::Dismiss) => self.dismissed = true,
+                    Some(Signal::Outcome { outcome, floor }) => return Ok((outcome, floor)),
+                    Some(Signal::Dismiss) => self.dismissed = true,
                     None => return Err(End::Fault(Fault::Dismissed)),
                 },
                 readable = self.stream.readable(), if ahead => {
--- a/src/net/shell.rs
+++ b/src/net/shell.rs
@@ -5,7 +5,7 @@
 use crate::core::node::{Input, Node};
 use crate::core::output::Output;
 use crate::net::peer::{self, Peers};
-use crate::net::pg::{self, Told};
+use crate::net::pg::{self, Signal};
 use crate::net::target::Targets;
 use crate::types::{Link, Version};
 use std::cell::{Cell, RefCell};
@@ -19,7 +19,7 @@
 pub struct Shell {
     origin: Instant,
     node: RefCell<Node>,
-    links: RefCell<HashMap<Link, mpsc::UnboundedSender<Told>>>,
+    links: RefCell<HashMap<Link, mpsc::UnboundedSender<Signal>>>,
     last_link: Cell<u64>,
     dismissing: Cell<bool>,
     targets: Targets,
@@ -101,13 +101,13 @@
     }
 
     /// Registers a caller's connection: its link, and the receiver of the core's messages to it.
-    fn open(&self) -> (Link, mpsc::UnboundedReceiver<Told>) {
+    fn open(&self) -> (Link, mpsc::UnboundedReceiver<Signal>) {
         let link = Link(self.last_link.get() + 1);
         self.last_link.set(link.0);
         let (sender, receiver) = mpsc::unbounded_channel();
         if self.dismissing.get() {
             // The send can't fail: the receiver is still in scope.
-            let _ = sender.send(Told::Dismiss);
+            let _ = sender.send(Signal::Dismiss);
         }
         self.links.borrow_mut().insert(link, sender);
         (link, receiver)
@@ -122,7 +122,7 @@
         self.dismissing.set(true);
         let links: Vec<Link> = self.links.borrow().keys().copied().collect();
         for link in links {
-            self.notify(link, Told::Dismiss);
+            self.notify(link, Signal::Dismiss);
         }
     }
 
@@ -204,9 +204,9 @@
                 outcome,
                 floor,
             } => {
-                self.notify(link, Told::Outcome { outcome, floor });
+                self.notify(link, Signal::Outcome { outcome, floor });
             }
-            Output::Dismiss(link) => self.notify(link, Told::Dismiss),
+            Output::Dismiss(link) => self.notify(link, Signal::Dismiss),
             Output::Send { to, message } => self.peers.send(to, message),
             Output::Database(command) => self.targets.command(command),
             Output::Stopped => {
@@ -215,10 +215,10 @@
         }
     }
 
-    fn notify(&self, link: Link, told: Told) {
+    fn notify(&self, link: Link, signal: Signal) {
         if let Some(sender) = self.links.borrow().get(&link) {
             // If the receiver was dropped, the connection is about to report its end.
-            let _ = sender.send(told);
+            let _ = sender.send(signal);
         }
     }
 
--- a/tests/fake/core.rs
+++ b/tests/fake/core.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::core::request::{Cause, Done, Kind, NotRun, Outcome, Request, Status};
-use lentilspoke::net::pg::{Core, Pool, Rules, Told, serve};
+use lentilspoke::net::pg::{Core, Pool, Rules, Signal, serve};
 use lentilspoke::types::{Link, Offset, Position, Term};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 /// Answers every request at once, each from a fresh connection unless a transaction is open.
 #[derive(Default)]
 pub struct World {
-    pub told: RefCell<HashMap<Link, UnboundedSender<Told>>>,
+    pub signals: RefCell<HashMap<Link, UnboundedSender<Signal>>>,
     pub transactions: RefCell<HashMap<Link, Session>>,
     pub requests: RefCell<Vec<Request>>,
     /// Outcomes for the next requests, in place of answers.
@@ -40,7 +40,7 @@
         let scripted = self.script.borrow_mut().pop();
         let outcome = scripted.unwrap_or_else(|| self.run(link, kind, body));
         let floor = Some(Position::new(Term(1), Offset(7)));
-        let _ = self.told.borrow()[&link].send(Told::Outcome { outcome, floor });
+        let _ = self.signals.borrow()[&link].send(Signal::Outcome { outcome, floor });
     }
 
     fn run(&self, link: Link, kind: Kind, body: Bytes) -> Outcome {
@@ -63,9 +63,9 @@
         self.requests.borrow().iter().map(|r| r.kind).collect()
     }
 
-    pub fn tell_all(&self, told: fn() -> Told) {
-        for sender in self.told.borrow().values() {
-            let _ = sender.send(told());
+    pub fn signal_all(&self, signal: fn() -> Signal) {
+        for sender in self.signals.borrow().values() {
+            let _ = sender.send(signal());
         }
     }
 }
@@ -77,7 +77,7 @@
             let (sender, receiver) = unbounded_channel();
             opened.links.set(opened.links.get() + 1);
             let link = Link(opened.links.get());
-            opened.told.borrow_mut().insert(link, sender);
+            opened.signals.borrow_mut().insert(link, sender);
             (link, receiver)
         }),
         submit: Box::new(move |request| submitted.submit(request)),
@@ -85,7 +85,7 @@
         cancel: Box::new(move |link| {
             cancelled.cancelled.borrow_mut().push(link);
             let outcome = Outcome::NotRun(not_run(Cause::Expired));
-            let _ = cancelled.told.borrow()[&link].send(Told::Outcome {
+            let _ = cancelled.signals.borrow()[&link].send(Signal::Outcome {
                 outcome,
                 floor: None,
             });
--- a/tests/pg.rs
+++ b/tests/pg.rs
@@ -6,7 +6,7 @@
 use fake::core::{World, listen, not_run};
 use lentilspoke::clock::Span;
 use lentilspoke::core::request::{Cause, Kind, Outcome, Unknown};
-use lentilspoke::net::pg::{Rules, Told};
+use lentilspoke::net::pg::{Rules, Signal};
 use lentilspoke::types::{Link, Offset, Position, Term};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -161,7 +161,7 @@
 #[actix_rt::test]
 async fn what_cannot_be_pooled_is_refused() {
     let (world, client) = desk().await;
-    let mut told = Vec::new();
+    let mut signals = Vec::new();
     for text in [
         "LISTEN lots",
         "SET search_path = a",
@@ -174,13 +174,13 @@
         let error = client.simple_query(text).await.unwrap_err();
         let extended = client.execute(text, &[]).await.unwrap_err();
         let message = error.as_db_error().unwrap().message();
-        told.push(format!(
+        signals.push(format!(
             "{text}: {} {} {message}",
             code(&error),
             code(&extended)
         ));
     }
-    insta::assert_snapshot!(told.join("\n"), @r"
+    insta::assert_snapshot!(signals.join("\n"), @r"
 LISTEN lots: 0A000 0A000 LISTEN needs a connection of its own: connect to the database directly
 SET search_path = a: 0A000 0A000 a session setting does not last on a pooled connection: use SET LOCAL in a transaction
 COPY ledger FROM STDIN: 0A000 0A000 COPY is not supported: use INSERT with parameters, or connect to the database directly
@@ -196,7 +196,7 @@
 #[actix_rt::test]
 async fn outcomes_have_their_own_codes() {
     let (world, client) = desk().await;
-    let mut told = Vec::new();
+    let mut signals = Vec::new();
     for outcome in [
         Outcome::NotRun(not_run(Cause::Busy)),
         Outcome::NotRun(not_run(Cause::NoPrimary)),
@@ -211,9 +211,9 @@
             error.detail().unwrap_or(""),
             error.hint().unwrap_or(""),
         ];
-        told.push(format!("{}: {}", error.code().code(), parts.join(" | ")));
+        signals.push(format!("{}: {}", error.code().code(), parts.join(" | ")));
     }
-    insta::assert_snapshot!(told.join("\n"), @r"
+    insta::assert_snapshot!(signals.join("\n"), @r"
 LS101: the database is busy: send the request again after the stated time | Nothing was run. | Retry after 250ms.
 LS102: the group is changing its primary: send the request again after the stated time | Nothing was run. | Retry after 250ms.
 LS301: a write of this session was lost when the primary was replaced: check what the session wrote and write it again | Nothing was run. | Retry after 250ms.
@@ -304,7 +304,7 @@
 async fn dismissal_waits_for_the_transaction() {
     let (world, client) = desk().await;
     client.batch_execute("BEGIN").await.unwrap();
-    world.tell_all(|| Told::Dismiss);
+    world.signal_all(|| Signal::Dismiss);
     client.batch_execute("INSERT x").await.unwrap();
     client.batch_execute("COMMIT").await.unwrap();
     let refused = client.batch_execute("SELECT 1").await.unwrap_err();
@@ -337,7 +337,7 @@
 async fn malformed_bytes_end_the_connection() {
     let (world, address) = listen(Rules::default()).await;
     let after = |bytes: &[u8]| [login("ledger1").as_slice(), bytes].concat();
-    let mut told = Vec::new();
+    let mut signals = Vec::new();
     for (name, bytes) in [
         ("huge startup", vec![0x7f, 0, 0, 0, 0, 3, 0, 0]),
         ("tiny startup", vec![0, 0, 0, 4, 0, 0, 0, 0]),
@@ -366,9 +366,9 @@
             after(&[b'P', 0, 0, 0, 8, 0, 0, 0, 0, b'Q', 0, 0, 0, 5, 0]),
         ),
     ] {
-        told.push(format!("{name}: {}", raw(address, &bytes).await));
+        signals.push(format!("{name}: {}", raw(address, &bytes).await));
     }
-    insta::assert_snapshot!(told.join("\n"), @r"
+    insta::assert_snapshot!(signals.join("\n"), @r"
 huge startup: 08P01
 tiny startup: 08P01
 protocol 2: 0A000
