--- a/benches/wire.rs
+++ b/benches/wire.rs
@@ -5,7 +5,7 @@
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::core::request::{Done, Outcome, Status};
 use lentilspoke::net::frame::{Frame, encode, kind, put, put_raw, split};
-use lentilspoke::net::pg::prepared::{Library, Names};
+use lentilspoke::net::pg::prepared::{Cache, Names};
 use lentilspoke::net::pg::{Core, Pool, Rules, Signal, serve};
 use lentilspoke::net::pg::{Session, Settings, build};
 use lentilspoke::net::splice::{Expect, Step, splice};
@@ -82,7 +82,7 @@
 }
 
 fn batch(criterion: &mut Criterion) {
-    let library = Library::default();
+    let cache = Cache::default();
     let mut group = criterion.benchmark_group("batch");
     for (name, frames) in [
         ("simple_read", simple(READ)),
@@ -90,20 +90,20 @@
     ] {
         let mut session = session();
         group.bench_function(name, |b| {
-            b.iter(|| build(black_box(&frames), &mut session, &library, true).unwrap());
+            b.iter(|| build(black_box(&frames), &mut session, &cache, true).unwrap());
         });
     }
     let mut session = session();
-    build(&parse(), &mut session, &library, true).unwrap();
+    build(&parse(), &mut session, &cache, true).unwrap();
     let again = parse();
     group.bench_function("prepare_known", |b| {
-        b.iter(|| build(black_box(&again), &mut session, &library, true).unwrap());
+        b.iter(|| build(black_box(&again), &mut session, &cache, true).unwrap());
     });
     let frames = execute();
     group.bench_function("execute_prepared", |b| {
-        b.iter(|| build(black_box(&frames), &mut session, &library, true).unwrap());
+        b.iter(|| build(black_box(&frames), &mut session, &cache, true).unwrap());
     });
-    let body = build(&frames, &mut session, &library, true).unwrap().body;
+    let body = build(&frames, &mut session, &cache, true).unwrap().body;
     let name = split(body.clone()).unwrap()[0]
         .fields()
         .text()
--- a/src/net/pg.rs
+++ b/src/net/pg.rs
@@ -29,7 +29,7 @@
 use crate::token::Key;
 use crate::types::{CallerId, GroupId, Link, PoolId, Position};
 use fault::Fault;
-use prepared::Library;
+use prepared::Cache;
 use startup::Cancel;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -126,7 +126,7 @@
 struct Shared {
     core: Core,
     rules: Rules,
-    library: Library,
+    cache: Cache,
     cancel_keys: RefCell<HashMap<Cancel, Link>>,
     callers: Cell<usize>,
     buffered: Cell<usize>,
@@ -137,7 +137,7 @@
     let shared = Rc::new(Shared {
         core,
         rules,
-        library: Library::default(),
+        cache: Cache::default(),
         cancel_keys: RefCell::default(),
         callers: Cell::new(0),
         buffered: Cell::new(0),
--- a/src/net/pg/batch.rs
+++ b/src/net/pg/batch.rs
@@ -1,7 +1,7 @@
 //! Translates a caller's messages up to Query, Sync or Flush into work for a database.
 
 use super::fault::Fault;
-use super::prepared::{Library, Names, Prepared};
+use super::prepared::{Cache, Names, Prepared};
 use super::reply;
 use super::settings::Settings;
 use crate::core::request::Kind;
@@ -61,7 +61,7 @@
 pub fn build(
     frames: &[Frame],
     session: &mut Session,
-    library: &Library,
+    cache: &Cache,
     idle: bool,
 ) -> Result<Batch, Fault> {
     if let [query] = frames
@@ -71,7 +71,7 @@
     }
     let mut builder = Builder {
         session,
-        library,
+        cache,
         idle,
         prefix: BytesMut::new(),
         injected: 0,
@@ -137,7 +137,7 @@
 
 struct Builder<'a> {
     session: &'a mut Session,
-    library: &'a Library,
+    cache: &'a Cache,
     idle: bool,
     /// Parse messages of statements that this batch uses and earlier batches prepared.
     prefix: BytesMut,
@@ -165,7 +165,7 @@
     }
 
     fn parse(&mut self, fields: Fields<'_>) -> Result<(), Fault> {
-        let (name, prepared) = self.library.prepare(fields)?;
+        let (name, prepared) = self.cache.prepare(fields)?;
         if let Some(refused) = prepared.script.refused() {
             return Err(Fault::Refused(refused));
         }
--- a/src/net/pg/caller.rs
+++ b/src/net/pg/caller.rs
@@ -182,7 +182,7 @@
         }
         let idle = self.status == Status::Idle;
         let shared = Rc::clone(&self.slot.shared);
-        match batch::build(frames, &mut self.session, &shared.library, idle) {
+        match batch::build(frames, &mut self.session, &shared.cache, idle) {
             Ok(batch) => self.run(batch).await,
             Err(Fault::Malformed(malformed)) => Err(End::Fault(malformed.into())),
             Err(fault) => {
--- a/src/net/pg/prepared.rs
+++ b/src/net/pg/prepared.rs
@@ -27,7 +27,7 @@
 
 /// The named statements of all callers, shared because many callers prepare the same ones.
 #[derive(Debug, Default)]
-pub struct Library {
+pub struct Cache {
     statements: RefCell<HashMap<Box<str>, Rc<Prepared>>>,
 }
 
@@ -42,7 +42,7 @@
 const DIGEST_BYTES: usize = 16;
 const NAME_PREFIX: &str = "ls_";
 
-impl Library {
+impl Cache {
     /// The name and the statement of a Parse message with these fields.
     pub fn prepare(&self, mut fields: Fields<'_>) -> Result<(Box<str>, Rc<Prepared>), Malformed> {
         let name = fields.text()?;
--- a/tests/pg_batch.rs
+++ b/tests/pg_batch.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use lentilspoke::net::frame::{self, Frame, kind, put_raw, split};
-use lentilspoke::net::pg::prepared::{Library, Names};
+use lentilspoke::net::pg::prepared::{Cache, Names};
 use lentilspoke::net::pg::{Session, Settings, build, kind as kind_of, startup};
 use lentilspoke::net::splice::Step;
 use quickcheck::quickcheck;
@@ -63,7 +63,7 @@
 
 struct Caller {
     session: Session,
-    library: Library,
+    cache: Cache,
     idle: bool,
 }
 
@@ -74,14 +74,14 @@
                 names: Names::default(),
                 settings: Settings::new(None),
             },
-            library: Library::default(),
+            cache: Cache::default(),
             idle: true,
         }
     }
 
     /// The messages for the database, the steps of the answer, and the kind.
     fn send(&mut self, frames: &[Frame]) -> String {
-        let batch = match build(frames, &mut self.session, &self.library, self.idle) {
+        let batch = match build(frames, &mut self.session, &self.cache, self.idle) {
             Ok(batch) => batch,
             Err(fault) => return format!("{}: {fault}", fault.code()),
         };
