--- a/src/net/dialect.rs
+++ b/src/net/dialect.rs
@@ -65,7 +65,7 @@
 
 /// Why a received text could not be parsed.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum Garbled {
+pub enum Invalid {
     /// The query is not a [`Statement`] of this module: it is work.
     #[error("`{0}` is not an order: send it as work")]
     Statement(Box<str>),
@@ -105,11 +105,11 @@
 }
 
 impl FromStr for Statement {
-    type Err = Garbled;
+    type Err = Invalid;
 
-    fn from_str(text: &str) -> Result<Self, Garbled> {
+    fn from_str(text: &str) -> Result<Self, Invalid> {
         read_statement(text)
-            .ok_or_else(|| Garbled::Statement(text.chars().take(QUOTED_LIMIT).collect()))
+            .ok_or_else(|| Invalid::Statement(text.chars().take(QUOTED_LIMIT).collect()))
     }
 }
 
@@ -134,8 +134,8 @@
 }
 
 /// Reads the text of [`STATE_COLUMN`].
-pub fn decode_state(text: &str) -> Result<State, Garbled> {
-    serde_json::from_str(text).map_err(|error| Garbled::State(error.to_string().into()))
+pub fn decode_state(text: &str) -> Result<State, Invalid> {
+    serde_json::from_str(text).map_err(|error| Invalid::State(error.to_string().into()))
 }
 
 /// The fields of the ErrorResponse that carries a refusal.
@@ -194,7 +194,7 @@
     }
 
     /// Reads a ParameterStatus; `None` if it is about something else.
-    pub fn read(name: &str, value: &str) -> Result<Option<Self>, Garbled> {
+    pub fn read(name: &str, value: &str) -> Result<Option<Self>, Invalid> {
         let mark = match name {
             APPLIED => Self::Applied,
             WROTE => Self::Wrote,
@@ -202,7 +202,7 @@
         };
         let position = value
             .parse()
-            .map_err(|_| Garbled::Position(value.chars().take(QUOTED_LIMIT).collect()))?;
+            .map_err(|_| Invalid::Position(value.chars().take(QUOTED_LIMIT).collect()))?;
         Ok(Some(mark(position)))
     }
 }
--- a/src/net/target/wire.rs
+++ b/src/net/target/wire.rs
@@ -1,7 +1,7 @@
 //! A TCP connection to a database: login, messages and cancel requests.
 
 use crate::core::request::Status;
-use crate::net::dialect::{self, Garbled, Mark};
+use crate::net::dialect::{self, Invalid, Mark};
 use crate::net::frame::{Fields, Frame, Malformed, encode, kind, put_raw, take};
 use crate::types::{DatabaseId, Position};
 use bytes::{Buf, BytesMut};
@@ -53,7 +53,7 @@
     Malformed(#[from] Malformed),
     /// A position or state could not be parsed.
     #[error("{0}")]
-    Garbled(#[from] Garbled),
+    Invalid(#[from] Invalid),
     /// A deadline passed.
     #[error("the database did not answer in time")]
     Timeout,
--- a/tests/dialect.rs
+++ b/tests/dialect.rs
@@ -3,7 +3,7 @@
 use lentilspoke::core::database::{Order, Refusal, State};
 use lentilspoke::core::lineage::{Lineage, Start};
 use lentilspoke::net::dialect::{
-    Garbled, Mark, Statement, decode_refusal, decode_state, encode_refusal, encode_state,
+    Invalid, Mark, Statement, decode_refusal, decode_state, encode_refusal, encode_state,
 };
 use lentilspoke::types::{Offset, Position, Term};
 use quickcheck::quickcheck;
@@ -74,10 +74,10 @@
     assert_eq!(Mark::read("TimeZone", "UTC"), Ok(None));
     assert_eq!(
         Mark::read("lentil.applied", "3"),
-        Err(Garbled::Position("3".into()))
+        Err(Invalid::Position("3".into()))
     );
     assert_eq!(
         "SELECT 1".parse::<Statement>(),
-        Err(Garbled::Statement("SELECT 1".into()))
+        Err(Invalid::Statement("SELECT 1".into()))
     );
 }
