--- a/tests/dialect.rs
+++ b/tests/dialect.rs
@@ -1,4 +1,4 @@
-//! The database dialect: what one side says, the other side reads.
+//! Round trips of the statements, states, refusals and positions of `net::dialect`.
 
 use lentilspoke::core::database::{Order, Refusal, State};
 use lentilspoke::core::lineage::{Lineage, Start};
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -67,20 +67,20 @@
     for version in 1..=3 {
         a.peers.send(id("b"), hello(version));
     }
-    let mut heard = Vec::new();
+    let mut received = Vec::new();
     for _ in 0..4 {
-        heard.push(next(&mut b).await);
+        received.push(next(&mut b).await);
     }
-    assert_eq!(heard, ["up a", "a: 1", "a: 2", "a: 3"]);
-    // b knows no address of a: the answer has to take the stream that a opened.
+    assert_eq!(received, ["up a", "a: 1", "a: 2", "a: 3"]);
+    // b has no address of a, so its message must use the stream that a opened.
     b.peers.send(id("a"), hello(7));
     assert_eq!([next(&mut a).await, next(&mut a).await], ["up b", "b: 7"]);
 }
 
 #[actix_rt::test]
-async fn a_message_that_never_left_shows_as_down_without_up() {
-    // A peer's VM is gone from its address. "Down" with no "up" before it tells the core that
-    // nothing left, so that it may say "not run" in place of "outcome unknown".
+async fn an_unsent_message_is_reported_as_down_without_up() {
+    // Nothing listens at the peer's address. "Down" without a previous "up" means that no message
+    // was sent, so the core can answer "not run" instead of "outcome unknown".
     let mut a = vm("a", 1).await;
     let vacant = TcpListener::bind("127.0.0.1:0")
         .await
@@ -93,8 +93,8 @@
 }
 
 #[actix_rt::test]
-async fn an_address_taken_over_by_another_vm_is_not_talked_to() {
-    // The platform's list lags: b's address belongs to c by now. A message for b must not reach c.
+async fn nothing_is_sent_to_an_address_taken_over_by_another_vm() {
+    // The platform's list is outdated: c now listens at b's address. Messages to b must not reach c.
     let (mut a, c) = (vm("a", 1).await, vm("c", 1).await);
     a.peers.learn([(id("b"), c.address)]);
     a.peers.send(id("b"), hello(1));
@@ -102,9 +102,9 @@
 }
 
 #[actix_rt::test]
-async fn a_restarted_peer_ends_its_former_life_s_stream() {
-    // b is restarted under the same name. What a sent to the former life is in doubt, so a hears
-    // "down" before it hears anything of the new life.
+async fn a_restart_of_a_peer_closes_streams_to_its_former_life() {
+    // b is restarted under the same name. The messages that a sent to the former life may be lost,
+    // so a must receive "down" before any event of the new life.
     let (mut a, mut b) = (vm("a", 1).await, vm("b", 1).await);
     b.peers.learn([(id("a"), a.address)]);
     b.peers.send(id("a"), hello(1));
@@ -112,15 +112,16 @@
     let reborn = vm("b", 2).await;
     reborn.peers.learn([(id("a"), a.address)]);
     reborn.peers.send(id("a"), hello(2));
-    let heard = [next(&mut a).await, next(&mut a).await, next(&mut a).await];
-    assert_eq!(heard, ["down b", "up b", "b: 2"]);
+    let received = [next(&mut a).await, next(&mut a).await, next(&mut a).await];
+    assert_eq!(received, ["down b", "up b", "b: 2"]);
     assert_eq!(next(&mut b).await, "up a");
 }
 
 #[actix_rt::test]
-async fn nothing_is_sent_before_a_break_was_heard() {
-    // b is restarted. Before a's core has heard of the break it sends a booking, which it will take
-    // for lost with the old stream and send again. The booking must not reach the new life too.
+async fn nothing_is_sent_before_a_down_is_handled() {
+    // b is restarted, and a's core sends a booking before it has received the "down". The core
+    // will count the booking as lost with the old stream and resend it, so the first copy must not
+    // reach the new life.
     let (mut a, b) = (vm("a", 1).await, vm("b", 1).await);
     b.peers.learn([(id("a"), a.address)]);
     b.peers.send(id("a"), hello(1));
--- a/tests/pg.rs
+++ b/tests/pg.rs
@@ -1,4 +1,4 @@
-//! Callers' connections over loopback, before a core made of a few rules.
+//! Callers' connections over loopback, with a simplified core behind them.
 
 mod fake;
 
@@ -25,7 +25,7 @@
     Ok(client)
 }
 
-async fn desk() -> (Rc<World>, Client) {
+async fn start() -> (Rc<World>, Client) {
     let (world, address) = listen(Rules::default()).await;
     let client = connect(address, "").await.unwrap();
     (world, client)
@@ -46,7 +46,7 @@
 
 #[actix_rt::test]
 async fn simple_and_extended_queries_are_answered() {
-    let (world, client) = desk().await;
+    let (world, client) = start().await;
     assert_eq!(first(&client, "SELECT 1").await, "SELECT 1");
     let rows = client.query("SELECT 2", &[]).await.unwrap();
     assert_eq!(rows[0].get::<_, &str>(0), "SELECT 2");
@@ -57,11 +57,11 @@
     );
 }
 
-/// A caller prepares a statement, and each of its uses meets a connection that never saw it.
-/// The proxy prepares it there first, and the caller sees only the answers it expects.
+/// Each use of a prepared statement runs on a connection where it is not prepared. The proxy must
+/// prepare it there first, and drop the extra answers.
 #[actix_rt::test]
 async fn prepared_statements_follow_the_caller() {
-    let (world, client) = desk().await;
+    let (world, client) = start().await;
     let statement = client.prepare("SELECT 'kept'").await.unwrap();
     for _ in 0..3 {
         let row = client.query_one(&statement, &[]).await.unwrap();
@@ -80,7 +80,7 @@
 
 #[actix_rt::test]
 async fn transactions_continue_on_their_link() {
-    let (world, mut client) = desk().await;
+    let (world, mut client) = start().await;
     let transaction = client.transaction().await.unwrap();
     transaction.execute("INSERT x", &[]).await.unwrap();
     transaction.query("SELECT 1", &[]).await.unwrap();
@@ -128,11 +128,11 @@
     assert_eq!(requests[1].session.as_ref().unwrap().as_str(), "broker-17");
 }
 
-/// A caller sets a request key and then does what one key can't cover. Were that run without
-/// the key, or with a COMMIT that ends the key's transaction early, repeating it would double it.
+/// Work that a request key can't cover is refused. If it ran without the key, or if its COMMIT
+/// ended the key's transaction early, a retry would run it twice.
 #[actix_rt::test]
 async fn a_key_covers_no_transaction() {
-    let (world, client) = desk().await;
+    let (world, client) = start().await;
     let set = "SET lentilspoke.request = 'lot-9'";
     client.batch_execute(set).await.unwrap();
     for text in [
@@ -156,12 +156,12 @@
     assert_eq!(world.requests.borrow().last().unwrap().key, None);
 }
 
-/// A caller asks for things that a pooled connection can't keep, and for values that make no
-/// sense. It hears why and what to do, and its connection goes on.
+/// Statements whose effect a pooled connection can't keep, and invalid values of settings, are
+/// refused with a cause and a remedy. The connection stays open.
 #[actix_rt::test]
 async fn what_cannot_be_pooled_is_refused() {
-    let (world, client) = desk().await;
-    let mut signals = Vec::new();
+    let (world, client) = start().await;
+    let mut answers = Vec::new();
     for text in [
         "LISTEN lots",
         "SET search_path = a",
@@ -174,13 +174,13 @@
         let error = client.simple_query(text).await.unwrap_err();
         let extended = client.execute(text, &[]).await.unwrap_err();
         let message = error.as_db_error().unwrap().message();
-        signals.push(format!(
+        answers.push(format!(
             "{text}: {} {} {message}",
             code(&error),
             code(&extended)
         ));
     }
-    insta::assert_snapshot!(signals.join("\n"), @r"
+    insta::assert_snapshot!(answers.join("\n"), @r"
 LISTEN lots: 0A000 0A000 LISTEN needs a connection of its own: connect to the database directly
 SET search_path = a: 0A000 0A000 a session setting does not last on a pooled connection: use SET LOCAL in a transaction
 COPY ledger FROM STDIN: 0A000 0A000 COPY is not supported: use INSERT with parameters, or connect to the database directly
@@ -195,8 +195,8 @@
 
 #[actix_rt::test]
 async fn outcomes_have_their_own_codes() {
-    let (world, client) = desk().await;
-    let mut signals = Vec::new();
+    let (world, client) = start().await;
+    let mut answers = Vec::new();
     for outcome in [
         Outcome::NotRun(not_run(Cause::Busy)),
         Outcome::NotRun(not_run(Cause::NoPrimary)),
@@ -211,9 +211,9 @@
             error.detail().unwrap_or(""),
             error.hint().unwrap_or(""),
         ];
-        signals.push(format!("{}: {}", error.code().code(), parts.join(" | ")));
+        answers.push(format!("{}: {}", error.code().code(), parts.join(" | ")));
     }
-    insta::assert_snapshot!(signals.join("\n"), @r"
+    insta::assert_snapshot!(answers.join("\n"), @r"
 LS101: the database is busy: send the request again after the stated time | Nothing was run. | Retry after 250ms.
 LS102: the group is changing its primary: send the request again after the stated time | Nothing was run. | Retry after 250ms.
 LS301: a write of this session was lost when the primary was replaced: check what the session wrote and write it again | Nothing was run. | Retry after 250ms.
@@ -221,12 +221,12 @@
 ");
 }
 
-/// A transaction's connection is lost while the caller has already sent the rest of it. Were
-/// the rest run outside the transaction, half a booking would be kept. It hears that the
-/// transaction is aborted until it rolls back, and nothing more reaches a database.
+/// A transaction's connection is lost after the caller has pipelined the rest of it. If the rest
+/// ran outside the transaction, half a booking would be committed. So every statement until the
+/// rollback is answered with "transaction is aborted", and none reaches a database.
 #[actix_rt::test]
 async fn the_rest_of_a_lost_transaction_is_not_run() {
-    let (world, client) = desk().await;
+    let (world, client) = start().await;
     client.batch_execute("BEGIN").await.unwrap();
     world
         .script
@@ -243,10 +243,10 @@
     assert_eq!(world.kinds(), [Kind::Begin, Kind::Continue, Kind::Write]);
 }
 
-/// A statement fails inside a pipeline of two batches. Only its own batch fails.
+/// A failed statement in a pipeline of two batches fails only its own batch.
 #[actix_rt::test]
 async fn errors_stay_in_their_batch() {
-    let (_world, client) = desk().await;
+    let (_world, client) = start().await;
     let (bad, good) = futures_util::join!(
         client.query("FAIL PARSE", &[]),
         client.query("SELECT 2", &[])
@@ -258,7 +258,7 @@
 }
 
 #[actix_rt::test]
-async fn a_write_shows_a_token_that_raises_the_floor() {
+async fn a_write_returns_a_token_that_raises_the_floor() {
     let key = "sixteen bytes and more".parse().unwrap();
     let rules = Rules {
         key: Some(Rc::new(key)),
@@ -284,7 +284,7 @@
 
 #[actix_rt::test]
 async fn cancel_reaches_the_link() {
-    let (world, client) = desk().await;
+    let (world, client) = start().await;
     world.silent.set(true);
     let token = client.cancel_token();
     let (answer, cancelled) = futures_util::join!(client.simple_query("SELECT 1"), async {
@@ -298,11 +298,11 @@
     assert_eq!(*world.cancelled.borrow(), [Link(1)]);
 }
 
-/// A planned stop: an idle caller is told to connect again, one in a transaction only once it
-/// has ended it.
+/// At a planned stop an idle caller is disconnected at once, and a caller in a transaction only
+/// after the transaction has ended.
 #[actix_rt::test]
 async fn dismissal_waits_for_the_transaction() {
-    let (world, client) = desk().await;
+    let (world, client) = start().await;
     client.batch_execute("BEGIN").await.unwrap();
     world.signal_all(|| Signal::Dismiss);
     client.batch_execute("INSERT x").await.unwrap();
@@ -337,7 +337,7 @@
 async fn malformed_bytes_end_the_connection() {
     let (world, address) = listen(Rules::default()).await;
     let after = |bytes: &[u8]| [login("ledger1").as_slice(), bytes].concat();
-    let mut signals = Vec::new();
+    let mut answers = Vec::new();
     for (name, bytes) in [
         ("huge startup", vec![0x7f, 0, 0, 0, 0, 3, 0, 0]),
         ("tiny startup", vec![0, 0, 0, 4, 0, 0, 0, 0]),
@@ -366,9 +366,9 @@
             after(&[b'P', 0, 0, 0, 8, 0, 0, 0, 0, b'Q', 0, 0, 0, 5, 0]),
         ),
     ] {
-        signals.push(format!("{name}: {}", raw(address, &bytes).await));
+        answers.push(format!("{name}: {}", raw(address, &bytes).await));
     }
-    insta::assert_snapshot!(signals.join("\n"), @r"
+    insta::assert_snapshot!(answers.join("\n"), @r"
 huge startup: 08P01
 tiny startup: 08P01
 protocol 2: 0A000
@@ -400,10 +400,10 @@
     assert_eq!(first(&client, "SELECT 1").await, "SELECT 1");
 }
 
-/// A caller sends without end and never reads, while its first request is still running. The
-/// proxy stops reading, so the sender is held up by TCP and the proxy's memory stays bounded.
+/// A caller keeps sending and never reads while its first request runs. The proxy must stop
+/// reading, so that TCP blocks the sender and the proxy's memory stays bounded.
 #[actix_rt::test]
-async fn a_flood_is_held_up() {
+async fn a_caller_that_does_not_read_is_throttled() {
     let (world, address) = listen(Rules::default()).await;
     world.silent.set(true);
     let mut stream = TcpStream::connect(address).await.unwrap();
--- a/tests/pg_batch.rs
+++ b/tests/pg_batch.rs
@@ -1,4 +1,4 @@
-//! What a caller's messages become, and what its connection can start with.
+//! Translation of a caller's messages into batches, and parsing of startup messages.
 
 use bytes::{Bytes, BytesMut};
 use lentilspoke::net::frame::{self, Frame, kind, put_raw, split};
@@ -106,11 +106,11 @@
 }
 
 #[test]
-fn batches_carry_what_the_connection_lacks() {
+fn batches_include_missing_parse_messages() {
     let mut caller = Caller::new();
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     let mut send = |name: &str, frames: Vec<Frame>| {
-        told.push(format!("{name}: {}", caller.send(&frames)));
+        results.push(format!("{name}: {}", caller.send(&frames)));
     };
     send(
         "prepare",
@@ -201,7 +201,7 @@
         start().query("BEGIN READ ONLY; COMMIT; INSERT x"),
     );
     send("empty", start().query(""));
-    insta::assert_snapshot!(told.join("\n"), @r#"
+    insta::assert_snapshot!(results.join("\n"), @r#"
 prepare: PDS | Parse Describe | Read
 run prepared: PBES | -Parse Bind Execute | Read
 run twice: PBEBES | -Parse Bind Execute Bind Execute | Read
@@ -230,8 +230,8 @@
 fn inside_a_transaction_everything_continues() {
     let mut caller = Caller::new();
     caller.idle = false;
-    let mut told = Vec::new();
-    let mut send = |frames: Vec<Frame>| told.push(caller.send(&frames));
+    let mut results = Vec::new();
+    let mut send = |frames: Vec<Frame>| results.push(caller.send(&frames));
     send(
         start()
             .parse("w", "INSERT x")
@@ -243,7 +243,7 @@
     send(start().query("SET LOCAL search_path = a"));
     send(start().query("SET search_path = a"));
     send(start().query("COMMIT"));
-    insta::assert_snapshot!(told.join("\n"), @r"
+    insta::assert_snapshot!(results.join("\n"), @r"
 PBES | Parse Bind Execute | Continue
 ECS | Execute Close | Continue
 Q | Query | Continue
@@ -252,8 +252,8 @@
 ");
 }
 
-/// A caller prepares without end. It is told to stop at a bound, and what others prepared
-/// stays as it is.
+/// A caller that keeps preparing statements gets an error at the limit. Statements that exist
+/// already stay usable.
 #[test]
 fn prepared_statements_are_bounded() {
     let mut caller = Caller::new();
@@ -265,16 +265,16 @@
     assert!(caller.send(&prepare(7)).ends_with("Read"));
     let mut caller = Caller::new();
     let long = format!("SELECT '{}'", "x".repeat(200_000));
-    let told: Vec<String> = (0..6)
+    let results: Vec<String> = (0..6)
         .map(|number| caller.send(&start().parse(&format!("s{number}"), &long).sync()))
         .collect();
-    assert!(told[5].starts_with("54000"), "{}", told[5]);
+    assert!(results[5].starts_with("54000"), "{}", results[5]);
 }
 
-fn opening(bytes: &[u8]) -> String {
+fn packet(bytes: &[u8]) -> String {
     let mut buffer = BytesMut::from(bytes);
     match startup::take(&mut buffer) {
-        Ok(Some(opening)) => format!("{opening:?}"),
+        Ok(Some(packet)) => format!("{packet:?}"),
         Ok(None) => "more".to_owned(),
         Err(fault) => format!("{}: {fault}", fault.code()),
     }
@@ -298,8 +298,8 @@
         "database|ledger1",
         "user|broker|_pq_.compression|on",
     ];
-    let told: Vec<String> = cases.iter().map(|pairs| opening(&login(pairs))).collect();
-    insta::assert_snapshot!(told.join("\n"), @r#"
+    let results: Vec<String> = cases.iter().map(|pairs| packet(&login(pairs))).collect();
+    insta::assert_snapshot!(results.join("\n"), @r#"
 Login(Login { caller: CallerId("broker"), group: GroupId("ledger1"), settings: [(Session, "broker-17"), (MaxAge, "5s")], minor: 0, unknown: [] })
 Login(Login { caller: CallerId("broker"), group: GroupId("broker"), settings: [], minor: 0, unknown: [] })
 08P01: startup: `search_path` can't be set on a pooled connection: leave it out
@@ -313,11 +313,11 @@
 }
 
 quickcheck! {
-    fn any_opening_is_read_without_panic(bytes: Vec<u8>, length: u8) -> bool {
-        let _ = opening(&bytes);
+    fn any_packet_is_read_without_panic(bytes: Vec<u8>, length: u8) -> bool {
+        let _ = packet(&bytes);
         let stated = u32::from(length).to_be_bytes();
-        let _ = opening(&[&stated, &[0, 3, 0, 0], bytes.as_slice()].concat());
-        let _ = opening(&login(&String::from_utf8_lossy(&bytes)));
+        let _ = packet(&[&stated, &[0, 3, 0, 0], bytes.as_slice()].concat());
+        let _ = packet(&login(&String::from_utf8_lossy(&bytes)));
         true
     }
 
--- a/tests/rpc.rs
+++ b/tests/rpc.rs
@@ -1,4 +1,4 @@
-//! Our own calls over loopback.
+//! Calls between lentilspoke processes, over loopback.
 
 use lentilspoke::net::rpc;
 use std::net::SocketAddr;
@@ -28,6 +28,6 @@
         .connect_lazy();
     let answer: u64 = rpc::call(channel.clone(), 21u32).await.unwrap();
     assert_eq!(answer, 42);
-    let nonsense = rpc::call::<(), u64>(channel, ()).await.unwrap_err();
-    assert_eq!(nonsense.code(), tonic::Code::InvalidArgument);
+    let error = rpc::call::<(), u64>(channel, ()).await.unwrap_err();
+    assert_eq!(error.code(), tonic::Code::InvalidArgument);
 }
--- a/tests/target.rs
+++ b/tests/target.rs
@@ -1,4 +1,4 @@
-//! Connections to databases over loopback, before a database made of a few rules.
+//! Connections to a simplified database, over loopback.
 
 mod fake;
 
@@ -177,8 +177,8 @@
 ");
 }
 
-/// The primary was replaced while a steward did not know it. Its work reaches the old primary
-/// in the old term; the database refuses it unrun, and the connection stays usable.
+/// The database is in a later term than the proxy assumes, as after a replacement of the primary.
+/// It refuses work of the old term before running it, and the connection stays usable.
 #[actix_rt::test]
 async fn work_of_another_term_is_refused_unrun() {
     let mut world = World::connected().await;
@@ -199,9 +199,9 @@
     );
 }
 
-/// A caller books under a key, hears nothing, and books again under the same key: it gets the
-/// first result and there is one booking. Other work under the same key is an error, or it
-/// would be answered with a result that is not its own.
+/// A caller retries a booking under the same request key: it must get the first result, and only
+/// one booking is made. Other work under the same key is an error; otherwise it would be answered
+/// with the first work's result.
 #[actix_rt::test]
 async fn a_key_runs_once() {
     let mut world = World::connected().await;
@@ -228,8 +228,8 @@
     assert_eq!(inserts, ["INSERT lot"]);
 }
 
-/// Work under a key fails in the database: its transaction is rolled back, the caller hears the
-/// error, and the connection is in sync.
+/// Work under a key fails in the database: its transaction is rolled back, the caller receives the
+/// error, and the connection stays in sync.
 #[actix_rt::test]
 async fn failed_work_under_a_key_is_rolled_back() {
     let mut world = World::connected().await;
@@ -245,8 +245,8 @@
     world.answer(query("SELECT 1")).await;
 }
 
-/// A database answers more than it was asked. What follows could be taken for the answer to the
-/// next caller's work; so the connection is closed, and the next work is not sent on it.
+/// A database sends more than one answer. The extra messages could be taken for the answer to the
+/// next caller's work, so the connection is closed and no more work is sent on it.
 #[actix_rt::test]
 async fn a_connection_with_a_stray_answer_is_closed() {
     let mut world = World::connected().await;
@@ -277,8 +277,8 @@
     while world.event().await != (Event::Closed { conn: CONN }) {}
 }
 
-/// An answer is longer than is kept, in one row or in many. The caller hears that its work was
-/// run and the answer dropped; the connection is in sync and goes on.
+/// An answer is above the size limit, in one row or in many. The caller receives an error saying
+/// that the work was run and the answer dropped; the connection stays in sync and open.
 #[actix_rt::test]
 async fn an_answer_too_long_is_dropped() {
     let mut world = World::connected().await;
@@ -295,7 +295,7 @@
 }
 
 #[actix_rt::test]
-async fn a_full_database_says_so() {
+async fn a_full_database_is_reported() {
     let mut world = World::start().await;
     world.database.borrow_mut().full = true;
     let failed = |full| Event::ConnectFailed { conn: CONN, full };
@@ -304,10 +304,10 @@
     assert_eq!(world.connect().await, failed(false));
 }
 
-/// The core gives up on a silent connection and closes it. The answer that comes later is read
-/// by nobody.
+/// The core closes a connection that does not answer in time. The answer that arrives later must
+/// not be read.
 #[actix_rt::test]
-async fn a_closed_connection_tells_nothing_more() {
+async fn a_closed_connection_reports_nothing_more() {
     let mut world = World::connected().await;
     world.database.borrow_mut().silent = true;
     world.send(Some(1), None, query("SELECT 1"));
@@ -352,8 +352,8 @@
     assert_eq!(world.database.borrow().accepted, 2);
 }
 
-/// A control connection goes silent for good while new ones work. The order under way fails by
-/// its deadline, and the next one gets a new connection and an answer.
+/// A control connection stops answering while new connections work. Its pending order fails at the
+/// deadline, and the next order is answered on a new connection.
 #[actix_rt::test]
 async fn a_silent_control_connection_is_replaced() {
     let mut world = World::start().await;
@@ -398,7 +398,7 @@
         Step::Pass(Expect::Execute),
         Step::Insert(Bytes::from_static(b"!")),
     ];
-    let shown = |answer: &[u8]| match splice(&steps, &frames(answer)) {
+    let spliced = |answer: &[u8]| match splice(&steps, &frames(answer)) {
         Ok(bytes) => bytes
             .iter()
             .filter(|byte| **byte > 31)
@@ -409,7 +409,7 @@
     let cases: [&[u8]; 7] = [b"12DDC", b"12DNs", b"E", b"12DE", b"12D", b"12DCC", b"2DC"];
     let lines: Vec<String> = cases
         .iter()
-        .map(|case| format!("{}: {}", String::from_utf8_lossy(case), shown(case)))
+        .map(|case| format!("{}: {}", String::from_utf8_lossy(case), spliced(case)))
         .collect();
     insta::assert_snapshot!(lines.join("\n"), @r"
 12DDC: +2DDC!
@@ -423,7 +423,7 @@
 }
 
 #[test]
-fn statements_unused_longest_are_closed() {
+fn least_recently_used_statements_are_closed() {
     let mut names = Names::default();
     for number in 0..300 {
         let name = format!("ls_{number}");
@@ -440,7 +440,7 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_taken_apart_without_panic(bytes: Vec<u8>) -> bool {
+    fn any_bytes_are_rewritten_without_panic(bytes: Vec<u8>) -> bool {
         let bytes = Bytes::from(bytes);
         let _ = rewrite(&bytes, &mut Names::default());
         let mut out = BytesMut::new();
