--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -101,7 +101,7 @@
     }
 
     /// Replaces the listening address of each VM, taken from the platform's list.
-    pub fn learn(&self, addresses: impl IntoIterator<Item = (VmId, SocketAddr)>) {
+    pub fn set_addresses(&self, addresses: impl IntoIterator<Item = (VmId, SocketAddr)>) {
         *self.addresses.borrow_mut() = addresses.into_iter().collect();
     }
 
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -91,7 +91,7 @@
         .members
         .iter()
         .map(|member| (member.vm.clone(), member.address));
-    shell.peers().learn(addresses);
+    shell.peers().set_addresses(addresses);
     let leaving = listed
         .members
         .iter()
--- a/src/slopes/streams.rs
+++ b/src/slopes/streams.rs
@@ -39,7 +39,7 @@
     for &count in counts {
         while others.len() < count {
             let mut other = end(&format!("other-{}", others.len())).await?;
-            other.peers.learn([("hub".parse()?, hub.address)]);
+            other.peers.set_addresses([("hub".parse()?, hub.address)]);
             other.peers.send("hub".parse()?, hello());
             // The stream is open once its end hears of it.
             other.events.recv().await;
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -63,7 +63,7 @@
 #[actix_rt::test]
 async fn messages_arrive_in_order_both_ways_on_one_stream() {
     let (mut a, mut b) = (vm("a", 1).await, vm("b", 1).await);
-    a.peers.learn([(id("b"), b.address)]);
+    a.peers.set_addresses([(id("b"), b.address)]);
     for version in 1..=3 {
         a.peers.send(id("b"), hello(version));
     }
@@ -87,7 +87,7 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    a.peers.learn([(id("b"), vacant)]);
+    a.peers.set_addresses([(id("b"), vacant)]);
     a.peers.send(id("b"), hello(1));
     assert_eq!(next(&mut a).await, "down b");
 }
@@ -96,7 +96,7 @@
 async fn nothing_is_sent_to_an_address_taken_over_by_another_vm() {
     // The platform's list is outdated: c now listens at b's address. Messages to b must not reach c.
     let (mut a, c) = (vm("a", 1).await, vm("c", 1).await);
-    a.peers.learn([(id("b"), c.address)]);
+    a.peers.set_addresses([(id("b"), c.address)]);
     a.peers.send(id("b"), hello(1));
     assert_eq!(next(&mut a).await, "down b");
 }
@@ -106,11 +106,11 @@
     // b is restarted under the same name. The messages that a sent to the former life may be lost,
     // so a must receive "down" before any event of the new life.
     let (mut a, mut b) = (vm("a", 1).await, vm("b", 1).await);
-    b.peers.learn([(id("a"), a.address)]);
+    b.peers.set_addresses([(id("a"), a.address)]);
     b.peers.send(id("a"), hello(1));
     assert_eq!([next(&mut a).await, next(&mut a).await], ["up b", "b: 1"]);
     let reborn = vm("b", 2).await;
-    reborn.peers.learn([(id("a"), a.address)]);
+    reborn.peers.set_addresses([(id("a"), a.address)]);
     reborn.peers.send(id("a"), hello(2));
     let received = [next(&mut a).await, next(&mut a).await, next(&mut a).await];
     assert_eq!(received, ["down b", "up b", "b: 2"]);
@@ -123,11 +123,11 @@
     // will count the booking as lost with the old stream and resend it, so the first copy must not
     // reach the new life.
     let (mut a, b) = (vm("a", 1).await, vm("b", 1).await);
-    b.peers.learn([(id("a"), a.address)]);
+    b.peers.set_addresses([(id("a"), a.address)]);
     b.peers.send(id("a"), hello(1));
     assert_eq!([next(&mut a).await, next(&mut a).await], ["up b", "b: 1"]);
     let mut reborn = vm("b", 2).await;
-    reborn.peers.learn([(id("a"), a.address)]);
+    reborn.peers.set_addresses([(id("a"), a.address)]);
     reborn.peers.send(id("a"), hello(2));
     assert!(matches!(a.events.recv().await, Some(Event::Down(_))));
     a.peers.send(id("b"), hello(5));
