--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -200,7 +200,7 @@
     }
 
     /// Records that a `Down` of `vm` is about to be handed to the core.
-    pub fn taken_down(&self, vm: &VmId) {
+    pub fn confirm_down(&self, vm: &VmId) {
         let mut queued_downs = self.queued_downs.borrow_mut();
         if let Some(count) = queued_downs.get_mut(vm) {
             *count -= 1;
--- a/src/net/shell.rs
+++ b/src/net/shell.rs
@@ -264,7 +264,7 @@
 async fn pump_peers(shell: Rc<Shell>, mut events: mpsc::UnboundedReceiver<peer::Event>) {
     while let Some(event) = events.recv().await {
         if let peer::Event::Down(vm) = &event {
-            shell.peers.taken_down(vm);
+            shell.peers.confirm_down(vm);
         }
         shell.input(match event {
             peer::Event::Up(vm) => Input::PeerUp(vm),
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -48,7 +48,7 @@
 async fn next(vm: &mut Vm) -> String {
     let event = vm.events.recv().await.unwrap();
     if let Event::Down(other) = &event {
-        vm.peers.taken_down(other);
+        vm.peers.confirm_down(other);
     }
     match event {
         Event::Up(vm) => format!("up {vm}"),
@@ -131,7 +131,7 @@
     reborn.peers.send(id("a"), hello(2));
     assert!(matches!(a.events.recv().await, Some(Event::Down(_))));
     a.peers.send(id("b"), hello(5));
-    a.peers.taken_down(&id("b"));
+    a.peers.confirm_down(&id("b"));
     a.peers.send(id("b"), hello(6));
     assert_eq!(
         [next(&mut reborn).await, next(&mut reborn).await],
