--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -78,10 +78,16 @@
     queued_downs: RefCell<HashMap<VmId, u32>>,
 }
 
+/// The state of the streams to one VM.
 #[derive(Debug)]
 enum Connection {
-    Dialing(Vec<Message>),
-    Open { life: Life, streams: Vec<Stream> },
+    /// No stream is open yet; the messages are sent once one is.
+    Connecting(Vec<Message>),
+    Open {
+        life: Life,
+        streams: Vec<Stream>,
+    },
+    /// The last attempt failed; the next one is not made before this time.
     Failed(Instant),
 }
 
@@ -149,12 +155,12 @@
             Some(Connection::Open { streams, .. }) if !streams.is_empty() => {
                 streams[0].send(message)
             }
-            Some(Connection::Dialing(waiting)) => waiting.push(message),
+            Some(Connection::Connecting(waiting)) => waiting.push(message),
             Some(Connection::Failed(until)) if *until > Instant::now() => {
                 self.emit(Event::Down(to))
             }
             _ => {
-                connections.insert(to.clone(), Connection::Dialing(vec![message]));
+                connections.insert(to.clone(), Connection::Connecting(vec![message]));
                 drop(connections);
                 self.dial(to);
             }
@@ -244,7 +250,7 @@
         let failed = Connection::Failed(Instant::now() + RECONNECT_DELAY);
         let mut connections = self.connections.borrow_mut();
         // Any other state means that the peer opened a stream meanwhile, which took the queued messages.
-        if let Some(Connection::Dialing(_)) = connections.get(to) {
+        if let Some(Connection::Connecting(_)) = connections.get(to) {
             connections.insert(to.clone(), failed);
             self.emit(Event::Down(to.clone()));
         }
@@ -264,7 +270,7 @@
         match connections.get_mut(&vm) {
             Some(Connection::Open { streams, .. }) => streams.push(stream),
             former => {
-                if let Some(Connection::Dialing(waiting)) = former {
+                if let Some(Connection::Connecting(waiting)) = former {
                     waiting.drain(..).for_each(|message| stream.send(message));
                 }
                 connections.insert(
--- a/src/net/peer/handshake.rs
+++ b/src/net/peer/handshake.rs
@@ -51,11 +51,11 @@
         }
         Ok((life, response.into_inner(), frames))
     };
-    let late =
+    let timed_out =
         |_| Status::deadline_exceeded("the peer did not answer the connection attempt in time");
     tokio::time::timeout(CONNECT_TIMEOUT, attempt)
         .await
-        .map_err(late)?
+        .map_err(timed_out)?
 }
 
 /// Accepts a stream that another VM opens, and passes it to `incoming`.
--- a/src/net/pg/batch.rs
+++ b/src/net/pg/batch.rs
@@ -98,7 +98,7 @@
     if let Some(refused) = script.refused() {
         return Err(Fault::Refused(refused));
     }
-    let local = unmixed(&script)?;
+    let local = is_all_local(&script)?;
     let ending = script.statements == [Statement::End];
     let mut batch = Batch {
         body: query.bytes().clone(),
@@ -127,7 +127,7 @@
 }
 
 /// Whether the proxy answers the whole script itself. Returns an error if only part of it is local.
-fn unmixed(script: &Script) -> Result<bool, Fault> {
+fn is_all_local(script: &Script) -> Result<bool, Fault> {
     let local = script.local();
     if !local && script.statements.iter().any(Statement::local) {
         return Err(Fault::Mixed);
@@ -169,7 +169,7 @@
         if let Some(refused) = prepared.script.refused() {
             return Err(Fault::Refused(refused));
         }
-        unmixed(&prepared.script)?;
+        is_all_local(&prepared.script)?;
         self.update_ending(&prepared);
         if local(&prepared) {
             self.insert(reply::parse_complete());
--- a/src/net/shell.rs
+++ b/src/net/shell.rs
@@ -79,8 +79,8 @@
             status,
             stopped: watch::Sender::new(false),
         });
-        actix_rt::spawn(pump_targets(Rc::clone(&shell), from_targets));
-        actix_rt::spawn(pump_peers(Rc::clone(&shell), from_peers));
+        actix_rt::spawn(forward_targets(Rc::clone(&shell), from_targets));
+        actix_rt::spawn(forward_peers(Rc::clone(&shell), from_peers));
         actix_rt::spawn(tick(Rc::clone(&shell)));
         shell
     }
@@ -252,7 +252,7 @@
     }
 }
 
-async fn pump_targets(
+async fn forward_targets(
     shell: Rc<Shell>,
     mut events: mpsc::UnboundedReceiver<crate::core::database::Event>,
 ) {
@@ -261,7 +261,7 @@
     }
 }
 
-async fn pump_peers(shell: Rc<Shell>, mut events: mpsc::UnboundedReceiver<peer::Event>) {
+async fn forward_peers(shell: Rc<Shell>, mut events: mpsc::UnboundedReceiver<peer::Event>) {
     while let Some(event) = events.recv().await {
         if let peer::Event::Down(vm) = &event {
             shell.peers.confirm_down(vm);
--- a/src/net/target/rewrite.rs
+++ b/src/net/target/rewrite.rs
@@ -45,7 +45,7 @@
     body: BytesMut,
     steps: Vec<Step>,
     prepares: Vec<Box<str>>,
-    fresh: HashSet<Box<str>>,
+    prepared_here: HashSet<Box<str>>,
 }
 
 impl Rewriter {
@@ -65,12 +65,12 @@
 
     fn parse(&mut self, frame: &Frame, names: &mut Names) -> Result<(), Malformed> {
         let name = frame.fields().text()?;
-        let held = !name.is_empty() && (names.touch(name) || self.fresh.contains(name));
+        let held = !name.is_empty() && (names.touch(name) || self.prepared_here.contains(name));
         if held {
             self.steps.push(Step::Insert(encode(&ParseComplete::new())));
             return Ok(());
         }
-        self.fresh.insert(name.into());
+        self.prepared_here.insert(name.into());
         self.prepares.push(name.into());
         self.pass(frame, Expect::Parse);
         Ok(())
