--- a/src/standin/direct/caller.rs
+++ b/src/standin/direct/caller.rs
@@ -1,4 +1,4 @@
-//! Callers, which write down all that they say and are told.
+//! Simulated callers, which record every statement they send and its answer.
 
 use crate::direct::config::Kind;
 use crate::direct::statement::{Answer, State};
@@ -16,16 +16,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a caller waits for a session to start.
+/// Timeout for the start of a session.
 const START: Duration = Duration::from_secs(2);
 
-/// How long a caller waits for an answer.
+/// Timeout for the answer to a statement.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-/// How many items there are.
+/// The number of distinct items that callers read and write.
 const ITEMS: u64 = 8;
 
-/// The names under which callers prepare statements, which collide.
+/// The names of prepared statements. All callers share them, so that names collide between
+/// sessions.
 const NAMES: [&str; 2] = ["p1", "p2"];
 
 /// One open session.
@@ -44,14 +45,14 @@
     operation: Option<Operation>,
 }
 
-/// What a statement is part of.
+/// The transaction that a statement belongs to.
 #[derive(Debug, Clone, Copy)]
 struct Operation {
     number: u64,
     since: Instant,
 }
 
-/// The session is of no more use.
+/// The session can't be used any more: its connection failed, timed out or was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Closed;
 
@@ -67,7 +68,7 @@
         Self::open_with(world, record, domain, vm, route, None).await
     }
 
-    /// The same with a key.
+    /// Opens a session with an explicit key instead of the domain's own.
     pub async fn open_with(
         world: &Rc<World>,
         record: &Record,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Says one statement and waits for its answer, outside a transaction or in the one that
+    /// Sends one statement and waits for its answer, outside a transaction or in the one that
     /// [`Session::begin`] opened.
     pub async fn say(&mut self, text: &str) -> Result<Answer, Closed> {
         let number = self.note(text);
@@ -220,7 +221,7 @@
         answer
     }
 
-    /// Ends the session as it should be.
+    /// Closes the session in an orderly way.
     pub async fn bye(mut self) {
         let mut output = BytesMut::new();
         wire::write_caller_bye(&mut output);
@@ -228,27 +229,27 @@
     }
 }
 
-/// A caller that opens sessions and runs operations, as its random numbers tell.
+/// A caller that opens sessions and runs randomly chosen operations.
 #[derive(Debug)]
 pub struct Caller {
-    /// The world.
+    /// The simulated world.
     pub world: Rc<World>,
-    /// Where it writes down.
+    /// Where it records its statements.
     pub record: Record,
-    /// Its failure domain.
+    /// Its failure domain, by number.
     pub domain: usize,
-    /// The route that it names.
+    /// The route that its sessions name.
     pub route: Box<str>,
-    /// Its random numbers.
+    /// Its random number generator.
     pub random: ChaCha8Rng,
-    /// How long it pauses at most.
+    /// The longest pause between operations and statements.
     pub pause: Duration,
     /// How many of twelve operations are single writes.
     pub writes: u64,
 }
 
 impl Caller {
-    /// A caller of its own random numbers.
+    /// Creates a caller whose random numbers come from `seed`.
     pub fn new(
         world: &Rc<World>,
         record: &Record,
@@ -268,7 +269,7 @@
         }
     }
 
-    /// Calls until a moment.
+    /// Opens sessions and runs operations until `until`.
     pub async fn run(mut self, until: Instant) {
         while Instant::now() < until {
             self.pause().await;
@@ -298,7 +299,7 @@
         Ok(())
     }
 
-    /// One operation; an error of it ends the session in some cases.
+    /// Runs one operation. Returns an error if the session should not be used further.
     async fn operation(&mut self, session: &mut Session) -> Result<(), Closed> {
         let writes = !matches!(session.kind, Kind::Bounded(_));
         let answer = match self.below(12) {
@@ -356,7 +357,7 @@
         }
         self.pause().await;
         if self.below(12) == 0 {
-            // Some leave in the midst.
+            // Some callers disconnect in the middle of a transaction.
             return Err(Closed);
         }
         let commit = self.below(4) > 0;
@@ -390,7 +391,7 @@
         (self.below(2) == 0).then_some(name)
     }
 
-    /// A VM of its failure domain that is ready, else any; now and then one that is not.
+    /// Chooses a ready VM of the caller's failure domain, else any ready VM, else any that runs.
     fn choose(&mut self) -> Option<VmId> {
         let world = self.world.clone();
         let running = world.running();
@@ -421,7 +422,7 @@
     format!("q{number}").into()
 }
 
-/// A caller leaves after an error in answer to a value or a prepared statement.
+/// Ends the session after an error in answer to a `set`, `prepare` or `forget`.
 fn stays(answer: Answer) -> Result<(), Closed> {
     match answer.end {
         crate::direct::statement::End::Done(_) => Ok(()),
--- a/src/standin/direct/check.rs
+++ b/src/standin/direct/check.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what really happened.
+//! Checks the answers that callers received against what the databases ran.
 
 use crate::direct::statement::Statement;
 use crate::standin::direct::journal::{Book, Run};
@@ -11,25 +11,25 @@
 use std::fmt;
 use tokio::time::Instant;
 
-/// How often callers were told what.
+/// How many statements had each result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Done.
+    /// Statements that succeeded.
     pub done: u64,
-    /// Not done, and nothing is kept.
+    /// Statements answered by an error that guarantees that they had no effect.
     pub promised: u64,
-    /// Another error.
+    /// Statements answered by another error.
     pub failed: u64,
-    /// Nothing.
+    /// Statements that got no answer.
     pub untold: u64,
 }
 
-/// What the comparison gave.
+/// The result of a check.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Each rule that was broken.
+    /// A description of each violation.
     pub broken: Vec<Box<str>>,
-    /// How often callers were told what.
+    /// How many statements had each result.
     pub told: Count,
 }
 
@@ -69,10 +69,10 @@
     report: Report,
 }
 
-/// The routes that any configuration had, with their groups.
+/// The routes of all configurations so far, each with its group.
 pub type Routes = BTreeSet<(Box<str>, GroupId)>;
 
-/// Compares what was told in a world.
+/// Checks the statements recorded in a world against its journal.
 pub fn check(world: &World, started: Instant, said: &[Said]) -> Report {
     let configs = world.configs.borrow();
     let routes = configs.iter().flat_map(|(_, config)| &config.routes);
@@ -80,13 +80,13 @@
     compare(&world.journal.borrow(), &routes.collect(), started, said)
 }
 
-/// Compares what was told with what happened.
+/// Checks recorded statements against what happened at the databases.
 pub fn compare(book: &Book, routes: &Routes, started: Instant, said: &[Said]) -> Report {
     compare_on(&mut Known::default(), book, routes, started, said)
 }
 
-/// Compares a part of what was told, whole operations, given what is known from the parts before
-/// it, with the part of the book that is about it.
+/// Checks one batch of recorded statements, made of whole operations, against the events of the
+/// same time. `known` carries the state from the batches before.
 pub fn compare_on(
     known: &mut Known,
     book: &Book,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Each success is the whole answer of the database to this statement.
+    /// Checks that each success is the complete answer of a database to this very statement.
     fn answers(&mut self) {
         for said in self.said {
             let Some((_, answer)) = &said.told else {
@@ -173,7 +173,8 @@
         }
     }
 
-    /// Each statement that ran was asked for as it ran, where it was allowed to.
+    /// Checks that each statement that ran was sent by a caller, with the same text, organisation,
+    /// session values and transaction, and ran in a group that its route names.
     fn runs(&mut self) {
         for run in &self.book.runs {
             if &*run.id == OWN {
@@ -209,9 +210,9 @@
         }
     }
 
-    /// A transaction of a caller is one transaction on one connection, and nobody else's. Its
-    /// first statement may be run again on another connection as long as nothing followed it, and
-    /// then only the last answer counts.
+    /// Checks that a caller's transaction is one transaction on one connection that no other caller
+    /// shares. Its first statement may run again on another connection as long as nothing followed
+    /// it; then only the last answer counts.
     fn transactions(&mut self) {
         let mut places: BTreeMap<u64, Place<'_>> = BTreeMap::new();
         for run in &self.book.runs {
@@ -273,7 +274,8 @@
         }
     }
 
-    /// An acknowledged write was committed, by a primary that was none the less replaced.
+    /// Checks that an acknowledged write was committed, and not by a primary that had been
+    /// replaced.
     fn acknowledged(&mut self, said: &Said) {
         let Some(run) = said.signature().and_then(|s| self.by_signature.get(s)) else {
             return;
@@ -290,7 +292,7 @@
         }
     }
 
-    /// A read that was answered saw what it had to.
+    /// Checks that each answered read saw every commit that its route's freshness demands.
     fn reads(&mut self) {
         for said in self.said {
             self.acknowledges(said);
@@ -312,7 +314,7 @@
         }
     }
 
-    /// Notes the commit that a caller knows of from now on.
+    /// Records the commit that a statement's answer acknowledged.
     fn acknowledges(&mut self, said: &Said) {
         let run = said.signature().and_then(|s| self.by_signature.get(s));
         let (Some(run), Some(at)) = (run, said.acknowledged()) else {
@@ -329,7 +331,7 @@
         }
     }
 
-    /// Fencing tokens only rise, and each is one VM's.
+    /// Checks that the fencing tokens of orders never fall, and that each token belongs to one VM.
     fn orders(&mut self) {
         let mut last = self.known.order.take();
         for order in &self.book.orders {
@@ -349,7 +351,7 @@
     }
 }
 
-/// Where a transaction's first statement ran.
+/// The connection and transaction in which a caller's transaction runs.
 struct Place<'a> {
     run: &'a Run,
     followed: bool,
@@ -372,7 +374,7 @@
     said.text.starts_with("write ") || (said.text.starts_with("exec ") && words(said) == 4)
 }
 
-/// Whether a statement is a single read, in a transaction or not.
+/// Whether a statement is a read, in a transaction or not.
 pub fn is_read(said: &Said) -> bool {
     said.text.starts_with("read ") || (said.text.starts_with("exec ") && words(said) == 3)
 }
@@ -381,7 +383,7 @@
     said.text.split(' ').count()
 }
 
-/// Whether only a database can answer it.
+/// Whether a statement can only be answered by a database.
 fn is_forwarded(said: &Said) -> bool {
     matches!(
         wire::statement(&said.text),
--- a/src/standin/direct/database.rs
+++ b/src/standin/direct/database.rs
@@ -1,4 +1,4 @@
-//! One database of a group: its log, its role and its troubles.
+//! One database of a group: its log, its role and its active faults.
 
 use crate::direct::config;
 use crate::standin::direct::log::Log;
@@ -10,24 +10,24 @@
 use std::time::Duration;
 use tokio::sync::{Notify, Semaphore};
 
-/// What a database is made of.
+/// The fixed properties of a database.
 #[derive(Debug, Clone)]
 pub struct Make {
     /// Its id.
     pub id: DatabaseId,
     /// Its group.
     pub group: GroupId,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: Domain,
-    /// Statements that run at once.
+    /// How many statements run at once.
     pub slots: u32,
-    /// Statements that may wait for a slot.
+    /// How many statements may wait for a slot.
     pub queue: u32,
-    /// Connections.
+    /// How many connections may be open.
     pub connections: u32,
-    /// How long a new connection takes a slot.
+    /// How long a new connection occupies a slot.
     pub cold: Duration,
     /// How long a statement takes.
     pub work: Duration,
@@ -35,69 +35,69 @@
     pub lag: Duration,
 }
 
-/// What changes.
+/// The changing state of a database.
 #[derive(Debug)]
 pub struct State {
     /// Whether it runs.
     pub up: bool,
-    /// Rises with each start.
+    /// The number of the current run: rises with each start.
     pub life: u64,
-    /// Rises with each start that finds nothing of before.
+    /// Rises with each start that begins without any earlier data.
     pub born: u64,
-    /// Whether it is about to end.
+    /// Whether it is being decommissioned.
     pub leaving: bool,
-    /// Whether it takes itself for the primary.
+    /// Whether it considers itself the primary.
     pub primary: bool,
     /// Its term.
     pub term: u64,
-    /// What it received.
+    /// The log entries that it has received.
     pub log: Log,
-    /// How many entries of it readers see.
+    /// How many log entries are applied and so visible to reads.
     pub applied: usize,
-    /// Sessions that are open.
+    /// How many sessions are open.
     pub connections: u32,
-    /// Statements that wait for a slot.
+    /// How many statements wait for a slot.
     pub waiting: u32,
 }
 
-/// Its troubles.
+/// The active faults of a database.
 #[derive(Debug, Default)]
 pub struct Trouble {
-    /// Whether it receives nothing.
+    /// Whether it receives no log entries.
     pub deaf: Cell<bool>,
-    /// How much longer it takes to apply.
+    /// The additional delay before received entries are applied.
     pub lag: Cell<Duration>,
-    /// How much longer a statement takes.
+    /// The additional time that a statement takes.
     pub slow: Cell<Duration>,
-    /// How many answers are lost, after their effect.
+    /// How many of the next answers are lost after the statement took effect.
     pub losing: Cell<u32>,
-    /// How many statements fail after they ran.
+    /// How many of the next statements fail after they ran.
     pub failing: Cell<u32>,
     /// How many of a hundred statements fail after they ran.
     pub grey: Cell<u32>,
-    /// How many statements came while some fail.
+    /// Counts statements modulo 100, to spread the failures of `grey` evenly.
     pub counted: Cell<u32>,
-    /// Whether it goes down and up by turns.
+    /// Whether it crashes and restarts repeatedly.
     pub flapping: Cell<bool>,
 }
 
-/// A database.
+/// A simulated database.
 #[derive(Debug)]
 pub struct Database {
-    /// What it is made of.
+    /// Its fixed properties.
     pub make: Make,
-    /// What changes.
+    /// The changing state of a database.
     pub state: RefCell<State>,
-    /// Its troubles.
+    /// The active faults of a database.
     pub trouble: Trouble,
-    /// Its slots.
+    /// The slots in which statements run.
     pub slots: Semaphore,
-    /// Wakes whoever waits for a change of it.
+    /// Signals a change of state.
     pub changed: Notify,
 }
 
 impl Database {
-    /// A database that runs.
+    /// Creates a running database.
     pub fn new(make: Make, primary: bool, term: u64, log: Log) -> Rc<Self> {
         let slots = Semaphore::new(make.slots as usize);
         let applied = log.len();
@@ -122,12 +122,12 @@
         })
     }
 
-    /// Its machine.
+    /// Its node in the network.
     pub fn node(&self) -> Node {
         Node::Database(self.make.id.clone())
     }
 
-    /// Its entry in the register.
+    /// Its entry in the register of databases.
     pub fn entry(&self) -> config::Database {
         let state = self.state.borrow();
         config::Database {
@@ -142,13 +142,13 @@
         }
     }
 
-    /// Whether it runs, and in which life.
+    /// The number of its current run; `None` while it is down.
     pub fn life(&self) -> Option<u64> {
         let state = self.state.borrow();
         state.up.then_some(state.life)
     }
 
-    /// Ends at once, or starts again with its log.
+    /// Stops the database at once, or starts it again with its log.
     pub fn set_up(&self, up: bool) {
         let mut state = self.state.borrow_mut();
         if state.up == up {
@@ -165,7 +165,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Loses all that it holds and knows.
+    /// Discards its log, term and role, as a new installation under the same id.
     pub fn forget(&self) {
         let mut state = self.state.borrow_mut();
         state.born += 1;
@@ -176,7 +176,7 @@
         state.applied = 0;
     }
 
-    /// Completes once this life is over.
+    /// Completes once the run numbered `life` has ended.
     pub async fn ended(&self, life: u64) {
         loop {
             let changed = self.changed.notified();
@@ -187,19 +187,19 @@
         }
     }
 
-    /// How far readers see.
+    /// The position up to which entries are applied and visible to reads.
     pub fn position(&self) -> Position {
         let state = self.state.borrow();
         state.log.position(state.applied)
     }
 
-    /// How far it received.
+    /// The position of the last entry received.
     pub fn received(&self) -> Position {
         let state = self.state.borrow();
         state.log.position(state.log.len())
     }
 
-    /// Whether readers see a position.
+    /// Whether the entry at a position is applied and visible to reads.
     pub fn has(&self, position: Position) -> bool {
         let state = self.state.borrow();
         let offset = usize::try_from(position.offset.0).unwrap_or(usize::MAX);
@@ -210,7 +210,7 @@
         }
     }
 
-    /// A primary adds an entry, which its readers see at once.
+    /// Appends an entry to the primary's log; it is visible to reads at once.
     pub fn append(&self) -> Position {
         let mut state = self.state.borrow_mut();
         let term = state.term;
@@ -219,7 +219,7 @@
         state.log.position(state.applied)
     }
 
-    /// Leads a new term with what it received.
+    /// Becomes primary of a new term and applies all that it received.
     pub fn lead(&self, term: u64) {
         let mut state = self.state.borrow_mut();
         state.primary = true;
@@ -229,7 +229,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Ceases to lead, if its term is lower.
+    /// Steps down as primary if its term is lower than `term`. Returns whether it did.
     pub fn step_down(&self, term: u64) -> bool {
         let mut state = self.state.borrow_mut();
         let steps = state.primary && state.term < term;
@@ -239,8 +239,8 @@
         steps
     }
 
-    /// Receives the first `count` entries of the primary of `term`; what it has beyond them from
-    /// an earlier term is rolled back. Tells whether its role changed.
+    /// Receives the first `count` entries of the primary of `term`. Entries beyond them from an
+    /// earlier term are rolled back. Returns whether this demoted a primary.
     pub fn receive(&self, log: &Log, term: u64, count: usize) -> bool {
         let mut state = self.state.borrow_mut();
         if state.term > term {
@@ -262,7 +262,7 @@
         demoted
     }
 
-    /// Lets readers see the first `count` entries, as received in `term`.
+    /// Makes the first `count` entries visible to reads, if they were received in `term`.
     pub fn apply(&self, term: u64, count: usize) {
         let mut state = self.state.borrow_mut();
         if state.term == term && state.applied < count && count <= state.log.len() {
--- a/src/standin/direct/fault.rs
+++ b/src/standin/direct/fault.rs
@@ -1,4 +1,4 @@
-//! Troubles of a world, as values that can be drawn, printed and ended.
+//! Faults of a simulated world, as values that can be drawn at random, printed, begun and ended.
 
 use crate::clock::Span;
 use crate::standin::direct::database::Database;
@@ -13,84 +13,84 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long a VM that was stopped in turn takes to start again.
+/// How long a VM takes to start again after its stop in a rolling restart.
 const RESTART: Duration = Duration::from_millis(500);
 
-/// A trouble.
+/// A fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// A database crashes; at the end it comes back.
+    /// A database crashes; when the fault ends, it restarts with its log.
     Crash(DatabaseId),
-    /// A database crashes; at the end it starts again under its id, with nothing of before.
+    /// A database crashes; when the fault ends, it restarts under the same id without its data.
     Reborn(DatabaseId),
-    /// A machine is cut from all others.
+    /// A node is partitioned from all others.
     Dark(Node),
-    /// Two machines are cut from each other.
+    /// Two nodes are partitioned from each other.
     Cut(Node, Node),
-    /// A database is about to end, and is replaced after the span.
+    /// A database is decommissioned, and replaced by a new one after the span.
     Leave(DatabaseId, Span),
-    /// A database receives nothing.
+    /// A database receives no log entries.
     Deaf(DatabaseId),
-    /// A database applies this much later.
+    /// A replica applies entries this much later.
     Lag(DatabaseId, Span),
-    /// A database takes this much longer for a statement.
+    /// Each statement of a database takes this much longer.
     Slow(DatabaseId, Span),
-    /// So many answers of a database are lost after their effect.
+    /// This many answers of a database are lost after the statements took effect.
     LoseAnswers(DatabaseId, u32),
-    /// So many statements of a database fail after they ran.
+    /// This many statements of a database fail after they ran.
     Fail(DatabaseId, u32),
-    /// A VM is killed; at the end it is started.
+    /// A VM is killed, and started when the fault ends.
     Kill(VmId),
-    /// A VM is asked to stop; at the end it is started.
+    /// A VM is asked to stop within the span, and started when the fault ends.
     Stop(VmId, Span),
-    /// A VM is frozen.
+    /// A VM's process is suspended.
     Freeze(VmId),
-    /// A VM's clock goes on by this much that its timers don't count.
+    /// A VM's clock jumps forward by this much, which its timers don't count.
     Jump(VmId, Span),
-    /// The store does not serve some VMs, or none.
+    /// The store does not serve the named VMs; without names, it serves none.
     Store(store::Health, Option<BTreeSet<VmId>>),
-    /// The store is slow.
+    /// Each call of the store takes this much longer.
     StoreSlow(Span),
     /// The store loses the answers of writes.
     StoreLosing(Losing),
-    /// The store forgets its history.
+    /// The store discards its history of changes.
     Forget,
-    /// The store is away, and comes back from a copy that is so old; what the operator and the databases wrote is
-    /// written again after so long.
+    /// The store is unavailable and is then restored from a backup as old as the first span. What
+    /// the operator and the databases wrote since is written again after the second span.
     Restore(Span, Span),
-    /// Orders are not taken as they should be.
+    /// The platform refuses orders, or loses their answers.
     Orders(orders::Health),
-    /// The configuration gains a route and loses the one that it gained before.
+    /// The configuration gains a route and loses the one that an earlier such fault added.
     Configure,
-    /// All open connections of VMs break.
+    /// All open connections of VMs are reset.
     Reset,
-    /// All open connections of VMs go silent for good; new ones work.
+    /// All open connections of VMs stop carrying data for good; new ones work.
     Silence,
-    /// The connections between VMs go silent for good; new ones work.
+    /// All open connections between VMs stop carrying data for good; new ones work.
     SilencePeers,
-    /// So many of a hundred statements of a database fail, while it is well otherwise.
+    /// This many of a hundred statements of a database fail, while it is healthy otherwise.
     Grey(DatabaseId, u32),
-    /// A database crashes and comes back by turns of this length.
+    /// A database crashes and restarts alternately, once per span.
     Flap(DatabaseId, Span),
-    /// A machine is cut from several others.
+    /// A node is partitioned from several others.
     Sever(Node, Vec<Node>),
-    /// Bytes from and to a machine take this much longer.
+    /// Bytes from and to a node take this much longer.
     SlowLink(Node, Span),
-    /// A VM gets no processor time for a while, by turns.
+    /// A VM is suspended and resumed in turns.
     Starve(VmId, Turns),
-    /// VMs are killed at once; at the end they are started.
+    /// VMs are killed at the same time, and started when the fault ends.
     KillAll(Vec<VmId>),
-    /// VMs are stopped and started one after the other: how long they may take, and how long
-    /// after one the next is stopped.
+    /// VMs are restarted one after the other. The first span is the grace of each stop, the second
+    /// the interval between stops.
     Roll(Vec<VmId>, Span, Span),
-    /// A VM is removed for good, and a new one comes at another address.
+    /// A VM is removed for good and replaced by a new one at another address.
     Replace(VmId),
-    /// So many configurations, one after the other after this long.
+    /// This many new configurations come into force, this long after each other.
     Storm(u32, Span),
 }
 
 impl Fault {
-    /// Begins it.
+    /// Starts the fault.
     pub fn begin(&self, world: &Rc<World>) {
         match self {
             Self::Crash(id) | Self::Reborn(id) => with(world, id, Group::crash),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Ends it.
+    /// Ends the fault, where it has an end.
     pub fn end(&self, world: &Rc<World>) {
         match self {
             Self::Crash(id) => with(world, id, |group, database| {
@@ -171,7 +171,7 @@
                 world.network.spawn(roll);
             }
             Self::Replace(vm) => {
-                // The name of a new VM is valid like the first ones'.
+                // The generated name of a new VM is always valid.
                 let _ = world.replace_vm(vm);
             }
             Self::Storm(count, gap) => {
@@ -233,7 +233,7 @@
 fn start(world: &Rc<World>, vm: &VmId) {
     world.kill_vm(vm);
     if let Some(number) = World::number_of(vm) {
-        // A VM's name that was valid once stays so.
+        // The name was valid when the VM was first started.
         let _ = world.start_vm(number);
     }
 }
--- a/src/standin/direct/group.rs
+++ b/src/standin/direct/group.rs
@@ -16,29 +16,29 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// The table in which databases register.
+/// The store's table in which databases register.
 pub const REGISTER: &str = "databases";
 
-/// How long a database takes to tell the store of a change.
+/// How long a database takes to report a change to the store.
 const REPORT: Duration = Duration::from_millis(20);
 
-/// After how long of silence an entry of the register goes.
+/// How long after a database's crash its entry is removed from the register.
 const EXPIRY: Duration = Duration::from_millis(3_600);
 
-/// How long an old primary goes on after it reaches the new one.
+/// How long a replaced primary goes on as primary after its successor reaches it.
 const HANGING_ON: Duration = Duration::from_secs(1);
 
-/// A group.
+/// A group of databases that replicate one log.
 pub struct Group {
-    /// Its id.
+    /// The group's id.
     pub id: GroupId,
-    /// Whether a commit waits until a replica has it.
+    /// Whether a commit waits until a replica has received it.
     pub durable: bool,
     /// How long a promotion takes.
     pub promotion: Duration,
     network: Rc<Network>,
     store: Rc<Store>,
-    /// What happens.
+    /// The events of all databases.
     pub journal: Journal,
     members: RefCell<Vec<Rc<Database>>>,
     leader: RefCell<DatabaseId>,
@@ -56,7 +56,7 @@
 }
 
 impl Group {
-    /// A group whose first member leads, registered.
+    /// Creates a group whose first member is the primary, and registers its members.
     pub fn new(
         id: GroupId,
         promotion: Duration,
@@ -85,23 +85,24 @@
         group
     }
 
-    /// Its databases, those that are down as well.
+    /// Its databases, including those that are down.
     pub fn members(&self) -> Vec<Rc<Database>> {
         self.members.borrow().clone()
     }
 
-    /// One of them.
+    /// A member by its id.
     pub fn member(&self, id: &DatabaseId) -> Option<Rc<Database>> {
         let members = self.members.borrow();
         members.iter().find(|m| m.make.id == *id).cloned()
     }
 
-    /// Who really leads.
+    /// The database that was promoted last, whatever others consider themselves.
     pub fn leader(&self) -> DatabaseId {
         self.leader.borrow().clone()
     }
 
-    /// A commit at a database, told to its replicas. Nothing if it does not lead any more.
+    /// Commits writes at a database and replicates them. Returns the commit's number, or `None` if
+    /// the database is not primary any more.
     pub async fn commit(
         self: &Rc<Self>,
         database: &Rc<Database>,
@@ -131,7 +132,7 @@
         Some(number)
     }
 
-    /// Tells all others what a database has.
+    /// Replicates the log of a database to all other members.
     fn ship_all(self: &Rc<Self>, from: &Rc<Database>) {
         for to in self.members() {
             if to.make.id != from.make.id {
@@ -141,7 +142,7 @@
     }
 
     fn ship(self: &Rc<Self>, from: &Rc<Database>, to: &Rc<Database>) {
-        // A leader that comes back has all that it could tell itself.
+        // A primary that restarts has nothing to receive from itself.
         if Rc::ptr_eq(from, to) {
             return;
         }
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Takes an order to promote a database.
+    /// Executes an order to promote a database.
     pub fn promote(self: &Rc<Self>, id: &DatabaseId) -> Promoted {
         let Some(database) = self.member(id) else {
             return Promoted::NotRunning;
@@ -209,7 +210,8 @@
         if life.is_none() || !self.network.reaches(&Node::Orders, &database.node()) {
             return Promoted::NotRunning;
         }
-        // As the platform says: whoever leads now need not be made to, whatever is on its way.
+        // As the platform defines: promoting the current primary succeeds, even during another
+        // promotion.
         if self.leader() == *id {
             return Promoted::Done;
         }
@@ -256,7 +258,7 @@
         self.ship_all(database);
     }
 
-    /// A database crashes; its entry goes after a while.
+    /// Crashes a database. Its entry is removed from the register later, unless it is back by then.
     pub fn crash(self: &Rc<Self>, database: &Rc<Database>) {
         database.set_up(false);
         let node = database.node();
@@ -270,7 +272,7 @@
         });
     }
 
-    /// A crashed database comes back with its log: as a replica if another leads.
+    /// Restarts a crashed database with its log, as a replica if another leads.
     pub fn restart(self: &Rc<Self>, database: &Rc<Database>) {
         database.set_up(true);
         if self.leader() != database.make.id {
@@ -283,7 +285,7 @@
         self.ship_all_if_primary(database);
     }
 
-    /// A crashed database starts again under its id and holds nothing of before.
+    /// Restarts a crashed database under the same id without its data.
     pub fn rebear(self: &Rc<Self>, database: &Rc<Database>) {
         database.forget();
         self.restart(database);
@@ -295,7 +297,7 @@
         }
     }
 
-    /// A database is about to end, and is replaced by a new one at its address.
+    /// Decommissions a database and replaces it by a new one at its address.
     pub fn leave(self: &Rc<Self>, database: &Rc<Database>, drain: Span) {
         database.state.borrow_mut().leaving = true;
         self.report(database);
@@ -332,7 +334,7 @@
         }
     }
 
-    /// A database tells the store how it stands, as soon as it reaches it.
+    /// Writes a database's entry to the store, as soon as it reaches it.
     pub fn report(self: &Rc<Self>, database: &Rc<Database>) {
         let (group, database) = (self.clone(), database.clone());
         self.network.spawn(async move {
--- a/src/standin/direct/host.rs
+++ b/src/standin/direct/host.rs
@@ -1,4 +1,4 @@
-//! A process on virtual time: tasks that can be frozen and killed together.
+//! A simulated process on virtual time: a set of tasks that can be frozen and killed together.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -10,16 +10,16 @@
 use tokio::time::Instant;
 
 thread_local! {
-    /// The process that runs now.
+    /// The name of the process that runs now.
     static CURRENT: RefCell<Rc<str>> = RefCell::new(Rc::from("-"));
     /// How often this thread panicked.
     static PANICS: Cell<u64> = const { Cell::new(0) };
-    /// When the world began.
+    /// When the simulation began.
     static BEGAN: Cell<Option<Instant>> = const { Cell::new(None) };
 }
 
-/// Counts panics of this thread from the first call on: a task that panics ends without a word, and
-/// the world would go on as if a VM had only fallen silent.
+/// Counts panics of this thread from the first call on. A panic in a task ends only that task,
+/// without an error elsewhere: the simulation would go on as if a VM had only fallen silent.
 pub fn panics() -> u64 {
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
@@ -32,13 +32,13 @@
     PANICS.get()
 }
 
-/// What logs begin with: the milliseconds since the world began, and the process that runs.
+/// The prefix of log lines: the milliseconds since the simulation began, and the running process.
 pub fn log_prefix() -> String {
     let began = BEGAN.get().map_or(0, |began| began.elapsed().as_millis());
     CURRENT.with_borrow(|name| format!("{began} {name} "))
 }
 
-/// Handles a running process.
+/// Controls a running process.
 #[derive(Debug)]
 pub struct Host {
     name: Rc<str>,
@@ -48,7 +48,7 @@
     waker: RefCell<Option<Waker>>,
 }
 
-/// The process itself, which whoever started it has to drive.
+/// The process as a future, which the code that starts it has to poll.
 #[derive(Debug)]
 pub struct Process {
     tasks: Option<LocalSet>,
@@ -56,7 +56,7 @@
 }
 
 impl Host {
-    /// A process of one first task, which may start more by `spawn_local`.
+    /// Creates a process with one first task, which may start more by `spawn_local`.
     pub fn start(name: &str, first: impl Future<Output = ()> + 'static) -> (Rc<Host>, Process) {
         let host = Rc::new(Host {
             name: name.into(),
@@ -74,24 +74,24 @@
         (host, process)
     }
 
-    /// Stops or goes on running the process. Its timers go off when it wakes.
+    /// Suspends or resumes the process. Timers that are due by then fire when it resumes.
     pub fn freeze(&self, frozen: bool) {
         self.frozen.set(frozen);
         self.wake();
     }
 
-    /// Lets the process run and stop by turns until it is told not to.
+    /// Marks the process as one that is suspended and resumed in turns, or ends that.
     pub fn starve(&self, starved: bool) {
         self.starved.set(starved);
         self.freeze(false);
     }
 
-    /// Whether it runs and stops by turns.
+    /// Whether it is being suspended and resumed in turns.
     pub fn is_starved(&self) -> bool {
         self.starved.get() && !self.killed.get()
     }
 
-    /// Ends the process at once, in the midst of what it does.
+    /// Ends the process at once, in the middle of whatever it does.
     pub fn kill(&self) {
         self.killed.set(true);
         self.wake();
@@ -139,8 +139,8 @@
     }
 }
 
-/// Plays a future and all that it spawns locally, on a clock of its own that jumps from timer to
-/// timer.
+/// Runs a future and all tasks that it spawns locally on a paused clock, which advances from timer
+/// to timer.
 pub fn play<T>(future: impl Future<Output = T>) -> std::io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
--- a/src/standin/direct/journal.rs
+++ b/src/standin/direct/journal.rs
@@ -1,4 +1,4 @@
-//! What really happened at the databases, against which callers' answers are checked.
+//! The events at the databases, against which callers' answers are checked.
 
 use crate::types::{DatabaseId, GroupId, Position, Term, VmId};
 use bytes::Bytes;
@@ -10,54 +10,54 @@
 /// One statement that a database ran.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// Its id.
+    /// The statement's id.
     pub id: Box<str>,
-    /// Its text as it came.
+    /// Its text as received.
     pub text: Box<str>,
-    /// At which database.
+    /// The database that ran it.
     pub database: DatabaseId,
-    /// Of which group.
+    /// The group.
     pub group: GroupId,
-    /// On which connection.
+    /// The connection's number.
     pub connection: u64,
-    /// On whose behalf that was opened.
+    /// The organisation for which the connection was opened.
     pub organisation: Box<str>,
-    /// In which transaction of all; none outside one.
+    /// The transaction's number, unique in the world; `None` outside a transaction.
     pub transaction: Option<u64>,
-    /// The session's values.
+    /// The session's settings.
     pub values: BTreeMap<Box<str>, Box<str>>,
     /// The shape of the prepared statement that was run.
     pub shape: Option<Box<str>>,
-    /// How far the log was that it saw.
+    /// The log position that a read saw.
     pub saw: Position,
-    /// Whether the database took itself for the primary.
+    /// Whether the database considered itself the primary.
     pub primary: bool,
-    /// When it was run.
+    /// When it ran.
     pub at: Instant,
-    /// The signature.
+    /// The signature of this run, unique in the world, which the answer returns.
     pub signature: Box<str>,
-    /// The rows.
+    /// The rows that it returned.
     pub rows: Vec<Bytes>,
-    /// The commit that it made.
+    /// The number of the commit that it made.
     pub commit: Option<u64>,
 }
 
-/// One commit that wrote.
+/// One commit with writes.
 #[derive(Debug, Clone)]
 pub struct Commit {
-    /// In which group.
+    /// The group.
     pub group: GroupId,
-    /// At which database.
+    /// The database that committed it.
     pub database: DatabaseId,
-    /// Where in its log.
+    /// The commit's position in the log.
     pub position: Position,
-    /// The ids of the writes, and what they wrote.
+    /// The writes of the commit.
     pub writes: Vec<Write>,
-    /// When.
+    /// When it was committed.
     pub at: Instant,
-    /// Whether another database led already.
+    /// Whether another database had been promoted already.
     pub replaced: bool,
-    /// Since when it is lost, by a promotion.
+    /// When a promotion lost it.
     pub lost: Option<Instant>,
 }
 
@@ -66,70 +66,71 @@
 pub struct Write {
     /// The statement's id.
     pub id: Box<str>,
-    /// What was written.
+    /// The item that was written.
     pub item: Box<str>,
-    /// Its data.
+    /// The data that was written.
     pub data: Box<str>,
 }
 
 /// An order to promote that arrived.
 #[derive(Debug, Clone)]
 pub struct Ordered {
-    /// Who gave it.
+    /// The VM that gave it.
     pub holder: crate::types::VmId,
-    /// Under which token.
+    /// The fencing token.
     pub token: u64,
-    /// Which group.
+    /// The group whose primary is to be replaced.
     pub group: GroupId,
-    /// Who shall lead.
+    /// The database to promote.
     pub database: DatabaseId,
     /// When it arrived.
     pub at: Instant,
 }
 
-/// A primary that has taken over.
+/// A completed promotion.
 #[derive(Debug, Clone)]
 pub struct Reign {
-    /// Of which group.
+    /// The group.
     pub group: GroupId,
-    /// Who leads.
+    /// The new primary.
     pub database: DatabaseId,
-    /// Since when.
+    /// When it took over.
     pub at: Instant,
 }
 
-/// All that happened.
+/// All events of a world.
 #[derive(Debug, Default)]
 pub struct Book {
     /// Statements that ran, in order.
     pub runs: Vec<Run>,
-    /// Commits that wrote, by their numbers.
+    /// Commits with writes, in order of their numbers.
     pub commits: Vec<Commit>,
-    /// How many commits before those were forgotten.
+    /// How many earlier commits were discarded.
     pub forgotten: u64,
-    /// What each term of a group began on.
+    /// The last position before each term of a group.
     pub begun: BTreeMap<(GroupId, Term), Position>,
-    /// Orders, in order.
+    /// Orders to promote, as they arrived.
     pub orders: Vec<Ordered>,
-    /// Changes of primary, in order.
+    /// Completed promotions, in order.
     pub reigns: Vec<Reign>,
     /// How often each VM connected to each database.
     pub openings: BTreeMap<(DatabaseId, VmId), u64>,
-    /// Ids of connections and transactions given out.
+    /// The last number given to a connection, transaction or run.
     pub given: u64,
 }
 
-/// The journal as all databases write it.
+/// The events, shared by all databases.
 pub type Journal = Rc<RefCell<Book>>;
 
 impl Book {
-    /// A commit by its number, unless it was forgotten.
+    /// Returns a commit by its number, unless it was discarded.
     pub fn commit(&self, number: u64) -> Option<&Commit> {
         let index = number.checked_sub(self.forgotten)?;
         self.commits.get(usize::try_from(index).ok()?)
     }
 
-    /// Notes a commit, and what its term began on if it is the first of it.
+    /// Records a commit, and the position before it if it is the first of its term. Returns its
+    /// number.
     pub fn committed(&mut self, commit: Commit, before: Position) -> u64 {
         let term = (commit.group.clone(), commit.position.term);
         self.begun.entry(term).or_insert(before);
@@ -137,7 +138,7 @@
         self.forgotten + self.commits.len() as u64 - 1
     }
 
-    /// Whether the log that ends at one position has the entry at another.
+    /// Whether the log that ends at position `log` contains the entry at position `entry`.
     pub fn contains(&self, group: &GroupId, mut log: Position, entry: Position) -> bool {
         while log.term > entry.term {
             match self.begun.get(&(group.clone(), log.term)) {
@@ -148,7 +149,7 @@
         log.term == entry.term && log.offset >= entry.offset
     }
 
-    /// Forgets commits, orders and changes of primary from before a moment.
+    /// Discards commits, orders and promotions from before a moment.
     pub fn forget(&mut self, before: Instant) {
         let gone = self.commits.partition_point(|commit| commit.at < before);
         self.commits.drain(..gone);
@@ -157,7 +158,7 @@
         self.reigns.retain(|reign| reign.at >= before);
     }
 
-    /// The next number.
+    /// Returns the next unique number.
     pub fn number(&mut self) -> u64 {
         self.given += 1;
         self.given
--- a/src/standin/direct/known.rs
+++ b/src/standin/direct/known.rs
@@ -1,4 +1,4 @@
-//! What the checker keeps from one part of what was told for the parts that follow.
+//! State that the checker carries from one batch of recorded statements to the next.
 
 use crate::direct::config::Kind;
 use crate::standin::direct::journal::{Book, Run};
@@ -8,33 +8,33 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a session lasts at most after its last write: some operations with their pauses.
+/// The longest that a session lasts after its last write: a few operations with their pauses.
 const SESSION: Duration = Duration::from_secs(180);
 
-/// A commit that a caller knows of.
+/// A commit that was acknowledged to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Seen {
-    /// Its number.
+    /// The commit's number.
     pub commit: u64,
-    /// Where it is.
+    /// Its log position.
     pub position: Position,
-    /// Since when it is known.
+    /// When it was acknowledged.
     pub at: Instant,
 }
 
-/// What is kept.
+/// State of the checker across batches.
 #[derive(Debug, Default)]
 pub struct Known {
-    /// The last order's token and holder.
+    /// The token and holder of the last order.
     pub order: Option<(u64, VmId)>,
-    /// The operation of each transaction, and when its first statement was sent.
+    /// The operation that each transaction belongs to, and when its first statement was sent.
     owners: BTreeMap<u64, (u64, Instant)>,
     groups: BTreeMap<GroupId, Line>,
     sessions: BTreeMap<(u64, GroupId), Line>,
 }
 
-/// Commits that were not lost, by when they were known, each with the furthest up to then. They
-/// are on one log, so whoever has the furthest has all.
+/// Commits that were not lost, ordered by when they were acknowledged, and for each the furthest
+/// one so far. They are all on one log, so a log that contains the furthest contains them all.
 #[derive(Debug, Default)]
 struct Line {
     seen: Vec<Seen>,
@@ -54,13 +54,13 @@
         }
     }
 
-    /// The furthest that was known before a moment.
+    /// The furthest commit acknowledged before a moment.
     fn before(&self, moment: Instant) -> Option<Seen> {
         let count = self.seen.partition_point(|seen| seen.at < moment);
         self.furthest.get(count.checked_sub(1)?).copied()
     }
 
-    /// Keeps only the furthest of those that were known before a moment.
+    /// Keeps only the furthest of the commits acknowledged before a moment.
     fn forget(&mut self, before: Instant) {
         if let Some(furthest) = self.before(before) {
             self.seen.retain(|seen| seen.at >= before);
@@ -70,7 +70,7 @@
 }
 
 impl Known {
-    /// Notes a commit that a session was told of.
+    /// Records a commit that was acknowledged to a session.
     pub fn note(&mut self, group: &GroupId, session: u64, seen: Seen) {
         let line = self.groups.entry(group.clone()).or_default();
         line.seen.push(seen);
@@ -78,13 +78,13 @@
         own.or_default().seen.push(seen);
     }
 
-    /// Leaves out what was lost, and puts the rest in order.
+    /// Removes lost commits and orders the rest by time.
     pub fn sort(&mut self, book: &Book) {
         let lines = self.groups.values_mut().chain(self.sessions.values_mut());
         lines.for_each(|line| line.sort(book));
     }
 
-    /// A commit that a read had to see and did not.
+    /// Returns a commit that a read had to see and did not.
     pub fn missed(&self, book: &Book, said: &Said, run: &Run) -> Option<Seen> {
         let (age, own) = match said.kind {
             Kind::Primary => (Duration::ZERO, false),
@@ -101,13 +101,13 @@
         all.into_iter().chain(own).find(|seen| !has(seen))
     }
 
-    /// The operation that a transaction belongs to: the first that is met in it.
+    /// The operation that a transaction belongs to: that of the first statement found in it.
     pub fn owner(&mut self, transaction: u64, said: &Said) -> u64 {
         let new = (said.operation, said.sent);
         self.owners.entry(transaction).or_insert(new).0
     }
 
-    /// Forgets what is of no more use for operations that began after a moment.
+    /// Discards state that is not needed to check operations that begin after a moment.
     pub fn forget(&mut self, before: Instant) {
         self.owners.retain(|_, (_, sent)| *sent >= before);
         self.groups
--- a/src/standin/direct/link.rs
+++ b/src/standin/direct/link.rs
@@ -1,4 +1,4 @@
-//! A connection in memory that delays bytes, holds them back, or breaks.
+//! An in-memory connection that can delay bytes, hold them back, or break.
 
 use bytes::{Buf, Bytes};
 use std::cell::RefCell;
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// One direction.
+/// One direction of a connection.
 #[derive(Debug)]
 struct Way {
     queue: VecDeque<(Instant, Bytes)>,
@@ -25,7 +25,7 @@
     reader: Option<Waker>,
 }
 
-/// One end.
+/// One end of a connection.
 #[derive(Debug)]
 pub struct Stream {
     input: Rc<RefCell<Way>>,
@@ -33,7 +33,7 @@
     timer: Pin<Box<Sleep>>,
 }
 
-/// What disturbs a connection.
+/// A handle that disturbs a connection.
 #[derive(Debug, Clone)]
 pub struct Link {
     ways: [Rc<RefCell<Way>>; 2],
@@ -66,7 +66,7 @@
     }
 }
 
-/// Connects two ends; bytes take `delay` each way.
+/// Creates a connection whose bytes take `delay` each way.
 pub fn pair(delay: Duration) -> (Stream, Stream, Link) {
     let (a, b) = (Way::new(delay), Way::new(delay));
     let link = Link {
@@ -76,7 +76,7 @@
 }
 
 impl Link {
-    /// Holds all bytes back, or lets them on.
+    /// Holds all bytes back, or releases them.
     pub fn hold(&self, held: bool) {
         for way in &self.ways {
             let mut way = way.borrow_mut();
@@ -90,7 +90,7 @@
         self.ways.iter().any(|way| way.borrow().held)
     }
 
-    /// Changes how long bytes are under way that are sent from now on.
+    /// Sets the delay of bytes that are sent from now on.
     pub fn set_delay(&self, delay: Duration) {
         for way in &self.ways {
             way.borrow_mut().delay = delay;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Breaks the connection: both ends fail at once, and what was under way is lost.
+    /// Resets the connection: both ends fail at once, and bytes in transit are lost.
     pub fn reset(&self) {
         for way in &self.ways {
             let mut way = way.borrow_mut();
@@ -113,19 +113,19 @@
         }
     }
 
-    /// Whether it is silent for good.
+    /// Whether its bytes are held back for good.
     pub fn is_silent(&self) -> bool {
         self.ways.iter().any(|way| way.borrow().silent)
     }
 
-    /// The far end gives the connection up; the near one does not hear of it yet.
+    /// Fails the connection at the far end; the near end does not notice yet.
     pub fn give_up(&self) {
         let mut way = self.ways[1].borrow_mut();
         way.given_up = true;
         way.wake();
     }
 
-    /// Whether it is used no more.
+    /// Whether the connection is no longer in use: both ends are closed, or it is broken.
     pub fn is_over(&self) -> bool {
         self.ways.iter().all(|way| Rc::strong_count(way) <= 1)
             || self.ways.iter().any(|way| way.borrow().broken)
--- a/src/standin/direct/log.rs
+++ b/src/standin/direct/log.rs
@@ -1,5 +1,5 @@
-//! A database's log: only which term wrote which part of it, so that it stays small however long
-//! a world lasts. A term has one writer, so a position names all that is before it.
+//! A database's log. It stores only which term wrote which range of offsets, so that it stays small
+//! in long simulations. A term has one writer, so a position determines all entries before it.
 
 use crate::types::{Offset, Position, Term};
 
@@ -10,19 +10,19 @@
     end: usize,
 }
 
-/// A log.
+/// A log as the ranges that each term wrote.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Log {
     parts: Vec<Part>,
 }
 
 impl Log {
-    /// How many entries it has.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.parts.last().map_or(0, |part| part.end)
     }
 
-    /// Whether it has none.
+    /// Whether the log has no entries.
     pub fn is_empty(&self) -> bool {
         self.parts.is_empty()
     }
@@ -34,13 +34,13 @@
         Some(part.term)
     }
 
-    /// The position of the entry at an offset, or of none.
+    /// The position of the entry at an offset; offset 0 stands before the first entry.
     pub fn position(&self, offset: usize) -> Position {
         let term = self.term_at(offset).unwrap_or(1);
         Position::new(Term(term), Offset(offset as u64))
     }
 
-    /// Adds an entry.
+    /// Appends an entry of `term`.
     pub fn append(&mut self, term: u64) {
         let end = self.len() + 1;
         match self.parts.last_mut() {
@@ -61,7 +61,7 @@
         Log { parts }
     }
 
-    /// How many entries at the front two logs share.
+    /// The length of the common prefix of two logs.
     pub fn shared(&self, other: &Log) -> usize {
         let mut shared = 0;
         for (ours, theirs) in self.parts.iter().zip(&other.parts) {
--- a/src/standin/direct/machine.rs
+++ b/src/standin/direct/machine.rs
@@ -1,4 +1,4 @@
-//! What a VM's program is given.
+//! The environment of a VM's program.
 
 use crate::clock::Span;
 use crate::direct::adapter::{Adapter, LocalFuture};
@@ -12,42 +12,42 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// What a VM's program is given.
+/// The environment of a VM's program.
 #[derive(Debug)]
 pub struct Machine {
     /// The platform.
     pub adapter: Adapter,
-    /// Calls of other VMs.
+    /// Sends questions to other VMs.
     pub call: Wrapped<Call>,
-    /// The VM.
+    /// The VM's id.
     pub vm: VmId,
-    /// Its life.
+    /// Its life: the incarnation of its process.
     pub life: Life,
     /// Its failure domain.
     pub domain: Domain,
-    /// Its processor.
+    /// Its processor cores.
     pub cores: Cores,
     /// The region of each failure domain.
     pub regions: BTreeMap<Domain, Box<str>>,
-    /// Where other VMs ask it.
+    /// The address at which other VMs send questions to it.
     pub address: SocketAddr,
-    /// Some VMs' addresses.
+    /// Addresses of some VMs, to join the others at start.
     pub seeds: Vec<SocketAddr>,
     /// Callers' connections.
     pub streams: mpsc::UnboundedReceiver<Stream>,
-    /// Where other VMs' statements are relayed.
+    /// The address at which it relays statements of other VMs.
     pub relay: SocketAddr,
-    /// Other VMs' streams, for relaying.
+    /// Streams from other VMs whose statements it relays.
     pub relays: mpsc::UnboundedReceiver<Stream>,
-    /// Other VMs' questions.
+    /// Questions from other VMs, each with the channel for its answer.
     pub questions: mpsc::UnboundedReceiver<(Question, oneshot::Sender<Answer>)>,
-    /// Completes when the VM shall stop, with how long it may take.
+    /// Completes when the VM has to stop, with its grace period.
     pub stop: oneshot::Receiver<Span>,
-    /// Whether it takes new callers.
+    /// Whether it accepts new callers; set by the program.
     pub ready: Rc<Cell<bool>>,
 }
 
-/// A closure, which has nothing to print.
+/// A closure, with a constant `Debug` output.
 #[derive(Clone)]
 pub struct Wrapped<T>(pub T);
 
@@ -57,5 +57,5 @@
     }
 }
 
-/// What runs on each VM.
+/// The program that runs on each VM.
 pub type Program = Rc<dyn Fn(Machine) -> LocalFuture<()>>;
--- a/src/standin/direct/mod.rs
+++ b/src/standin/direct/mod.rs
@@ -1,10 +1,11 @@
-//! Stand-ins for a platform that replaces primaries by order, in the product's own words, on
-//! virtual time and without sockets: its [`store`], its [`database`]s, and a [`world`] of VMs in
-//! failure domains with callers whose every answer is checked.
+//! Simulated platform for direct access, where primaries are replaced by order, on virtual time and
+//! without sockets: its [`store`], its [`database`]s, and a [`world`] of VMs in failure domains
+//! with callers whose every answer is checked.
 //!
-//! All runs on one thread in one `LocalSet` under a paused clock, so that a day of failures takes
-//! as long as its work. A VM is a `LocalSet` of its own within ([`host`]), which can be frozen
-//! and killed at any moment. What is under way outside a VM goes on meanwhile.
+//! Everything runs on one thread in one `LocalSet` under a paused clock, so that a simulated day
+//! takes only as long as its computations. Each VM is a `LocalSet` of its own within ([`host`]),
+//! which can be frozen and killed at any moment. Anything in transit outside a VM continues
+//! meanwhile.
 
 pub mod caller;
 pub mod check;
--- a/src/standin/direct/network.rs
+++ b/src/standin/direct/network.rs
@@ -1,4 +1,4 @@
-//! Who reaches whom, and how long bytes are under way.
+//! The simulated network: partitions, delays and bandwidth.
 
 use crate::direct::adapter::LocalFuture;
 use crate::standin::direct::link::{self, Link, Stream};
@@ -13,23 +13,23 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// After how long a database gives up a connection whose other end is not reached.
+/// How long after its other end becomes unreachable a database drops a connection.
 const UNREACHED: Duration = Duration::from_secs(3);
 
-/// How many bytes go over a link before others have their turn.
+/// How many bytes a transfer sends over a link before other transfers get their turn.
 const PORTION: u64 = 16 << 10;
 
-/// What a machine's link carries, in bytes a second each way.
+/// The bandwidth of a node's link, in bytes per second each way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bandwidth(u64);
 
 impl Bandwidth {
-    /// So many megabits a second.
+    /// A bandwidth in megabits per second.
     pub const fn from_megabits(megabits: u64) -> Self {
         Self(megabits * 125_000)
     }
 
-    /// How long a link is busy with so many bytes.
+    /// How long a link takes to transmit `bytes` bytes.
     fn takes(self, bytes: u64) -> Duration {
         Duration::from_micros(bytes.saturating_mul(1_000_000) / self.0.max(1))
     }
@@ -53,7 +53,7 @@
     }
 }
 
-/// A machine's link: what it carries, until when it is busy each way, and what came in over it.
+/// A node's link: its bandwidth, until when it is busy each way, and how many bytes it received.
 #[derive(Debug)]
 struct Port {
     bandwidth: Bandwidth,
@@ -62,38 +62,38 @@
     received: u64,
 }
 
-/// A machine.
+/// A node of the network.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Node {
-    /// One of ours.
+    /// A VM of the proxy.
     Vm(VmId),
-    /// A database's.
+    /// A database.
     Database(DatabaseId),
-    /// The store's.
+    /// The store.
     Store,
-    /// The platform's, which takes orders.
+    /// The platform's endpoint that takes orders to promote.
     Orders,
-    /// Callers' of a failure domain.
+    /// The callers of a failure domain.
     Callers(usize),
 }
 
-/// Whether whoever sent something still holds its connection open.
+/// Shows whether the sender of a call still keeps its connection open.
 #[derive(Debug, Clone)]
 pub struct Sender(Rc<Call>);
 
-/// Resets the connection of a call when it is dropped.
+/// Keeps the connection of a call open, and resets it when dropped.
 #[derive(Debug)]
 pub struct Hold(Rc<Call>);
 
 #[derive(Debug)]
 struct Call {
     open: Cell<bool>,
-    /// When some of the answer came last.
+    /// When a part of the answer last arrived.
     moved: Cell<Option<Instant>>,
 }
 
 impl Sender {
-    /// A call that lasts until the hold is dropped.
+    /// Creates a call whose connection stays open until the hold is dropped.
     pub fn new() -> (Sender, Hold) {
         let call = Rc::new(Call {
             open: Cell::new(true),
@@ -102,14 +102,14 @@
         (Sender(call.clone()), Hold(call))
     }
 
-    /// Whether the call is still waited for.
+    /// Whether the sender still waits for the call.
     pub fn is_open(&self) -> bool {
         self.0.open.get()
     }
 }
 
 impl Hold {
-    /// When some of the answer came last, if any has.
+    /// When a part of the answer last arrived, if any has.
     pub fn moved(&self) -> Option<Instant> {
         self.0.moved.get()
     }
@@ -121,18 +121,18 @@
     }
 }
 
-/// The network.
+/// The simulated network.
 pub struct Network {
-    /// The place of each machine: failure domain and region.
+    /// The failure domain and region of each node.
     places: RefCell<BTreeMap<Node, (usize, usize)>>,
     cuts: RefCell<BTreeSet<(Node, Node)>>,
     dark: RefCell<BTreeSet<Node>>,
-    /// How much longer bytes are under way from and to a machine.
+    /// Additional delay of bytes from and to a node.
     slow: RefCell<BTreeMap<Node, Duration>>,
-    /// The links of machines that carry so much and no more.
+    /// The links of nodes with limited bandwidth.
     ports: RefCell<BTreeMap<Node, Port>>,
     links: RefCell<Vec<(Node, Node, Link)>>,
-    /// At how many connections those that are over are looked for.
+    /// The number of connections at which those no longer in use are next removed.
     sweep: Cell<usize>,
     changed: Notify,
     domain_delay: Duration,
@@ -147,7 +147,7 @@
 }
 
 impl Network {
-    /// A network whose tasks run in the `LocalSet` that this is called in.
+    /// Creates a network whose tasks run in the current `LocalSet`.
     pub fn new(domain_delay: Duration, region_delay: Duration) -> Rc<Self> {
         let (outside, mut tasks) = mpsc::unbounded_channel::<LocalFuture<()>>();
         tokio::task::spawn_local(async move {
@@ -170,17 +170,17 @@
         })
     }
 
-    /// Runs something outside all VMs, whoever calls.
+    /// Runs a task outside all VMs, even when called from a VM's task.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         let _ = self.outside.send(Box::pin(task));
     }
 
-    /// Puts a machine into a failure domain.
+    /// Puts a node into a failure domain and region.
     pub fn place(&self, node: Node, domain: usize, region: usize) {
         self.places.borrow_mut().insert(node, (domain, region));
     }
 
-    /// Puts a machine where another is.
+    /// Puts a node into the failure domain and region of another.
     pub fn place_like(&self, node: &Node, other: &Node) {
         let mut places = self.places.borrow_mut();
         if let Some(place) = places.get(other).copied() {
@@ -188,7 +188,8 @@
         }
     }
 
-    /// How long bytes are under way; nowhere is near everything.
+    /// The delay of bytes between two nodes. A node without a place is one failure domain away from
+    /// all.
     pub fn delay(&self, a: &Node, b: &Node) -> Duration {
         let places = self.places.borrow();
         let near = match (places.get(a), places.get(b)) {
@@ -201,7 +202,7 @@
         near + more(a) + more(b)
     }
 
-    /// Makes bytes from and to a machine take so much longer, or no longer.
+    /// Adds a delay to all bytes from and to a node; zero removes it.
     pub fn slow(&self, node: &Node, more: Duration) {
         match more.is_zero() {
             true => self.slow.borrow_mut().remove(node),
@@ -214,13 +215,13 @@
         }
     }
 
-    /// Forgets a machine that is gone for good.
+    /// Removes a node for good.
     pub fn forget(&self, node: &Node) {
         self.places.borrow_mut().remove(node);
         self.darken(node, false);
     }
 
-    /// Cuts two machines from each other.
+    /// Partitions two nodes from each other.
     pub fn cut(&self, a: &Node, b: &Node) {
         let mut cuts = self.cuts.borrow_mut();
         cuts.insert((a.clone(), b.clone()));
@@ -229,7 +230,7 @@
         self.apply();
     }
 
-    /// Ends a cut.
+    /// Ends the partition between two nodes.
     pub fn mend(&self, a: &Node, b: &Node) {
         let mut cuts = self.cuts.borrow_mut();
         cuts.remove(&(a.clone(), b.clone()));
@@ -238,7 +239,7 @@
         self.apply();
     }
 
-    /// Cuts a machine from all others, or ends that.
+    /// Partitions a node from all others, or ends that.
     pub fn darken(&self, node: &Node, dark: bool) {
         match dark {
             true => self.dark.borrow_mut().insert(node.clone()),
@@ -247,14 +248,14 @@
         self.apply();
     }
 
-    /// Ends all cuts.
+    /// Ends all partitions.
     pub fn heal(&self) {
         self.cuts.borrow_mut().clear();
         self.dark.borrow_mut().clear();
         self.apply();
     }
 
-    /// Whether two machines reach each other.
+    /// Whether two nodes reach each other.
     pub fn reaches(&self, a: &Node, b: &Node) -> bool {
         let dark = self.dark.borrow();
         if dark.is_empty() && self.cuts.borrow().is_empty() {
@@ -264,19 +265,19 @@
         !dark.contains(a) && !dark.contains(b) && !self.cuts.borrow().contains(&cut)
     }
 
-    /// Completes with the next change of cuts.
+    /// Completes with the next change of partitions.
     pub async fn change(&self) {
         self.changed.notified().await;
     }
 
-    /// Completes once two machines reach each other.
+    /// Completes once two nodes reach each other.
     pub async fn reach(&self, a: &Node, b: &Node) {
         while !self.reaches(a, b) {
             self.changed.notified().await;
         }
     }
 
-    /// Gives a machine a link for calls between VMs and of the store, which carries so much and no more.
+    /// Limits the bandwidth of a node's link for calls between VMs and calls of the store.
     pub fn narrow(&self, node: Node, bandwidth: Bandwidth) {
         let now = Instant::now();
         let port = Port {
@@ -288,14 +289,15 @@
         self.ports.borrow_mut().insert(node, port);
     }
 
-    /// How many bytes came in over a machine's link.
+    /// How many bytes arrived over a node's link.
     pub fn received(&self, node: &Node) -> u64 {
         let ports = self.ports.borrow();
         ports.get(node).map_or(0, |port| port.received)
     }
 
-    /// Takes so many bytes over the links of `a` and `b`, and then as [`Network::travel`] does. What is sent
-    /// goes on its way whether its sender waits or not, unless `breaks` says that its end resets it.
+    /// Transmits bytes over the links of `a` and `b`, then continues as [`Network::travel`]. The
+    /// transfer goes on even if the sender no longer waits, unless `breaks` is set: then it ends
+    /// with the sender's connection.
     pub async fn carry(
         &self,
         (a, b): (&Node, &Node),
@@ -316,7 +318,7 @@
         self.travel(a, b, sender).await
     }
 
-    /// Until when a portion takes; none where both links are as wide as need be.
+    /// When the transmission of a portion ends; `None` if neither link has limited bandwidth.
     fn portion(&self, a: &Node, b: &Node, bytes: u64) -> Option<Instant> {
         let now = Instant::now();
         let mut ports = self.ports.borrow_mut();
@@ -332,8 +334,8 @@
         sent.max(received)
     }
 
-    /// Takes a message from `a` to `b`. It is lost, and this false, if whoever sent it gave up
-    /// while it was held back.
+    /// Delivers a message from `a` to `b`. Returns false if the message was lost, because its
+    /// sender gave up while a partition held it back.
     pub async fn travel(&self, a: &Node, b: &Node, sender: &Sender) -> bool {
         tokio::time::sleep(self.delay(a, b)).await;
         if self.reaches(a, b) {
@@ -343,7 +345,8 @@
         sender.is_open()
     }
 
-    /// Connects two machines that reach each other.
+    /// Opens a connection between two nodes; its bytes are held back while they don't reach each
+    /// other.
     pub fn connect(self: &Rc<Self>, a: &Node, b: &Node) -> (Stream, Stream) {
         let (near, far, link) = link::pair(self.delay(a, b));
         link.hold(!self.reaches(a, b));
@@ -356,14 +359,15 @@
         (near, far)
     }
 
-    /// Breaks the connections that `which` chooses.
+    /// Resets the connections that `which` selects.
     pub fn reset(&self, which: impl Fn(&Node, &Node) -> bool) {
         self.each(which, Link::reset);
     }
 
-    /// Silences the connections that `which` chooses; new ones work.
+    /// Stops the connections that `which` selects from carrying data for good; new ones work.
     ///
-    /// A database drops those that it has, as it does when it can't reach the other end.
+    /// A database drops its ends of them after a while, as it does when it can't reach the other
+    /// end.
     pub fn silence(&self, which: impl Fn(&Node, &Node) -> bool) {
         for (a, b, link) in self.links.borrow().iter() {
             if !(which(a, b) || which(b, a)) {
@@ -395,7 +399,7 @@
         self.changed.notify_waiters();
     }
 
-    /// A database gives up a connection that stays held back.
+    /// Makes a database drop a connection that is still held back after a while.
     fn give_up(&self, link: Link) {
         self.spawn(async move {
             tokio::time::sleep(UNREACHED).await;
--- a/src/standin/direct/orders.rs
+++ b/src/standin/direct/orders.rs
@@ -1,4 +1,4 @@
-//! The platform's end that takes orders to promote.
+//! The platform's endpoint that takes orders to promote.
 
 use crate::clock::Time;
 use crate::direct::adapter::{Clock, Promote, Promoted, Promotion};
@@ -13,19 +13,19 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout};
 
-/// How orders are taken.
+/// How the endpoint handles orders.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Health {
-    /// As they should be.
+    /// It executes and answers them.
     #[default]
     Well,
-    /// Turned away.
+    /// It refuses them.
     Refusing,
-    /// Done, and the answer is lost.
+    /// It executes them, and the answers are lost.
     Losing,
 }
 
-/// Takes orders.
+/// The endpoint that takes orders to promote.
 pub struct Orders {
     network: Rc<Network>,
     groups: BTreeMap<GroupId, Rc<Group>>,
@@ -40,7 +40,7 @@
 }
 
 impl Orders {
-    /// Takes orders for some groups.
+    /// Creates an endpoint for some groups.
     pub fn new(network: Rc<Network>, groups: &[Rc<Group>], journal: Journal) -> Rc<Self> {
         let groups = groups.iter().map(|group| (group.id.clone(), group.clone()));
         Rc::new(Self {
@@ -51,13 +51,13 @@
         })
     }
 
-    /// How orders are taken from now on.
+    /// Sets how orders are handled from now on.
     pub fn set_health(&self, health: Health) {
         self.health.set(health);
     }
 
-    /// The way by which a VM gives orders. An order leaves as soon as it is given, and is on its
-    /// way until its deadline resets the connection; a VM that is frozen resets nothing.
+    /// Returns the function with which a VM gives orders. An order is sent at once and stays in
+    /// transit until its deadline resets the connection; a VM that is frozen resets nothing.
     pub fn way(self: &Rc<Self>, clock: Clock) -> Promote {
         let orders = self.clone();
         Rc::new(move |promotion| {
--- a/src/standin/direct/program.rs
+++ b/src/standin/direct/program.rs
@@ -1,4 +1,4 @@
-//! What runs on each VM: the front and the control path, as the real process puts them together.
+//! The program of each VM: the front and the control path, assembled as in the real process.
 
 use crate::clock::Span;
 use crate::direct::adapter::LocalFuture;
@@ -11,13 +11,13 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How often the balancer asks whether the VM is ready.
+/// How often the load balancer checks whether the VM is ready.
 const BALANCER: Duration = Duration::from_secs(1);
 
-/// What is left of the grace when the process ends.
+/// How much of the grace period is left when the process ends.
 const LEFT_OVER: Span = Span::from_millis(500);
 
-/// The program.
+/// Returns the program.
 pub fn program() -> Program {
     Rc::new(|machine| Box::pin(run(machine)) as LocalFuture<()>)
 }
@@ -78,6 +78,6 @@
         tokio::join!(front.stop(grace), relay.stop(grace));
     };
     let all = control.stop(served);
-    // Whatever is still open then would be cut by the kill that follows.
+    // Connections that are still open after the grace are closed by the kill that follows.
     let _ = timeout(grace.into(), all).await;
 }
--- a/src/standin/direct/reach.rs
+++ b/src/standin/direct/reach.rs
@@ -1,4 +1,4 @@
-//! How VMs of a world reach databases and each other.
+//! Connections from VMs to databases, and connections and calls between VMs.
 
 use crate::direct::adapter::{self, Connect};
 use crate::direct::mesh::{Answer, Call, Question};
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Accepts a VM's stream at another VM, which relays its statements.
+    /// Accepts a stream from a VM at another VM, which relays its statements.
     async fn accept_relay(
         self: Rc<Self>,
         vm: VmId,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// How a VM asks others.
+    /// Returns the function with which a VM sends questions to other VMs.
     pub fn call_of(self: &Rc<Self>, vm: &VmId) -> Call {
         let (world, vm) = (self.clone(), vm.clone());
         Rc::new(move |address, question, span| {
@@ -138,7 +138,7 @@
             let running = vms.get(&other);
             running.is_some_and(|running| running.questions.send((question, reply)).is_ok())
         };
-        // Nothing comes of a question whose VM ended meanwhile.
+        // A question gets no answer if its VM ended meanwhile.
         let told = match taken {
             false => Answer::Absent,
             true => match replied.await {
--- a/src/standin/direct/said.rs
+++ b/src/standin/direct/said.rs
@@ -1,4 +1,4 @@
-//! What callers said and were told.
+//! Records of the statements that callers sent and the answers that they received.
 
 use crate::direct::config::Kind;
 use crate::direct::statement::{Answer, Code, End};
@@ -9,51 +9,51 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// One statement of a caller.
+/// One statement of a caller, and its answer.
 #[derive(Debug, Clone)]
 pub struct Said {
-    /// Its number of all.
+    /// The statement's number, unique in the record.
     pub number: u64,
-    /// Its id.
+    /// Its id, by which the databases' journal refers to it.
     pub id: Box<str>,
     /// Its text.
     pub text: Box<str>,
     /// The caller's session.
     pub session: u64,
-    /// The operation: one statement or one transaction.
+    /// The operation that it belongs to: one statement or one transaction.
     pub operation: u64,
-    /// Whether that is a transaction.
+    /// Whether the operation is a transaction.
     pub transaction: bool,
-    /// The VM that the session is at.
+    /// The VM that serves the session.
     pub vm: VmId,
     /// The organisation that holds the session's key; `-` for none.
     pub organisation: Box<str>,
-    /// The route.
+    /// The route that the session names.
     pub route: Box<str>,
-    /// How fresh its reads have to be.
+    /// The freshness that the route guarantees to reads.
     pub kind: Kind,
-    /// The values that were acknowledged when it was sent.
+    /// The session's settings that were acknowledged when it was sent.
     pub values: BTreeMap<Box<str>, Box<str>>,
     /// The shape of the prepared statement that it runs.
     pub shape: Option<Box<str>>,
-    /// When its first byte was sent, or its transaction's.
+    /// When it was sent, or the first statement of its transaction.
     pub since: Instant,
     /// When it was sent.
     pub sent: Instant,
-    /// What it was told, and when.
+    /// Its answer, and when that arrived.
     pub told: Option<(Instant, Answer)>,
-    /// When its connection ended without an answer.
+    /// When the caller gave up without an answer.
     pub broke: Option<Instant>,
 }
 
-/// What was said, in order, but for what was taken out.
+/// The recorded statements in order of their numbers, without those that were taken out.
 #[derive(Debug, Default)]
 pub struct Talk {
     said: Vec<Said>,
     next: u64,
 }
 
-/// All that was said.
+/// A record that callers share.
 pub type Record = Rc<RefCell<Talk>>;
 
 impl Deref for Talk {
@@ -70,20 +70,20 @@
         self.next
     }
 
-    /// Adds a statement, which has the next number.
+    /// Adds a statement, which must have the next number.
     pub fn push(&mut self, said: Said) {
         self.next = said.number + 1;
         self.said.push(said);
     }
 
-    /// A statement by its number.
+    /// Returns a statement by its number.
     pub fn find(&mut self, number: u64) -> Option<&mut Said> {
         let index = self.said.partition_point(|said| said.number < number);
         let said = self.said.get_mut(index)?;
         (said.number == number).then_some(said)
     }
 
-    /// Takes out all operations that began before a moment.
+    /// Removes and returns the statements of all operations that began before a moment.
     pub fn take(&mut self, before: Instant) -> Vec<Said> {
         let first = self.said.partition_point(|said| said.sent < before);
         let first = self.said.get(first).map_or(self.next, |said| said.number);
@@ -94,7 +94,7 @@
 }
 
 impl Said {
-    /// The signature, if it was told to be done.
+    /// The signature in its answer, if it succeeded.
     pub fn signature(&self) -> Option<&str> {
         match &self.told.as_ref()?.1.end {
             End::Done(signature) => signature.as_deref(),
@@ -102,12 +102,12 @@
         }
     }
 
-    /// Whether it was told to be done.
+    /// Whether it succeeded.
     pub fn is_done(&self) -> bool {
         matches!(&self.told, Some((_, answer)) if matches!(answer.end, End::Done(_)))
     }
 
-    /// The error that it was told.
+    /// The error code in its answer.
     pub fn code(&self) -> Option<Code> {
         match self.told.as_ref()?.1.end {
             End::Error { code, .. } => Some(code),
@@ -115,12 +115,12 @@
         }
     }
 
-    /// Whether it was promised that nothing of it is kept.
+    /// Whether its error guarantees that it had no effect.
     pub fn is_promised(&self) -> bool {
         self.code().is_some_and(Code::is_not_run)
     }
 
-    /// When it was acknowledged.
+    /// When it was answered with success.
     pub fn acknowledged(&self) -> Option<Instant> {
         let (at, _) = self.told.as_ref()?;
         self.is_done().then_some(*at)
--- a/src/standin/direct/session.rs
+++ b/src/standin/direct/session.rs
@@ -1,4 +1,4 @@
-//! A session at a database.
+//! The database's side of a session.
 
 use crate::direct::adapter::Garbled;
 use crate::direct::statement::{Answer, Code, End, State, Statement};
@@ -14,13 +14,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep};
 
-/// A session.
+/// The database's side of a session.
 #[derive(Debug)]
 pub struct Session {
     group: Rc<Group>,
     database: Rc<Database>,
     connection: u64,
-    /// On whose behalf it was opened.
+    /// The organisation for which it was opened.
     organisation: Box<str>,
     transaction: Option<Transaction>,
     values: BTreeMap<Box<str>, Box<str>>,
@@ -35,7 +35,7 @@
     writes: Vec<Write>,
 }
 
-/// A statement on its way through the session.
+/// A statement being executed.
 #[derive(Debug)]
 struct Work<'a> {
     id: &'a str,
@@ -43,10 +43,10 @@
     after: Option<Position>,
 }
 
-/// What a statement gives.
+/// The result of a statement: its rows and signature, or an error.
 type Outcome = Result<(Vec<Bytes>, Option<Box<str>>), Code>;
 
-/// Counts a connection while it is open.
+/// Counts a connection of a database's run while it is open.
 #[derive(Debug)]
 struct Counted(Rc<Database>, u64);
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// Serves a connection until it ends or the database does.
+/// Serves a connection until it closes or the database stops.
 pub async fn serve(group: Rc<Group>, database: Rc<Database>, stream: Stream) {
     let Some(life) = database.life() else {
         return;
@@ -226,7 +226,7 @@
         }
     }
 
-    /// What only proxies ask.
+    /// Executes a statement that only the proxy itself sends.
     fn own(&mut self, work: &Work<'_>) -> Option<Outcome> {
         if work.text == "reset" {
             self.values.clear();
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Takes a slot for as long as a statement takes.
+    /// Occupies a slot for as long as a statement takes. Fails with `Busy` if the queue is full.
     async fn work(&self) -> Result<(), Code> {
         let database = &self.database;
         let waiting = database.state.borrow().waiting;
@@ -315,7 +315,8 @@
         fails || self.is_grey()
     }
 
-    /// Whether this statement is of the share that fails, spread evenly.
+    /// Whether this statement is in the share that fails under `grey`, spread evenly over
+    /// statements.
     fn is_grey(&self) -> bool {
         let trouble = &self.database.trouble;
         let count = trouble.counted.get().wrapping_add(1) % 100;
--- a/src/standin/direct/setup.rs
+++ b/src/standin/direct/setup.rs
@@ -1,4 +1,4 @@
-//! What a world is made of: the traders' association in small.
+//! The setup of a world: by default the traders' association on a small scale.
 
 use crate::clock::Span;
 use crate::direct::config::{self, Config, Kind, Route};
@@ -15,19 +15,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Whose places and sizes a world has.
+/// The deployment whose places and sizes are the default.
 const DEPLOYMENT: Deployment = Deployment::Association;
 
-/// How many databases a group has.
+/// The number of databases in a group.
 const COPIES: usize = GROUPS;
 
-/// The port on which VMs talk to each other.
+/// The port on which VMs answer each other's questions.
 pub const MESH_PORT: u16 = 7_000;
 
 /// The port on which VMs relay each other's statements.
 pub const RELAY_PORT: u16 = 7_001;
 
-/// The port of databases.
+/// The port on which databases listen.
 const DATABASE_PORT: u16 = 5_000;
 
 /// A failure domain.
@@ -39,51 +39,52 @@
     pub region: usize,
 }
 
-/// How a kind of route serves.
+/// The properties of one kind of route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Manner {
-    /// What the names of its routes begin with.
+    /// The prefix of its routes' names.
     pub name: Box<str>,
-    /// How fresh its reads are.
+    /// The freshness that it guarantees to reads.
     pub kind: Kind,
-    /// How long a statement may take.
+    /// The timeout of a statement.
     pub timeout: Span,
-    /// Within what it should be answered.
+    /// The objective for the time to an answer.
     pub objective: Span,
 }
 
-/// What a world is made of.
+/// The setup of a world.
 #[derive(Debug, Clone)]
 pub struct Setup {
     /// The failure domains; the databases of a group are in the first three.
     pub places: Vec<Place>,
-    /// The kinds of route, each to each group, first the one that goes first.
+    /// The kinds of route, in order of priority, the most important first. Each group gets a route
+    /// of each kind.
     pub manners: Vec<Manner>,
-    /// How many VMs.
+    /// The number of VMs.
     pub vms: usize,
-    /// The processor of each VM, by its number.
+    /// The processor cores of each VM, by its number.
     pub cores: fn(usize) -> Cores,
-    /// The link of each VM, by its number; none carries whatever is sent.
+    /// The bandwidth of each VM's link, by its number; `None` is unlimited.
     pub link: fn(usize) -> Option<Bandwidth>,
-    /// The era of the store as the world begins.
+    /// The store's era at the start.
     pub era: Era,
-    /// How many groups, of one database a failure domain.
+    /// The number of groups, each with one database per failure domain.
     pub groups: usize,
-    /// Statements that run at once on a database.
+    /// How many statements run at once on a database.
     pub slots: u32,
-    /// Connections that a database takes.
+    /// How many connections a database accepts.
     pub connections: u32,
-    /// The organisations, if callers need a key.
+    /// The organisations and their keys, if callers need a key.
     pub organisations: Option<Organisations>,
     /// How long a promotion takes.
     pub promotion: Duration,
     /// How long a statement takes at a database.
     pub work: Duration,
-    /// How long a replica takes to apply what it received.
+    /// How long a replica takes to apply received entries.
     pub lag: Duration,
-    /// One way between failure domains.
+    /// The one-way delay between failure domains.
     pub domain_delay: Duration,
-    /// One way between regions.
+    /// The one-way delay between regions.
     pub region_delay: Duration,
 }
 
@@ -126,12 +127,12 @@
 }
 
 impl Setup {
-    /// The domain of a place.
+    /// The name of a failure domain, by its index.
     pub fn domain(&self, place: usize) -> Result<Domain, Invalid> {
         self.places[place].domain.parse()
     }
 
-    /// The region of a place.
+    /// The region of a failure domain, by its index.
     pub fn region(&self, place: usize) -> usize {
         self.places[place].region
     }
@@ -158,14 +159,15 @@
     Ok(organisations)
 }
 
-/// Where a host of a failure domain listens.
+/// The address of a host in a failure domain.
 pub fn address(domain: usize, host: usize, port: u16) -> SocketAddr {
     let octet = |number: usize| u8::try_from(number).unwrap_or(u8::MAX);
     let ip = Ipv4Addr::new(10, octet(domain + 1), octet(host / 250), octet(host % 250));
     SocketAddr::from((ip, port))
 }
 
-/// A route of each kind to each group: `primary0`, `bounded0`, `session0` and so on.
+/// The first configuration: a route of each kind to each group, named `primary0`, `bounded0`,
+/// `session0` and so on.
 pub fn first_config(setup: &Setup, groups: &[Rc<Group>]) -> Config {
     let mut routes = BTreeMap::new();
     let mut limited = BTreeMap::new();
--- a/src/standin/direct/store.rs
+++ b/src/standin/direct/store.rs
@@ -1,5 +1,5 @@
-//! The platform's store: rows by table and key with one version that rises, read, followed and
-//! written as [`crate::direct::table`] says, and its troubles.
+//! The platform's store: rows by table and key under one rising version, read, followed and written
+//! as [`crate::direct::table`] defines, with faults that can be injected.
 
 use crate::clock::Span;
 use crate::direct::adapter::{CallStore, LocalFuture};
@@ -15,42 +15,42 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
-/// How long an answer that has begun to come may bring nothing more.
+/// How long an answer that has begun to arrive may pause.
 const STALL: Duration = Duration::from_millis(800);
 
-/// How long a call takes of itself.
+/// The time that each call takes in the store.
 const WORK: Duration = Duration::from_millis(4);
 
-/// How the store takes a call.
+/// How the store handles a call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Health {
-    /// As it should.
+    /// It executes and answers it.
     #[default]
     Well,
-    /// It turns the call away: nothing was done.
+    /// It refuses the call without executing it.
     Refusing,
-    /// It says nothing.
+    /// It does not answer and does not execute the call.
     Silent,
-    /// It breaks the connection; nothing was done, which the caller can't know.
+    /// It resets the connection without executing the call, which the caller can't know.
     Reset,
 }
 
-/// What becomes of writes whose answers are lost.
+/// What happens to writes whose answers are lost.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Losing {
     /// No answer is lost.
     #[default]
     None,
-    /// They are done at once.
+    /// They are executed at once.
     Now,
-    /// They are done after this long, if their condition still holds.
+    /// They are executed after this long, if their condition still holds.
     Later(Span),
 }
 
-/// How long what a row held before is kept, to go back to it.
+/// How long earlier values of rows are kept for a restore.
 const UNDO: Duration = Duration::from_secs(30);
 
-/// What a row held before a change.
+/// The value of a row before a change.
 #[derive(Debug)]
 struct Undo {
     at: Instant,
@@ -58,39 +58,39 @@
     by_platform: bool,
     id: RowId,
     before: Option<(Bytes, u64)>,
-    /// The store's counter before.
+    /// The store's version number before the change.
     number: u64,
 }
 
-/// A row that was written, for whoever looks at what happened.
+/// A record of one write, for inspection by checks and tests.
 #[derive(Debug, Clone)]
 pub struct Written {
-    /// When.
+    /// When it was written.
     pub at: Instant,
-    /// By which VM; none for the platform's own.
+    /// The VM that wrote; `None` for the operator and databases.
     pub by: Option<VmId>,
-    /// The rows, with what they hold now.
+    /// The changed rows with their new values.
     pub rows: Vec<Row>,
 }
 
-/// The store.
+/// The simulated store.
 pub struct Store {
     network: Rc<Network>,
     rows: RefCell<BTreeMap<RowId, (Bytes, u64)>>,
     /// Changes, oldest first.
     history: RefCell<Vec<Row>>,
-    /// Which copy it runs on.
+    /// The era: rises with each restore from a backup.
     era: Cell<Era>,
     number: Cell<u64>,
-    /// Up to which number the history is gone.
+    /// The version number up to which the history was discarded.
     forgotten: Cell<u64>,
     undo: RefCell<VecDeque<Undo>>,
     health: Cell<Health>,
     only: RefCell<Option<BTreeSet<VmId>>>,
     slow: Cell<Span>,
-    /// How long a change takes, one after another.
+    /// How long each change takes; changes are executed one after another.
     pace: Cell<Span>,
-    /// When the changes end that wait.
+    /// When the last of the queued changes ends.
     taken: Cell<Option<Instant>>,
     losing: Cell<Losing>,
     changed: Notify,
@@ -109,7 +109,7 @@
 }
 
 impl Store {
-    /// An empty store in an era.
+    /// Creates an empty store in an era.
     pub fn new(network: Rc<Network>, era: Era) -> Rc<Self> {
         Rc::new(Self {
             network,
@@ -132,29 +132,29 @@
         })
     }
 
-    /// How it takes calls from now on: of all VMs, or of some only.
+    /// Sets how calls are handled from now on, for all VMs or only for some.
     pub fn set_health(&self, health: Health, only: Option<BTreeSet<VmId>>) {
         self.health.set(health);
         *self.only.borrow_mut() = only;
         self.changed.notify_waiters();
     }
 
-    /// How much longer each call takes from now on.
+    /// Sets how much longer each call takes from now on.
     pub fn set_slow(&self, slow: Span) {
         self.slow.set(slow);
     }
 
-    /// How long each change takes from now on, one after another.
+    /// Sets how long each change takes from now on; changes are executed one after another.
     pub fn set_pace(&self, pace: Span) {
         self.pace.set(pace);
     }
 
-    /// What becomes of writes from now on.
+    /// Sets what happens to writes and their answers from now on.
     pub fn set_losing(&self, losing: Losing) {
         self.losing.set(losing);
     }
 
-    /// Forgets its history.
+    /// Discards its history of changes.
     pub fn forget(&self) {
         self.forgotten.set(self.number.get());
         self.history.borrow_mut().clear();
@@ -166,8 +166,8 @@
         Version::new(self.era.get(), self.number.get())
     }
 
-    /// Comes back from a copy as old as `age`, in the next era. What the operator and the databases wrote since is
-    /// written again after `rewrites`, unless they have written there meanwhile.
+    /// Restores a backup as old as `age`, in the next era. What the operator and the databases
+    /// wrote since is written again after `rewrites`, except for rows that were written meanwhile.
     pub fn restore(self: &Rc<Self>, age: Span, rewrites: Span) {
         let copied = Instant::now() - Duration::from(age);
         let lost = self.go_back(copied);
@@ -190,7 +190,8 @@
         });
     }
 
-    /// Undoes what was written after a moment; returns what the platform had written there last.
+    /// Undoes all writes after a moment. Returns the last values of the undone rows that the
+    /// operator or databases had written.
     fn go_back(&self, copied: Instant) -> BTreeMap<RowId, Option<Bytes>> {
         let mut rows = self.rows.borrow_mut();
         let mut undo = self.undo.borrow_mut();
@@ -220,30 +221,30 @@
         self.read.borrow().get(table).cloned().unwrap_or_default()
     }
 
-    /// Counts what is read anew.
+    /// Resets the counts of bytes read.
     pub fn forget_reads(&self) {
         self.read.borrow_mut().clear();
     }
 
-    /// All that was written.
+    /// All recorded writes.
     pub fn log(&self) -> Vec<Written> {
         self.log.borrow().clone()
     }
 
-    /// What was written since a moment.
+    /// The recorded writes since a moment.
     pub fn since(&self, moment: Instant) -> Vec<Written> {
         let log = self.log.borrow();
         let first = log.partition_point(|written| written.at < moment);
         log[first..].to_vec()
     }
 
-    /// The VM that last wrote.
+    /// The VM of the last write by a VM.
     pub fn last_writer(&self) -> Option<VmId> {
         let log = self.log.borrow();
         log.iter().rev().find_map(|written| written.by.clone())
     }
 
-    /// Forgets what was written before a moment, in the history as well.
+    /// Discards the record and the history of writes before a moment.
     pub fn forget_before(&self, before: Instant) {
         let mut log = self.log.borrow_mut();
         let gone = log.partition_point(|written| written.at < before);
@@ -262,7 +263,7 @@
         self.rows.borrow().get(id).map(|(value, _)| value.clone())
     }
 
-    /// The platform writes a row, in any state of the store.
+    /// Writes a row as the operator or a database, whatever the store's health. `None` removes it.
     pub fn put(&self, id: RowId, value: Option<Bytes>) -> Version {
         let mut change = Change::default();
         match value {
@@ -273,7 +274,8 @@
         self.version()
     }
 
-    /// The calls of a VM, which run on outside it.
+    /// Returns the function with which a VM calls the store. Calls continue when the VM is frozen
+    /// or killed.
     pub fn calls_of(self: &Rc<Self>, vm: &VmId) -> CallStore {
         let (store, vm) = (self.clone(), vm.clone());
         Rc::new(move |ask, span| store.call(vm.clone(), ask, span))
@@ -332,7 +334,7 @@
         }
     }
 
-    /// Waits until the changes before this one are done, and this one is.
+    /// Waits until all earlier changes and this one have been executed.
     async fn wait_in_line(&self) {
         let now = Instant::now();
         let begins = self.taken.get().map_or(now, |taken| taken.max(now));
@@ -376,7 +378,7 @@
         }
     }
 
-    /// The rows of a table from a key on, `most` of them at most.
+    /// Reads the rows of a table from the key `from` on, at most `most` of them.
     fn read(&self, vm: &VmId, table: &str, from: &str, most: usize) -> Response {
         let rows = self.rows.borrow();
         let first = RowId::new(table, from);
@@ -423,7 +425,7 @@
         }
     }
 
-    /// A number as it is told in this era.
+    /// A version of the current era from a number.
     fn tagged(&self, number: u64) -> Version {
         Version::new(self.era.get(), number)
     }
@@ -486,7 +488,7 @@
     }
 }
 
-/// How many bytes an answer is, with values in base64.
+/// The size of an answer in bytes, with values in base64.
 fn length(told: &Response) -> u64 {
     let (Response::Rows { rows, .. } | Response::Conflict(rows)) = told else {
         return 0;
@@ -517,7 +519,8 @@
     }
 }
 
-/// Waits for an answer that begins to come within a span, as long as it goes on to come.
+/// Waits for an answer that has to begin to arrive within `span` and then must not pause for longer
+/// than `STALL`.
 async fn while_it_comes<T>(
     answered: impl Future<Output = T>,
     hold: &Hold,
@@ -534,7 +537,7 @@
     }
 }
 
-/// Keeps a call open without an answer until nobody waits for it.
+/// Keeps a call open without an answer until the caller stops waiting.
 async fn hang(mut answer: oneshot::Sender<Result<Response, Fault>>) {
     answer.closed().await;
 }
--- a/src/standin/direct/wire.rs
+++ b/src/standin/direct/wire.rs
@@ -1,4 +1,4 @@
-//! A manner of speaking of the stand-ins' own: a line of words for each part of a message.
+//! The simulation's own text protocol: one line for each part of a message.
 //!
 //! ```text
 //! start ROUTE KEY               start GROUP DATABASE ORGANISATION|-
@@ -16,10 +16,10 @@
 use bytes::{Bytes, BytesMut};
 use std::fmt::Write;
 
-/// The longest line.
+/// The maximum length of a line in bytes.
 const LINE_LIMIT: usize = 1 << 20;
 
-/// The id under which the proxy's own statements travel.
+/// The id of the proxy's own statements.
 pub const OWN: &str = "-";
 
 const CODES: [(Code, &str); 13] = [
@@ -44,7 +44,7 @@
     (State::Failed, "failed"),
 ];
 
-/// What a database is sent.
+/// A message from a proxy to a database.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
     /// The start of a session at a database of this group with this id.
@@ -53,14 +53,14 @@
         group: Box<str>,
         /// The id that the database must have.
         database: Box<str>,
-        /// On whose behalf; [`OWN`] for nobody in particular.
+        /// The organisation for which it is opened; [`OWN`] for none.
         organisation: Box<str>,
     },
     /// A statement.
     Ask {
         /// Its id.
         id: Box<str>,
-        /// A position that the log must have.
+        /// A position that the database must have applied.
         after: Option<Position>,
         /// Its text.
         text: Box<str>,
@@ -69,7 +69,7 @@
     Bye,
 }
 
-/// The functions.
+/// Returns the protocol's functions.
 pub fn wire() -> Wire {
     Wire {
         read_message,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Takes a whole line off the front.
+/// Removes a complete line from the front of `input`. Returns `None` if there is none yet.
 fn line(input: &mut BytesMut) -> Result<Option<Box<str>>, Garbled> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
         return match input.len() > LINE_LIMIT {
@@ -133,7 +133,7 @@
     }
 }
 
-/// What the text of a statement says.
+/// Parses the text of a statement.
 pub fn statement(text: &str) -> Statement {
     let (word, rest) = split(text);
     let (first, more) = split(rest);
@@ -262,7 +262,7 @@
     put(output, format_args!("bye"));
 }
 
-/// Takes a whole answer off the front.
+/// Removes a complete answer from the front of `input`. Returns `None` if there is none yet.
 pub fn read_answer(input: &mut BytesMut, starting: bool) -> Result<Option<Answer>, Garbled> {
     let mut rest = input.clone();
     let mut rows = Vec::new();
@@ -328,7 +328,7 @@
     })
 }
 
-/// Takes a request to a database off the front.
+/// Removes a complete request from the front of `input`. Returns `None` if there is none yet.
 pub fn read_request(input: &mut BytesMut) -> Result<Option<Request>, Garbled> {
     let Some(line) = line(input)? else {
         return Ok(None);
--- a/src/standin/direct/world.rs
+++ b/src/standin/direct/world.rs
@@ -1,4 +1,4 @@
-//! VMs, databases, the store and callers together.
+//! A simulated world: VMs, databases, the store, the network and the platform.
 
 use crate::clock::{Span, Time};
 use crate::direct::adapter::{Adapter, Clock, Documents};
@@ -27,15 +27,15 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep};
 
-/// What every clock shows at the start.
+/// The time that every clock shows at the start.
 const BOOTED: Time = Time(1_000_000_000);
 
-/// How long a VM stops and runs by turns.
+/// For how long a VM is suspended and runs, in turns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Turns {
-    /// How long it stops.
+    /// How long it is suspended.
     pub stops: Span,
-    /// How long it runs then.
+    /// How long it runs afterwards.
     pub runs: Span,
 }
 
@@ -50,33 +50,33 @@
     ready: Rc<Cell<bool>>,
 }
 
-/// The world.
+/// A simulated world.
 pub struct World {
-    /// What it is made of.
+    /// The world's setup.
     pub setup: Setup,
-    /// Who reaches whom.
+    /// The network.
     pub network: Rc<Network>,
     /// The store.
     pub store: Rc<Store>,
-    /// What really happened.
+    /// The events at the databases.
     pub journal: Journal,
     /// The groups.
     pub groups: Vec<Rc<Group>>,
-    /// The end that takes orders.
+    /// The endpoint that takes orders to promote.
     pub orders: Rc<Orders>,
-    /// Bytes of what each VM has answered others.
+    /// How many bytes each VM has sent to others in answers.
     pub told: RefCell<BTreeMap<VmId, u64>>,
-    /// Each configuration that was in force, with since when.
+    /// Each configuration, with the moment at which it came into force.
     pub configs: RefCell<Vec<(Instant, Config)>>,
     program: Program,
     pub(super) vms: RefCell<BTreeMap<VmId, Running>>,
-    /// Which VM is at an address.
+    /// The VM at each address.
     pub(super) addresses: RefCell<BTreeMap<SocketAddr, VmId>>,
-    /// The numbers of the first VMs that were replaced.
+    /// The numbers of the initial VMs that were replaced.
     retired: RefCell<BTreeSet<usize>>,
-    /// The number of the next new VM.
+    /// The number of the next VM to be added.
     next: Cell<usize>,
-    /// How far each VM's clock is ahead.
+    /// How far each VM's clock has jumped ahead.
     ahead: RefCell<BTreeMap<VmId, Rc<Cell<Span>>>>,
     started: Instant,
     lives: Cell<u64>,
@@ -90,7 +90,7 @@
     }
 }
 
-/// The row of the configuration.
+/// The id of the configuration's row.
 pub fn config_row() -> RowId {
     RowId::new("operator", "config")
 }
@@ -105,7 +105,7 @@
 }
 
 impl World {
-    /// A world in the `LocalSet` that this is called in, with its VMs started.
+    /// Creates a world in the current `LocalSet` and starts its VMs.
     pub fn start(setup: Setup, program: Program) -> Result<Rc<Self>, Invalid> {
         let network = Network::new(setup.domain_delay, setup.region_delay);
         let store = Store::new(network.clone(), setup.era);
@@ -156,7 +156,7 @@
         configs.push((Instant::now(), config));
     }
 
-    /// Who holds a key, or held it last.
+    /// The organisation that holds a key, or held it last; `-` for none.
     pub fn holder_of(&self, key: &str) -> Box<str> {
         let key = Key::of(key);
         let configs = self.configs.borrow();
@@ -170,7 +170,8 @@
         holder.map_or(wire::OWN, |holder| holder.as_str()).into()
     }
 
-    /// Puts a configuration in force that has a new route and not the last new one.
+    /// Puts a configuration in force that has a new route, without the route that the last such
+    /// call added.
     pub fn reconfigure(&self) {
         let last = self
             .configs
@@ -186,7 +187,7 @@
         self.configure(config);
     }
 
-    /// How fresh a route's reads have to be.
+    /// The freshness that a route guarantees to reads.
     pub fn kind_of(&self, route: &str) -> Option<Kind> {
         let configs = self.configs.borrow();
         let mut newest = configs.iter().rev();
@@ -209,7 +210,7 @@
         number.checked_sub(1)
     }
 
-    /// The failure domain of a VM.
+    /// The failure domain of a VM by its number.
     pub fn domain_of(&self, number: usize) -> usize {
         number % self.setup.places.len()
     }
@@ -222,7 +223,7 @@
         setup::address(self.domain_of(number), number + 1, setup::RELAY_PORT)
     }
 
-    /// Starts a VM; one that runs is left as it is.
+    /// Starts a VM, unless it is running.
     pub fn start_vm(self: &Rc<Self>, number: usize) -> Result<(), Invalid> {
         let vm = Self::vm(number)?;
         if self.is_running(&vm) {
@@ -273,7 +274,7 @@
         Ok(())
     }
 
-    /// Some VMs' addresses, the first ones of those that were not replaced.
+    /// Addresses of the first three VMs that were not replaced.
     fn seeds(&self) -> Vec<SocketAddr> {
         let (known, retired) = (self.addresses.borrow(), self.retired.borrow());
         let lasts = |number: &usize| match *number < self.setup.vms {
@@ -315,14 +316,14 @@
         }
     }
 
-    /// Freezes a VM or lets it go on. Its clock counts the time.
+    /// Suspends or resumes a VM. Its clock goes on meanwhile.
     pub fn freeze_vm(&self, vm: &VmId, frozen: bool) {
         if let Some(running) = self.vms.borrow().get(vm) {
             running.host.freeze(frozen);
         }
     }
 
-    /// Lets a VM run and stop by turns, or always run.
+    /// Suspends and resumes a VM in turns, or ends that.
     pub fn starve_vm(&self, vm: &VmId, turns: Option<Turns>) {
         let vms = self.vms.borrow();
         let Some(running) = vms.get(vm) else { return };
@@ -358,7 +359,7 @@
         });
     }
 
-    /// A VM's clock goes on by a span that its timers don't count.
+    /// Advances a VM's clock by a span that its timers don't count.
     pub fn jump_clock(&self, vm: &VmId, span: Span) {
         let ahead = self.ahead_of(vm);
         ahead.set(ahead.get() + span);
@@ -370,13 +371,13 @@
         vms.get(vm).is_some_and(|running| !running.host.is_killed())
     }
 
-    /// Whether a VM says that it takes callers.
+    /// Whether a VM runs and reports that it accepts callers.
     pub fn is_ready(&self, vm: &VmId) -> bool {
         let vms = self.vms.borrow();
         vms.get(vm).is_some_and(|running| running.ready.get()) && self.is_running(vm)
     }
 
-    /// All VMs but those that were replaced.
+    /// All VMs, except those that were replaced.
     pub fn all_vms(&self) -> Vec<VmId> {
         self.vms.borrow().keys().cloned().collect()
     }
@@ -388,7 +389,7 @@
         running.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Connects a caller of a failure domain to a VM; nothing comes of it if it does not run.
+    /// Connects a caller of a failure domain to a VM. Returns `None` if the VM does not run.
     pub async fn call_on(self: &Rc<Self>, domain: usize, vm: &VmId) -> Option<Stream> {
         let from = Node::Callers(domain);
         let region = self.setup.region(domain);
--- a/tests/direct_check.rs
+++ b/tests/direct_check.rs
@@ -1,4 +1,4 @@
-//! The checker of direct access finds each rule that is broken.
+//! The checker of direct access finds each kind of violation.
 
 use bytes::Bytes;
 use lentilspoke::direct::config::Kind;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A caller that wrote, and one that read it, both well served.
+/// A write and a later read of it, both answered correctly.
 struct Scene {
     said: Vec<Said>,
     book: Book,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What is found after a change.
+    /// The violations that are found after a change to the scene.
     fn found(change: impl FnOnce(&mut Scene)) -> String {
         let mut scene = Self::new();
         change(&mut scene);
@@ -282,8 +282,8 @@
     }
 }
 
-/// What was told is judged in two parts, the first of which is forgotten: what follows from it for
-/// the second is still found.
+/// Statements are checked in two batches, and the first is discarded before the second. Violations
+/// in the second that follow from the first are still found.
 #[test]
 fn parts_are_judged_like_the_whole() {
     let stale = |s: &mut Scene| s.book.runs[1].saw = "1/0".parse().unwrap();
@@ -307,7 +307,7 @@
             let said = std::slice::from_ref(said);
             let report = compare_on(&mut known, &scene.book, &scene.routes, scene.began, said);
             texts.extend(report.broken);
-            // Nothing of the first part is older than the second one needs.
+            // Everything in the first batch is recent enough to be kept for the second.
             known.forget(scene.began);
             scene.book.forget(scene.began + Duration::from_secs(1));
         }
@@ -320,7 +320,8 @@
     assert_eq!(found(&shared), "inside another caller's transaction");
 }
 
-/// A read on a log that another term went on from sees what is before the fork, and no more.
+/// A log contains the entries of an earlier term up to the position where the next term began, and
+/// none after it.
 #[test]
 fn logs_fork_where_a_term_began() {
     let mut book = Book::default();
--- a/tests/direct_fleet.rs
+++ b/tests/direct_fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of 60 VMs: what control costs them, and how soon they are back.
+//! Fleets of 60 VMs: the cost of control in store calls and bytes, and the time to recover.
 
 mod scene;
 
@@ -17,10 +17,11 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// VMs of a fleet.
+/// The number of VMs in a fleet.
 const VMS: usize = 60;
 
-/// A change takes this long in the part of the store where all rows are: 150 a second.
+/// The time that a change takes in the store's partition that holds all rows: 150 changes per
+/// second.
 const PACE: Span = Span(6_667);
 
 fn fleet() -> Setup {
@@ -31,7 +32,7 @@
     }
 }
 
-/// How many calls of the store are made between two moments.
+/// How many calls of the store are made between two moments, in milliseconds.
 async fn calls(scene: &Scene, from: u64, to: u64) -> u64 {
     scene.until(from).await;
     let before = scene.world.store.calls();
@@ -45,10 +46,11 @@
     ready.count()
 }
 
-/// All VMs lose power at once and start again 1.4 s later, before a store that takes one change after
-/// another. Callers find them ready within a second, which is as often as the balancer asks, and the store
-/// is asked two times a VM at most: with every VM a reader it is asked 206 times. Written one by one, which was
-/// worked out and not played, the last of 60 rows is there after 0.4 s, and the last of 195 after 1.3 s.
+/// All VMs lose power at once and start again 1.4 s later, with a store that executes one change
+/// after another. Callers find them ready within a second, which is the load balancer's interval,
+/// and the store gets two calls per VM at most; if every VM read for itself, it would get 206. If
+/// the rows were written one by one, the last of 60 would be there after 0.4 s and the last of 195
+/// after 1.3 s (calculated, not simulated).
 #[test]
 fn all_vms_lose_power() {
     play(fleet(), |scene| async move {
@@ -65,8 +67,8 @@
     });
 }
 
-/// Nothing fails. The store is asked by the steward and by the few that poll for the configuration, not by
-/// every VM.
+/// Without faults, only the steward and the few VMs that poll for the configuration call the store,
+/// not every VM.
 #[test]
 fn calls_of_a_quiet_fleet_do_not_grow_with_it() {
     play(fleet(), |scene| async move {
@@ -76,8 +78,8 @@
     });
 }
 
-/// The operator changes the configuration twelve times within four seconds. All VMs have the last one a
-/// second later; only those that read for others asked the store for each.
+/// The operator changes the configuration twelve times within four seconds. All VMs have the last
+/// one a second later, and only the VMs that read for others read each one from the store.
 #[test]
 fn configurations_come_in_quick_succession() {
     play(fleet(), |scene| async move {
@@ -94,8 +96,9 @@
     });
 }
 
-/// The operator changes the configuration while the store turns the steward away. Those that read for others
-/// have it, the steward hears of it from their heartbeats, and all others from the steward: within 2.5 s.
+/// The operator changes the configuration while the store refuses the steward's calls. The VMs that
+/// read for others have it, the steward learns of it from their heartbeats, and all others from the
+/// steward: within 2.5 s.
 #[test]
 fn configuration_changes_while_the_steward_is_turned_away() {
     play(fleet(), |scene| async move {
@@ -116,7 +119,7 @@
     });
 }
 
-/// The store forgets its history under all that follow it. Those few read the configuration anew.
+/// The store discards its history while VMs follow it. Only those few read the configuration again.
 #[test]
 fn store_forgets_its_history() {
     play(fleet(), |scene| async move {
@@ -128,9 +131,9 @@
     });
 }
 
-/// The store turns all away for nine seconds, the steward too. Callers notice nothing for as long as leases
-/// last, and each VM asks in vain now and then: without that the steward's offers alone have every VM
-/// read the rows, and ask others to do so.
+/// The store refuses all calls for nine seconds, also the steward's. Callers notice nothing as long
+/// as leases last. Each VM retries only from time to time: otherwise the steward's offers alone
+/// would make every VM read the rows, and ask others to do so.
 #[test]
 fn store_is_away_for_all() {
     play(fleet(), |scene| async move {
@@ -144,9 +147,9 @@
     });
 }
 
-/// Half of the fleet is cut from the steward and from the store for six seconds. The other half goes on
-/// with it; those that were cut have their rows written together once they are back, and all are ready
-/// within two seconds.
+/// Half of the fleet is partitioned from the steward and from the store for six seconds. The other
+/// half keeps its steward. The rows of the partitioned VMs are written together once they are back,
+/// and all are ready within two seconds.
 #[test]
 fn half_is_cut_from_the_steward_and_the_store() {
     play(fleet(), |scene| async move {
@@ -173,7 +176,8 @@
     });
 }
 
-/// The steward is killed. Another VM is the steward within two seconds, after few calls.
+/// After the steward is killed, another VM is the steward within two seconds, with few calls of the
+/// store.
 #[test]
 fn steward_is_lost() {
     play(fleet(), |scene| async move {
@@ -187,7 +191,7 @@
     });
 }
 
-/// The first two seeds are down for good while a VM starts: it asks the third.
+/// A VM starts while the first two seeds are down for good: it registers at the third.
 #[test]
 fn seeds_are_down() {
     play(fleet(), |scene| async move {
@@ -202,9 +206,10 @@
     });
 }
 
-/// A VM is killed while its request to be registered waits at a seed that is frozen, and its next life is
-/// registered by another seed. The frozen one wakes and does what it was asked: the row stays that of the
-/// life that runs. Else a replacement would not wait for the lease that this one holds.
+/// Guards against a VM's row that is overwritten for an earlier life. A VM is killed while its
+/// registration waits at a frozen seed, and its next life is registered by another seed. When the
+/// frozen seed resumes and executes the old registration, the row must stay that of the running
+/// life: otherwise a replacement would not wait for the lease that this life holds.
 #[test]
 fn a_row_is_not_written_for_a_life_that_has_ended() {
     play(fleet(), |scene| async move {
@@ -246,7 +251,7 @@
     });
 }
 
-/// A VM's row as it was written last, and its version.
+/// A VM's row as last written, and its version.
 fn row_of(scene: &Scene, vm: &VmId) -> (Member, table::Version) {
     let log = scene.world.store.log();
     let rows = log.iter().rev().flat_map(|written| &written.rows);
@@ -268,8 +273,8 @@
     fellows.collect()
 }
 
-/// Forty VMs before eighty groups, whose register of 240 databases has 20 KB: as long as the VMs of a fleet ten
-/// times larger would be told.
+/// Forty VMs with eighty groups. The register of 240 databases takes 20 KB, as much as the list of
+/// VMs in a fleet ten times larger.
 fn many_groups() -> Setup {
     Setup {
         vms: 40,
@@ -278,10 +283,10 @@
     }
 }
 
-/// A quarter of what a link of 10 Mbit/s carries in a second.
+/// A quarter of the bytes that a link of 10 Mbit/s carries in a second.
 const QUARTER: u64 = 312_500;
 
-/// What the VM that tells most has told by now.
+/// The most bytes that any VM has sent to others in answers so far.
 fn most_told(scene: &Scene) -> u64 {
     scene
         .world
@@ -293,10 +298,11 @@
         .unwrap_or(0)
 }
 
-/// All VMs start at once before many groups, each of which gets its first lead; then a primary is replaced,
-/// which changes one lead and two entries of the register. No VM tells the others more than a quarter of a
-/// small link carries: whoever knew a list is told what changed, and who knew nothing of a long one reads it
-/// in the store. Told in full, the register alone is 800 KB a change.
+/// All VMs start at once with many groups, each of which gets its first lead. Then a primary is
+/// replaced, which changes one lead and two entries of the register. No VM sends the others more
+/// than a quarter of what a small link carries: a VM that has a list is sent the changes only, and
+/// a VM that lacks a long list reads it from the store. Sent in full, the register alone takes 800
+/// KB per change.
 #[test]
 fn many_groups_are_told_in_short() {
     play(many_groups(), |scene| async move {
@@ -319,8 +325,8 @@
     });
 }
 
-/// The same VMs all lose power, and start again 1.4 s later with nothing. They are told and read as at a first
-/// start, and are ready as soon.
+/// The same VMs all lose power and start again 1.4 s later without any state. The same bounds hold
+/// for what they are sent and read as at the first start, and they are ready as soon.
 #[test]
 fn many_groups_are_known_again_soon() {
     play(many_groups(), |scene| async move {
@@ -359,13 +365,13 @@
     });
 }
 
-/// The VM that holds the duty by the store's row.
+/// The VM that holds the duty according to the store's row.
 fn holder(scene: &Scene) -> VmId {
     let row = scene.world.store.get(&duty_row()).unwrap();
     serde_json::from_slice::<Duty>(&row).unwrap().vm
 }
 
-/// VMs that have more processor read for the others of their failure domain.
+/// VMs with more processor cores read for the others of their failure domain.
 #[test]
 fn strong_vms_read() {
     let mut fellows = fellows(6, 33);
@@ -381,7 +387,8 @@
     assert_eq!(of_domain.count(), 2);
 }
 
-/// Which VMs read, by the size of the fleet: all of few, and two of each failure domain of many.
+/// Which VMs read the store, by the size of the fleet: all VMs of a small fleet, and two per
+/// failure domain of a large one.
 #[test]
 fn readers_of_fleets() {
     let counts = [(3, 3), (3, 6), (6, 33), (7, 83)].map(|(domains, each)| {
@@ -413,7 +420,7 @@
     assert_eq!((near.len(), far.len()), (2, 10));
 }
 
-/// A VM that no list names yet reads for itself: nobody else does.
+/// A VM that is not in any list yet reads for itself, because no other VM reads for it.
 #[test]
 fn a_vm_that_is_not_listed_reads() {
     let own = SocketAddr::from(([10, 9, 0, 1], 7_440));
--- a/tests/direct_random.rs
+++ b/tests/direct_random.rs
@@ -1,5 +1,5 @@
-//! Random faults over whole worlds of direct access, from seeds: a fixed few, and every seed that
-//! failed.
+//! Random faults in whole simulated worlds of direct access: a few fixed seeds, and every seed that
+//! once failed.
 
 use lentilspoke::schedule::direct::{self, Variant};
 
@@ -16,32 +16,34 @@
     assert!(report.told.done > 0, "{report}");
 }
 
-/// Callers of all kinds call on two to four VMs while databases, VMs, the store and the network
-/// fail at random. What each was told has to agree with what the databases ran.
+/// Callers of all kinds use two to four VMs while databases, VMs, the store and the network fail at
+/// random. Every answer has to agree with what the databases ran.
 #[test]
 fn first_seeds() {
     (1..=10).for_each(plays_well);
 }
 
-/// A primary was replaced while it was down, and came back with its old role. Its successor was
-/// lost at once, and it was promoted again: writes were acknowledged on it in its old term, because
-/// it said that it led before the promotion had taken effect.
+/// Guards against writes that are acknowledged in an old term. A primary was replaced while it was
+/// down and came back with its old role. Its successor was lost at once and it was promoted again;
+/// it reported itself as primary before the promotion had taken effect, and so took writes in its
+/// old term.
 #[test]
 fn replaced_primary_is_acted_on_in_its_old_term() {
     plays_well(239);
 }
 
-/// The answer to the first read of a transaction was lost. It is sent again to another database,
-/// where the transaction begins anew: the caller must be given that database's answer, and all
-/// that follows has to run there.
+/// When the answer to the first read of a transaction is lost, the read is sent again to another
+/// database, where the transaction begins anew. The caller has to get that database's answer, and
+/// all later statements have to run there.
 #[test]
 fn transaction_begins_anew_elsewhere() {
     [173, 361, 502, 1025].into_iter().for_each(plays_well);
 }
 
-/// Five to seven VMs before databases of eight connections, so that most statements go through
-/// another VM, while everything fails at random. Seeds 21 and 59 left the databases with connections
-/// that had gone silent, until these drop them as they do when they can't reach the other end.
+/// Five to seven VMs share databases of eight connections, so that most statements are relayed by
+/// another VM, while everything fails at random. With seeds 21 and 59 the databases kept silent
+/// connections open, until they were made to drop them as they do when they can't reach the other
+/// end.
 #[test]
 fn most_statements_are_relayed() {
     let crowded = Variant {
@@ -53,8 +55,8 @@
     }
 }
 
-/// Databases that crash start again under their ids with nothing of before, often within the time
-/// that the register needs to show it. No caller reads from an empty log or writes to one.
+/// Crashed databases restart under the same ids without their data, often before the register shows
+/// it. No caller may read from an empty log or write to one.
 #[test]
 fn crashed_databases_start_again_with_nothing() {
     for crowded in [false, true] {
@@ -69,7 +71,7 @@
     }
 }
 
-/// Twenty VMs, of which six read the store for all, while everything fails at random.
+/// Twenty VMs, of which six read the store for all others, while everything fails at random.
 #[test]
 fn few_vms_read_the_store_for_all() {
     let fleet = Variant {
--- a/tests/direct_standin.rs
+++ b/tests/direct_standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of direct access by themselves.
+//! Tests of the simulated platform of direct access by itself.
 
 use bytes::{Bytes, BytesMut};
 use lentilspoke::clock::Span;
@@ -23,7 +23,7 @@
 
 const SECOND: Span = Span::from_secs(1);
 
-/// A world whose VMs hand their machines over and do nothing.
+/// A world with one VM, whose program only passes its `Machine` to the test.
 async fn idle_world() -> (Rc<World>, Machine) {
     let (machines, mut machine) = mpsc::unbounded_channel();
     let setup = Setup {
@@ -47,7 +47,7 @@
     })
 }
 
-/// A session at a database.
+/// A session with a database, opened from a VM.
 struct Session {
     stream: Box<dyn lentilspoke::direct::adapter::Stream>,
     machine: Rc<Machine>,
@@ -194,7 +194,8 @@
     .unwrap();
 }
 
-/// The old primary answers on after another was promoted, and what it takes is lost.
+/// A replaced primary goes on answering for a while. A promotion keeps what the new primary had
+/// received; what the old one commits later is lost.
 #[test]
 fn promotion_takes_what_was_received() {
     play(async {
@@ -266,8 +267,8 @@
     .unwrap();
 }
 
-/// Plays a fault on an idle world for as long as `during` looks at it. No task may panic meanwhile,
-/// which would end it without a word.
+/// Applies a fault to an idle world while `during` runs, then ends it. No task may panic meanwhile:
+/// a panic would end the task without failing the test.
 fn under<F: Future<Output = ()>>(
     fault: fault::Fault,
     during: impl FnOnce(Rc<World>, Rc<Machine>) -> F,
@@ -367,8 +368,8 @@
     assert_eq!(before.borrow().unwrap(), now + Duration::from_millis(300));
 }
 
-/// A VM is removed for good. Another name and address come in its failure domain, and whoever asks
-/// at the old address is told nothing.
+/// A VM that is removed for good is replaced by one with another name and address in the same
+/// failure domain. Questions to the old address get no answer.
 #[test]
 fn replaced_vm_comes_at_another_address() {
     play(async {
@@ -400,7 +401,7 @@
     .unwrap();
 }
 
-/// A VM that gets no processor time by turns does as much less.
+/// A VM that is suspended in turns does proportionally less work.
 #[test]
 fn starved_vm_runs_by_turns() {
     play(async {
@@ -436,7 +437,8 @@
     .unwrap();
 }
 
-/// Logs are kept as terms and their ends, and behave like lists of their entries' terms.
+/// Logs are stored as terms and the offsets at which they end, and behave like lists of their
+/// entries' terms.
 #[test]
 fn logs_are_like_lists() {
     fn same(ours: Vec<u8>, theirs: Vec<u8>, count: usize) -> bool {
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -1,4 +1,4 @@
-//! A world of stand-ins with callers, played for some seconds while faults come and go.
+//! A simulated world with callers, run for some seconds while faults begin and end.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -18,23 +18,23 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How long a world takes to start before callers come.
+/// How long a world runs before callers start.
 const WARM: Duration = Duration::from_secs(5);
 
-/// How long callers go on.
+/// How long callers run.
 const LENGTH: Duration = Duration::from_secs(30);
 
-/// How long callers pause between statements at most.
+/// The longest pause of callers between statements.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// The world, and when its callers began.
+/// A world, its callers' record and the moment at which callers started.
 pub struct Scene {
     pub world: Rc<World>,
     record: Record,
     begun: Instant,
 }
 
-/// Plays a scene.
+/// Runs a scene.
 pub fn play<F: Future<Output = ()>>(setup: Setup, scene: impl FnOnce(Scene) -> F) {
     host::play(async { scene(Scene::start(setup).await).await }).unwrap();
 }
@@ -57,17 +57,17 @@
         scene
     }
 
-    /// The moment that comes so long after callers began.
+    /// The moment `millis` milliseconds after callers started.
     pub fn at(&self, millis: u64) -> Instant {
         self.begun + Duration::from_millis(millis)
     }
 
-    /// Goes on to a moment.
+    /// Waits until `millis` milliseconds after callers started.
     pub async fn until(&self, millis: u64) {
         sleep_until(self.at(millis)).await;
     }
 
-    /// Begins a fault at one moment and ends it at another.
+    /// Begins a fault at `from` and ends it at `to`, in milliseconds after callers started.
     pub async fn fault(&self, fault: Fault, from: u64, to: u64) {
         self.until(from).await;
         fault.begin(&self.world);
@@ -75,20 +75,20 @@
         fault.end(&self.world);
     }
 
-    /// Goes on until all callers have ended, and looks at what they were told.
+    /// Waits until all callers have ended, and checks their answers.
     pub async fn check(&self) -> Report {
         sleep_until(self.begun + LENGTH + Duration::from_secs(11)).await;
         check(&self.world, self.begun, &self.record.borrow())
     }
 
-    /// Goes on until all callers have ended; no rule may be broken.
+    /// Waits until all callers have ended, and asserts that no rule was broken.
     pub async fn passes(&self) -> Report {
         let report = self.check().await;
         assert!(report.broken.is_empty(), "{report}");
         report
     }
 
-    /// All that callers said from one moment up to another.
+    /// All statements that callers sent from one moment up to another.
     pub fn said(&self, from: u64, to: u64) -> Vec<Said> {
         let record = self.record.borrow();
         let span = self.at(from)..self.at(to);
@@ -96,14 +96,14 @@
         said.cloned().collect()
     }
 
-    /// How many statements on a route were done that were sent between two moments.
+    /// How many statements on a route succeeded that were sent between two moments.
     pub fn done(&self, route: &str, from: u64, to: u64) -> usize {
         let said = self.said(from, to);
         let done = said.iter().filter(|s| &*s.route == route && s.is_done());
         done.count()
     }
 
-    /// Until how long after `since` no write was acknowledged.
+    /// How long after `since` the first write was acknowledged that was sent since.
     pub fn gap(&self, since: u64) -> Duration {
         let record = self.record.borrow();
         let writes = record.iter().filter(|said| said.text.starts_with("write "));
@@ -112,7 +112,7 @@
         first.map_or(LENGTH, |first| first - self.at(since))
     }
 
-    /// Sessions at all VMs but one, each in a transaction that has run a statement and rests.
+    /// Opens sessions at all VMs but one, each with an idle transaction that has run one statement.
     pub async fn rest_in_transactions(&self, route: &str, but: &VmId) -> Vec<Session> {
         let mut resting = Vec::new();
         for vm in self.world.running().iter().filter(|vm| *vm != but) {
@@ -132,7 +132,7 @@
         session.is_ok()
     }
 
-    /// A session with a key.
+    /// Opens a session with a key.
     pub async fn session(&self, route: &str, vm: &VmId, key: &str) -> Session {
         let opened = Session::open_with(&self.world, &self.record, 0, vm, route, Some(key));
         opened.await.unwrap()
@@ -151,7 +151,7 @@
         writers.find_map(|written| written.by.clone()).unwrap()
     }
 
-    /// What really happened.
+    /// The events at the databases.
     pub fn book(&self) -> Ref<'_, Book> {
         self.world.journal.borrow()
     }
@@ -165,7 +165,7 @@
             .collect()
     }
 
-    /// Who leads.
+    /// The current primary of the first group.
     pub fn leader(&self) -> DatabaseId {
         self.world.groups[0].leader()
     }
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -1,4 +1,4 @@
-//! Two databases that do as a test says, before one VM's front, on virtual time.
+//! One VM's front with two databases whose behaviour a test scripts, on virtual time.
 
 use bytes::BytesMut;
 use lentilspoke::clock::{Span, Time};
@@ -16,17 +16,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::time::{Duration, Instant, sleep};
 
-/// What a database does with a statement.
+/// How a database reacts to a statement.
 pub enum Act {
     /// Answers with these lines, after some milliseconds.
     Say(u64, String),
-    /// Breaks the connection.
+    /// Closes the connection.
     Break,
-    /// Says nothing.
+    /// Does not answer.
     Nothing,
 }
 
-/// What a healthy database answers: it keeps a transaction's state by connection.
+/// The answer of a healthy database, which tracks the state of a transaction per connection.
 fn well(open: &mut bool, text: &str) -> Act {
     let signature = match text.split(' ').next() {
         Some("read" | "write" | "exec" | "commit") => "sig",
@@ -41,7 +41,8 @@
     Act::Say(1, format!("done {signature}\nstate {state} 1/10\n"))
 }
 
-/// What a database does: by its id, the number of the connection, and the text (`start` first).
+/// Chooses a database's reaction by its id, the number of the connection, and the text (`start`
+/// first); `None` is the healthy reaction.
 type Script = Box<dyn FnMut(&str, u32, &str) -> Option<Act>>;
 
 pub struct World {
@@ -133,7 +134,7 @@
         world
     }
 
-    /// Sets what databases do where they should not do well.
+    /// Sets the reactions of databases that differ from a healthy one's.
     pub fn script(&self, script: impl FnMut(&str, u32, &str) -> Option<Act> + 'static) {
         *self.script.borrow_mut() = Box::new(script);
     }
@@ -142,7 +143,7 @@
         Time(self.started.elapsed().as_micros() as u64)
     }
 
-    /// A reading of who leads, asked just now.
+    /// Records a reading of the group's lead, taken just now.
     pub fn lead(&self, epoch: u64, primary: &str, changing: bool) {
         let primary: DatabaseId = primary.parse().unwrap();
         let lead = Lead {
@@ -157,24 +158,24 @@
             .modify(|view| view.leases.learn(&group(), lead, now));
     }
 
-    /// What the databases were sent since this was asked last.
+    /// Returns what the databases were sent since the last call.
     pub fn seen(&self) -> String {
         std::mem::take(&mut *self.seen.borrow_mut())
     }
 
-    /// A caller whose session is refused.
+    /// Opens a session and asserts that it is refused.
     #[allow(dead_code)]
     pub async fn refused_caller(&self, route: &str) {
         assert!(self.refusal(route).await.starts_with("error no-database"));
     }
 
-    /// What a caller is told whose session is refused.
+    /// Opens a session and returns the refusal.
     #[allow(dead_code)]
     pub async fn refusal(&self, route: &str) -> String {
         self.connect(route).await.answer().await
     }
 
-    /// A caller of a route whose session has begun.
+    /// Opens a session on a route.
     pub async fn caller(&self, route: &str) -> Caller {
         let mut caller = self.connect(route).await;
         assert_eq!(caller.line().await, "state idle -");
@@ -218,7 +219,7 @@
     }
 }
 
-/// One connection to a database.
+/// Serves one connection to a database.
 async fn serve(
     mut stream: DuplexStream,
     number: u32,
@@ -272,13 +273,13 @@
     }
 }
 
-/// One caller.
+/// A caller with an open connection.
 pub struct Caller {
     stream: DuplexStream,
 }
 
 impl Caller {
-    /// Asks for a statement, and returns the answer's lines in one.
+    /// Sends a statement, and returns the lines of its answer joined into one.
     pub async fn ask(&mut self, text: &str) -> String {
         self.send(text).await;
         self.answer().await
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Asks for some statements in turn.
+    /// Runs statements one after the other, and returns each with its answer.
     pub async fn play(&mut self, texts: &[&str]) -> String {
         let mut told = String::new();
         for text in texts {
