--- a/src/standin/direct/caller.rs
+++ b/src/standin/direct/caller.rs
@@ -17,17 +17,17 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// Timeout for the start of a session.
-const START: Duration = Duration::from_secs(2);
+const START_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Timeout for the answer to a statement.
-const PATIENCE: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The number of distinct items that callers read and write.
-const ITEMS: u64 = 8;
+const ITEM_COUNT: u64 = 8;
 
 /// The names of prepared statements. All callers share them, so that names collide between
 /// sessions.
-const NAMES: [&str; 2] = ["p1", "p2"];
+const PREPARED_NAMES: [&str; 2] = ["p1", "p2"];
 
 /// One open session.
 #[derive(Debug)]
@@ -78,7 +78,7 @@
         key: Option<&str>,
     ) -> Result<Self, Closed> {
         let kind = world.kind_of(route).ok_or(Closed)?;
-        let stream = world.call_on(domain, vm).await.ok_or(Closed)?;
+        let stream = world.connect_caller(domain, vm).await.ok_or(Closed)?;
         let number = world.journal.borrow_mut().number();
         let own = format!("key{domain}");
         let key = key.unwrap_or(&own);
@@ -98,7 +98,7 @@
         let mut output = BytesMut::new();
         wire::write_caller_start(&mut output, route, key);
         session.write(&output).await?;
-        let answer = timeout(START, session.answer(true)).await;
+        let answer = timeout(START_TIMEOUT, session.answer(true)).await;
         let answer = answer.map_err(|_| Closed)??;
         match answer.end {
             crate::direct::statement::End::Done(_) => Ok(session),
@@ -127,12 +127,12 @@
     /// Sends one statement and waits for its answer, outside a transaction or in the one that
     /// [`Session::begin`] opened.
     pub async fn say(&mut self, text: &str) -> Result<Answer, Closed> {
-        let number = self.note(text);
+        let number = self.record_statement(text);
         let id = id_of(number);
         let mut output = BytesMut::new();
         wire::write_caller_query(&mut output, &id, text);
         self.write(&output).await?;
-        let answer = timeout(PATIENCE, self.answer(false)).await;
+        let answer = timeout(ANSWER_TIMEOUT, self.answer(false)).await;
         let now = Instant::now();
         let answer = answer.ok().and_then(Result::ok);
         if let Some(said) = self.record.borrow_mut().find(number) {
@@ -142,11 +142,11 @@
             }
         }
         let answer = answer.ok_or(Closed)?;
-        self.learn(text, &answer);
+        self.apply_answer(text, &answer);
         Ok(answer)
     }
 
-    fn note(&self, text: &str) -> u64 {
+    fn record_statement(&self, text: &str) -> u64 {
         let mut record = self.record.borrow_mut();
         let number = record.next();
         let now = Instant::now();
@@ -176,7 +176,7 @@
         number
     }
 
-    fn learn(&mut self, text: &str, answer: &Answer) {
+    fn apply_answer(&mut self, text: &str, answer: &Answer) {
         use crate::direct::statement::{End, Statement};
         if matches!(answer.end, End::Error { .. }) {
             return;
@@ -222,7 +222,7 @@
     }
 
     /// Closes the session in an orderly way.
-    pub async fn bye(mut self) {
+    pub async fn close(mut self) {
         let mut output = BytesMut::new();
         wire::write_caller_bye(&mut output);
         let _ = self.write(&output).await;
@@ -273,7 +273,7 @@
     pub async fn run(mut self, until: Instant) {
         while Instant::now() < until {
             self.pause().await;
-            let Some(vm) = self.choose() else { continue };
+            let Some(vm) = self.choose_vm() else { continue };
             let opened =
                 Session::open(&self.world, &self.record, self.domain, &vm, &self.route).await;
             let Ok(session) = opened else { continue };
@@ -295,7 +295,7 @@
             }
             self.pause().await;
         }
-        session.bye().await;
+        session.close().await;
         Ok(())
     }
 
@@ -310,21 +310,21 @@
             3 | 4 => return self.transaction(session, writes).await,
             5 => {
                 let text = format!("set s{} {}", self.below(2), self.below(9));
-                return stays(session.say(&text).await?);
+                return require_success(session.say(&text).await?);
             }
             6 => {
-                let name = NAMES[self.below(2) as usize];
+                let name = PREPARED_NAMES[self.below(2) as usize];
                 let kind = if writes && self.below(2) == 0 {
                     "write"
                 } else {
                     "read"
                 };
                 let text = format!("prepare {name} {kind} shape{}", self.below(3));
-                return stays(session.say(&text).await?);
+                return require_success(session.say(&text).await?);
             }
             7 => match session.prepared.keys().next().cloned() {
                 Some(name) if self.below(3) == 0 => {
-                    return stays(session.say(&format!("forget {name}")).await?);
+                    return require_success(session.say(&format!("forget {name}")).await?);
                 }
                 _ => return Ok(()),
             },
@@ -369,7 +369,7 @@
     }
 
     fn write(&mut self, session: &Session) -> String {
-        let (item, data) = (self.below(ITEMS), self.random.next_u64() % 100_000);
+        let (item, data) = (self.below(ITEM_COUNT), self.random.next_u64() % 100_000);
         match self.prepared(session, true) {
             Some(name) => format!("exec {name} i{item} v{data}"),
             None => format!("write i{item} v{data}"),
@@ -377,7 +377,7 @@
     }
 
     fn read(&mut self, session: &Session) -> String {
-        let item = self.below(ITEMS);
+        let item = self.below(ITEM_COUNT);
         match self.prepared(session, false) {
             Some(name) => format!("exec {name} i{item}"),
             None => format!("read i{item}"),
@@ -392,7 +392,7 @@
     }
 
     /// Chooses a ready VM of the caller's failure domain, else any ready VM, else any that runs.
-    fn choose(&mut self) -> Option<VmId> {
+    fn choose_vm(&mut self) -> Option<VmId> {
         let world = self.world.clone();
         let running = world.running();
         let is_near = |vm: &&VmId| world.domain_of_vm(vm) == Some(self.domain);
@@ -423,7 +423,7 @@
 }
 
 /// Ends the session after an error in answer to a `set`, `prepare` or `forget`.
-fn stays(answer: Answer) -> Result<(), Closed> {
+fn require_success(answer: Answer) -> Result<(), Closed> {
     match answer.end {
         crate::direct::statement::End::Done(_) => Ok(()),
         crate::direct::statement::End::Error { .. } => Err(Closed),
--- a/src/standin/direct/database.rs
+++ b/src/standin/direct/database.rs
@@ -43,7 +43,7 @@
     /// The number of the current run: rises with each start.
     pub life: u64,
     /// Rises with each start that begins without any earlier data.
-    pub born: u64,
+    pub birth: u64,
     /// Whether it is being decommissioned.
     pub leaving: bool,
     /// Whether it considers itself the primary.
@@ -104,7 +104,7 @@
         let state = State {
             up: true,
             life: 1,
-            born: 1,
+            birth: 1,
             leaving: false,
             primary,
             term,
@@ -132,7 +132,7 @@
         let state = self.state.borrow();
         config::Database {
             id: self.make.id.clone(),
-            born: Some(Birth(state.born)),
+            born: Some(Birth(state.birth)),
             group: self.make.group.clone(),
             address: self.make.address,
             domain: self.make.domain.clone(),
@@ -149,7 +149,7 @@
     }
 
     /// Stops the database at once, or starts it again with its log.
-    pub fn set_up(&self, up: bool) {
+    pub fn set_running(&self, up: bool) {
         let mut state = self.state.borrow_mut();
         if state.up == up {
             return;
@@ -168,7 +168,7 @@
     /// Discards its log, term and role, as a new installation under the same id.
     pub fn forget(&self) {
         let mut state = self.state.borrow_mut();
-        state.born += 1;
+        state.birth += 1;
         state.primary = false;
         state.leaving = false;
         state.term = 0;
--- a/src/standin/direct/fault.rs
+++ b/src/standin/direct/fault.rs
@@ -93,10 +93,10 @@
     /// Starts the fault.
     pub fn begin(&self, world: &Rc<World>) {
         match self {
-            Self::Crash(id) | Self::Reborn(id) => with(world, id, Group::crash),
-            Self::Dark(node) => world.network.darken(node, true),
+            Self::Crash(id) | Self::Reborn(id) => with_database(world, id, Group::crash),
+            Self::Dark(node) => world.network.set_isolated(node, true),
             Self::Cut(a, b) => world.network.cut(a, b),
-            Self::Leave(id, drain) => with(world, id, |group, database| {
+            Self::Leave(id, drain) => with_database(world, id, |group, database| {
                 if database.life().is_some() {
                     group.leave(database, *drain);
                 }
@@ -121,19 +121,19 @@
     /// Ends the fault, where it has an end.
     pub fn end(&self, world: &Rc<World>) {
         match self {
-            Self::Crash(id) => with(world, id, |group, database| {
+            Self::Crash(id) => with_database(world, id, |group, database| {
                 if database.life().is_none() {
                     group.restart(database);
                 }
             }),
-            Self::Reborn(id) => with(world, id, |group, database| {
+            Self::Reborn(id) => with_database(world, id, |group, database| {
                 if database.life().is_none() {
-                    group.rebear(database);
+                    group.restart_empty(database);
                 }
             }),
-            Self::Dark(node) => world.network.darken(node, false),
-            Self::Cut(a, b) => world.network.mend(a, b),
-            Self::Kill(vm) | Self::Stop(vm, _) => start(world, vm),
+            Self::Dark(node) => world.network.set_isolated(node, false),
+            Self::Cut(a, b) => world.network.end_cut(a, b),
+            Self::Kill(vm) | Self::Stop(vm, _) => restart_vm(world, vm),
             Self::Freeze(vm) => world.freeze_vm(vm, false),
             Self::Store(..) => world.store.set_health(store::Health::Well, None),
             Self::Restore(age, rewrites) => {
@@ -153,7 +153,7 @@
         let is_vm = |node: &Node| matches!(node, Node::Vm(_));
         match self {
             Self::SilencePeers => world.network.silence(|a, b| is_vm(a) && is_vm(b)),
-            Self::Flap(id, turn) => with(world, id, |group, database| {
+            Self::Flap(id, turn) => with_database(world, id, |group, database| {
                 database.trouble.flapping.set(true);
                 let flap = flap(group.clone(), database.clone(), *turn);
                 world.network.spawn(flap);
@@ -163,7 +163,7 @@
                     world.network.cut(node, other);
                 }
             }
-            Self::SlowLink(node, more) => world.network.slow(node, (*more).into()),
+            Self::SlowLink(node, more) => world.network.set_extra_delay(node, (*more).into()),
             Self::Starve(vm, turns) => world.starve_vm(vm, Some(*turns)),
             Self::KillAll(vms) => vms.iter().for_each(|vm| world.kill_vm(vm)),
             Self::Roll(vms, grace, gap) => {
@@ -178,13 +178,13 @@
                 let storm = storm(world.clone(), *count, *gap);
                 world.network.spawn(storm);
             }
-            _ => self.trouble(world, true),
+            _ => self.set_database_fault(world, true),
         }
     }
 
     fn end_more(&self, world: &Rc<World>) {
         match self {
-            Self::Flap(id, _) => with(world, id, |group, database| {
+            Self::Flap(id, _) => with_database(world, id, |group, database| {
                 database.trouble.flapping.set(false);
                 if database.life().is_none() {
                     group.restart(database);
@@ -192,45 +192,47 @@
             }),
             Self::Sever(node, others) => {
                 for other in others {
-                    world.network.mend(node, other);
+                    world.network.end_cut(node, other);
                 }
             }
-            Self::SlowLink(node, _) => world.network.slow(node, Duration::ZERO),
+            Self::SlowLink(node, _) => world.network.set_extra_delay(node, Duration::ZERO),
             Self::Starve(vm, _) => world.starve_vm(vm, None),
-            Self::KillAll(vms) => vms.iter().for_each(|vm| start(world, vm)),
+            Self::KillAll(vms) => vms.iter().for_each(|vm| restart_vm(world, vm)),
             Self::SilencePeers | Self::Roll(..) | Self::Replace(_) | Self::Storm(..) => {}
-            _ => self.trouble(world, false),
+            _ => self.set_database_fault(world, false),
         }
     }
 
-    fn trouble(&self, world: &Rc<World>, begins: bool) {
+    fn set_database_fault(&self, world: &Rc<World>, begins: bool) {
         let span = |span: &Span| match begins {
             true => Duration::from(*span),
             false => Duration::ZERO,
         };
         let count = |count: &u32| if begins { *count } else { 0 };
         match self {
-            Self::Deaf(id) => with(world, id, |_, database| {
+            Self::Deaf(id) => with_database(world, id, |_, database| {
                 database.trouble.deaf.set(begins);
                 database.changed.notify_waiters();
             }),
-            Self::Lag(id, lag) => with(world, id, |_, d| d.trouble.lag.set(span(lag))),
-            Self::Slow(id, slow) => with(world, id, |_, d| d.trouble.slow.set(span(slow))),
-            Self::LoseAnswers(id, n) => with(world, id, |_, d| d.trouble.losing.set(count(n))),
-            Self::Grey(id, n) => with(world, id, |_, d| d.trouble.grey.set(count(n))),
-            Self::Fail(id, n) => with(world, id, |_, d| d.trouble.failing.set(count(n))),
+            Self::Lag(id, lag) => with_database(world, id, |_, d| d.trouble.lag.set(span(lag))),
+            Self::Slow(id, slow) => with_database(world, id, |_, d| d.trouble.slow.set(span(slow))),
+            Self::LoseAnswers(id, n) => {
+                with_database(world, id, |_, d| d.trouble.losing.set(count(n)))
+            }
+            Self::Grey(id, n) => with_database(world, id, |_, d| d.trouble.grey.set(count(n))),
+            Self::Fail(id, n) => with_database(world, id, |_, d| d.trouble.failing.set(count(n))),
             _ => {}
         }
     }
 }
 
-fn with(world: &World, id: &DatabaseId, what: impl FnOnce(&Rc<Group>, &Rc<Database>)) {
+fn with_database(world: &World, id: &DatabaseId, what: impl FnOnce(&Rc<Group>, &Rc<Database>)) {
     if let Some((group, database)) = world.database(id) {
         what(&group, &database);
     }
 }
 
-fn start(world: &Rc<World>, vm: &VmId) {
+fn restart_vm(world: &Rc<World>, vm: &VmId) {
     world.kill_vm(vm);
     if let Some(number) = World::number_of(vm) {
         // The name was valid when the VM was first started.
@@ -254,7 +256,7 @@
         let world = world.clone();
         world.clone().network.spawn(async move {
             sleep(Duration::from(grace) + RESTART).await;
-            start(&world, &vm);
+            restart_vm(&world, &vm);
         });
         sleep(gap.into()).await;
     }
--- a/src/standin/direct/group.rs
+++ b/src/standin/direct/group.rs
@@ -20,13 +20,13 @@
 pub const REGISTER: &str = "databases";
 
 /// How long a database takes to report a change to the store.
-const REPORT: Duration = Duration::from_millis(20);
+const REPORT_DELAY: Duration = Duration::from_millis(20);
 
 /// How long after a database's crash its entry is removed from the register.
-const EXPIRY: Duration = Duration::from_millis(3_600);
+const ENTRY_EXPIRY: Duration = Duration::from_millis(3_600);
 
 /// How long a replaced primary goes on as primary after its successor reaches it.
-const HANGING_ON: Duration = Duration::from_secs(1);
+const STEP_DOWN_DELAY: Duration = Duration::from_secs(1);
 
 /// A group of databases that replicate one log.
 pub struct Group {
@@ -44,7 +44,7 @@
     leader: RefCell<DatabaseId>,
     promoting: RefCell<Option<DatabaseId>>,
     received: Notify,
-    replaced: Cell<u32>,
+    replacements: Cell<u32>,
 }
 
 impl fmt::Debug for Group {
@@ -77,7 +77,7 @@
             leader: RefCell::new(leader),
             promoting: RefCell::default(),
             received: Notify::new(),
-            replaced: Cell::new(0),
+            replacements: Cell::new(0),
         });
         for member in group.members() {
             group.write_entry(&member);
@@ -125,7 +125,7 @@
         };
         let number = self.journal.borrow_mut().committed(commit, before);
         let received = self.received.notified();
-        self.ship_all(database);
+        self.replicate_to_all(database);
         if self.durable {
             received.await;
         }
@@ -133,38 +133,38 @@
     }
 
     /// Replicates the log of a database to all other members.
-    fn ship_all(self: &Rc<Self>, from: &Rc<Database>) {
+    fn replicate_to_all(self: &Rc<Self>, from: &Rc<Database>) {
         for to in self.members() {
             if to.make.id != from.make.id {
-                self.ship(from, &to);
+                self.start_replication(from, &to);
             }
         }
     }
 
-    fn ship(self: &Rc<Self>, from: &Rc<Database>, to: &Rc<Database>) {
+    fn start_replication(self: &Rc<Self>, from: &Rc<Database>, to: &Rc<Database>) {
         // A primary that restarts has nothing to receive from itself.
         if Rc::ptr_eq(from, to) {
             return;
         }
         let (group, from, to) = (self.clone(), from.clone(), to.clone());
         self.network.spawn(async move {
-            group.shipping(&from, &to).await;
+            group.replicate(&from, &to).await;
         });
     }
 
-    async fn shipping(self: &Rc<Self>, from: &Rc<Database>, to: &Rc<Database>) {
+    async fn replicate(self: &Rc<Self>, from: &Rc<Database>, to: &Rc<Database>) {
         let life = from.life();
         let (term, count) = {
             let state = from.state.borrow();
             (state.term, state.log.len())
         };
         sleep(self.network.delay(&from.node(), &to.node())).await;
-        if !self.flows(from, to) {
-            self.until_flows(from, to).await;
+        if !self.can_replicate(from, to) {
+            self.wait_until_replicating(from, to).await;
         }
         if to.state.borrow().primary && to.state.borrow().term < term {
-            sleep(HANGING_ON).await;
-            self.until_flows(from, to).await;
+            sleep(STEP_DOWN_DELAY).await;
+            self.wait_until_replicating(from, to).await;
         }
         let demoted = {
             let state = from.state.borrow();
@@ -181,16 +181,16 @@
         to.apply(term, count);
     }
 
-    fn flows(&self, from: &Database, to: &Database) -> bool {
+    fn can_replicate(&self, from: &Database, to: &Database) -> bool {
         let reaches = self.network.reaches(&from.node(), &to.node());
         reaches && to.life().is_some() && !to.trouble.deaf.get()
     }
 
-    async fn until_flows(&self, from: &Database, to: &Database) {
+    async fn wait_until_replicating(&self, from: &Database, to: &Database) {
         loop {
             let changed = to.changed.notified();
             let network = self.network.change();
-            if self.flows(from, to) {
+            if self.can_replicate(from, to) {
                 return;
             }
             tokio::select! {
@@ -255,17 +255,17 @@
         });
         drop(journal);
         self.report(database);
-        self.ship_all(database);
+        self.replicate_to_all(database);
     }
 
     /// Crashes a database. Its entry is removed from the register later, unless it is back by then.
     pub fn crash(self: &Rc<Self>, database: &Rc<Database>) {
-        database.set_up(false);
+        database.set_running(false);
         let node = database.node();
         self.network.reset(|_, to| *to == node);
         let (group, database) = (self.clone(), database.clone());
         self.network.spawn(async move {
-            sleep(EXPIRY).await;
+            sleep(ENTRY_EXPIRY).await;
             if database.life().is_none() {
                 group.remove_entry(&database);
             }
@@ -274,26 +274,26 @@
 
     /// Restarts a crashed database with its log, as a replica if another leads.
     pub fn restart(self: &Rc<Self>, database: &Rc<Database>) {
-        database.set_up(true);
+        database.set_running(true);
         if self.leader() != database.make.id {
             database.state.borrow_mut().primary = false;
         }
         self.report(database);
         if let Some(leader) = self.member(&self.leader()) {
-            self.ship(&leader, database);
+            self.start_replication(&leader, database);
         }
-        self.ship_all_if_primary(database);
+        self.replicate_to_all_if_primary(database);
     }
 
     /// Restarts a crashed database under the same id without its data.
-    pub fn rebear(self: &Rc<Self>, database: &Rc<Database>) {
+    pub fn restart_empty(self: &Rc<Self>, database: &Rc<Database>) {
         database.forget();
         self.restart(database);
     }
 
-    fn ship_all_if_primary(self: &Rc<Self>, database: &Rc<Database>) {
+    fn replicate_to_all_if_primary(self: &Rc<Self>, database: &Rc<Database>) {
         if database.state.borrow().primary {
-            self.ship_all(database);
+            self.replicate_to_all(database);
         }
     }
 
@@ -303,19 +303,19 @@
         self.report(database);
         let (group, database) = (self.clone(), database.clone());
         self.network.spawn(async move {
-            sleep(Duration::from(drain) + REPORT).await;
-            group.succeed(&database);
+            sleep(Duration::from(drain) + REPORT_DELAY).await;
+            group.replace(&database);
         });
     }
 
-    fn succeed(self: &Rc<Self>, old: &Rc<Database>) {
-        old.set_up(false);
+    fn replace(self: &Rc<Self>, old: &Rc<Database>) {
+        old.set_running(false);
         let node = old.node();
         self.network.reset(|_, to| *to == node);
         self.remove_entry(old);
-        self.replaced.set(self.replaced.get() + 1);
+        self.replacements.set(self.replacements.get() + 1);
         let mut make = old.make.clone();
-        let id = format!("{}.{}", make.id, self.replaced.get());
+        let id = format!("{}.{}", make.id, self.replacements.get());
         let Ok(id) = id.parse() else { return };
         make.id = id;
         let (term, log) = {
@@ -330,7 +330,7 @@
         drop(members);
         self.report(&new);
         if let Some(leader) = self.member(&self.leader()) {
-            self.ship(&leader, &new);
+            self.start_replication(&leader, &new);
         }
     }
 
@@ -338,7 +338,7 @@
     pub fn report(self: &Rc<Self>, database: &Rc<Database>) {
         let (group, database) = (self.clone(), database.clone());
         self.network.spawn(async move {
-            sleep(REPORT).await;
+            sleep(REPORT_DELAY).await;
             group.network.reach(&database.node(), &Node::Store).await;
             if database.life().is_some() {
                 group.write_entry(&database);
--- a/src/standin/direct/host.rs
+++ b/src/standin/direct/host.rs
@@ -15,7 +15,7 @@
     /// How often this thread panicked.
     static PANICS: Cell<u64> = const { Cell::new(0) };
     /// When the simulation began.
-    static BEGAN: Cell<Option<Instant>> = const { Cell::new(None) };
+    static STARTED: Cell<Option<Instant>> = const { Cell::new(None) };
 }
 
 /// Counts panics of this thread from the first call on. A panic in a task ends only that task,
@@ -23,10 +23,10 @@
 pub fn panics() -> u64 {
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
-        let shown = std::panic::take_hook();
+        let previous = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |info| {
             PANICS.set(PANICS.get() + 1);
-            shown(info);
+            previous(info);
         }));
     });
     PANICS.get()
@@ -34,8 +34,10 @@
 
 /// The prefix of log lines: the milliseconds since the simulation began, and the running process.
 pub fn log_prefix() -> String {
-    let began = BEGAN.get().map_or(0, |began| began.elapsed().as_millis());
-    CURRENT.with_borrow(|name| format!("{began} {name} "))
+    let started = STARTED
+        .get()
+        .map_or(0, |started| started.elapsed().as_millis());
+    CURRENT.with_borrow(|name| format!("{started} {name} "))
 }
 
 /// Controls a running process.
@@ -147,9 +149,9 @@
         .start_paused(true)
         .build()?;
     let tasks = LocalSet::new();
-    let begun = async {
-        BEGAN.set(Some(Instant::now()));
+    let simulation = async {
+        STARTED.set(Some(Instant::now()));
         future.await
     };
-    Ok(tasks.block_on(&runtime, begun))
+    Ok(tasks.block_on(&runtime, simulation))
 }
--- a/src/standin/direct/known.rs
+++ b/src/standin/direct/known.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 /// The longest that a session lasts after its last write: a few operations with their pauses.
-const SESSION: Duration = Duration::from_secs(180);
+const MAX_SESSION: Duration = Duration::from_secs(180);
 
 /// A commit that was acknowledged to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,19 +29,19 @@
     pub order: Option<(u64, VmId)>,
     /// The operation that each transaction belongs to, and when its first statement was sent.
     owners: BTreeMap<u64, (u64, Instant)>,
-    groups: BTreeMap<GroupId, Line>,
-    sessions: BTreeMap<(u64, GroupId), Line>,
+    groups: BTreeMap<GroupId, Commits>,
+    sessions: BTreeMap<(u64, GroupId), Commits>,
 }
 
 /// Commits that were not lost, ordered by when they were acknowledged, and for each the furthest
 /// one so far. They are all on one log, so a log that contains the furthest contains them all.
 #[derive(Debug, Default)]
-struct Line {
+struct Commits {
     seen: Vec<Seen>,
     furthest: Vec<Seen>,
 }
 
-impl Line {
+impl Commits {
     fn sort(&mut self, book: &Book) {
         self.seen
             .retain(|seen| book.commit(seen.commit).is_none_or(|c| c.lost.is_none()));
@@ -116,7 +116,7 @@
         self.sessions.retain(|_, line| {
             line.seen
                 .last()
-                .is_some_and(|seen| seen.at + SESSION >= before)
+                .is_some_and(|seen| seen.at + MAX_SESSION >= before)
         });
     }
 }
--- a/src/standin/direct/link.rs
+++ b/src/standin/direct/link.rs
@@ -13,13 +13,13 @@
 
 /// One direction of a connection.
 #[derive(Debug)]
-struct Way {
+struct Direction {
     queue: VecDeque<(Instant, Bytes)>,
     ended: Option<Instant>,
     broken: bool,
     held: bool,
     silent: bool,
-    given_up: bool,
+    dropped_by_far_end: bool,
     delay: Duration,
     last: Instant,
     reader: Option<Waker>,
@@ -28,18 +28,18 @@
 /// One end of a connection.
 #[derive(Debug)]
 pub struct Stream {
-    input: Rc<RefCell<Way>>,
-    output: Rc<RefCell<Way>>,
+    input: Rc<RefCell<Direction>>,
+    output: Rc<RefCell<Direction>>,
     timer: Pin<Box<Sleep>>,
 }
 
 /// A handle that disturbs a connection.
 #[derive(Debug, Clone)]
 pub struct Link {
-    ways: [Rc<RefCell<Way>>; 2],
+    directions: [Rc<RefCell<Direction>>; 2],
 }
 
-impl Way {
+impl Direction {
     fn new(delay: Duration) -> Rc<RefCell<Self>> {
         Rc::new(RefCell::new(Self {
             queue: VecDeque::new(),
@@ -47,7 +47,7 @@
             broken: false,
             held: false,
             silent: false,
-            given_up: false,
+            dropped_by_far_end: false,
             delay,
             last: Instant::now(),
             reader: None,
@@ -60,7 +60,7 @@
         }
     }
 
-    fn due(&mut self) -> Instant {
+    fn next_arrival(&mut self) -> Instant {
         self.last = self.last.max(Instant::now() + self.delay);
         self.last
     }
@@ -68,9 +68,9 @@
 
 /// Creates a connection whose bytes take `delay` each way.
 pub fn pair(delay: Duration) -> (Stream, Stream, Link) {
-    let (a, b) = (Way::new(delay), Way::new(delay));
+    let (a, b) = (Direction::new(delay), Direction::new(delay));
     let link = Link {
-        ways: [a.clone(), b.clone()],
+        directions: [a.clone(), b.clone()],
     };
     (Stream::new(a.clone(), b.clone()), Stream::new(b, a), link)
 }
@@ -78,62 +78,71 @@
 impl Link {
     /// Holds all bytes back, or releases them.
     pub fn hold(&self, held: bool) {
-        for way in &self.ways {
-            let mut way = way.borrow_mut();
-            way.held = held;
-            way.wake();
+        for direction in &self.directions {
+            let mut direction = direction.borrow_mut();
+            direction.held = held;
+            direction.wake();
         }
     }
 
     /// Whether bytes are held back.
     pub fn is_held(&self) -> bool {
-        self.ways.iter().any(|way| way.borrow().held)
+        self.directions
+            .iter()
+            .any(|direction| direction.borrow().held)
     }
 
     /// Sets the delay of bytes that are sent from now on.
     pub fn set_delay(&self, delay: Duration) {
-        for way in &self.ways {
-            way.borrow_mut().delay = delay;
+        for direction in &self.directions {
+            direction.borrow_mut().delay = delay;
         }
     }
 
     /// Holds all bytes back for good.
     pub fn silence(&self) {
-        for way in &self.ways {
-            way.borrow_mut().silent = true;
+        for direction in &self.directions {
+            direction.borrow_mut().silent = true;
         }
     }
 
     /// Resets the connection: both ends fail at once, and bytes in transit are lost.
     pub fn reset(&self) {
-        for way in &self.ways {
-            let mut way = way.borrow_mut();
-            way.broken = true;
-            way.wake();
+        for direction in &self.directions {
+            let mut direction = direction.borrow_mut();
+            direction.broken = true;
+            direction.wake();
         }
     }
 
     /// Whether its bytes are held back for good.
     pub fn is_silent(&self) -> bool {
-        self.ways.iter().any(|way| way.borrow().silent)
+        self.directions
+            .iter()
+            .any(|direction| direction.borrow().silent)
     }
 
     /// Fails the connection at the far end; the near end does not notice yet.
     pub fn give_up(&self) {
-        let mut way = self.ways[1].borrow_mut();
-        way.given_up = true;
-        way.wake();
+        let mut direction = self.directions[1].borrow_mut();
+        direction.dropped_by_far_end = true;
+        direction.wake();
     }
 
     /// Whether the connection is no longer in use: both ends are closed, or it is broken.
     pub fn is_over(&self) -> bool {
-        self.ways.iter().all(|way| Rc::strong_count(way) <= 1)
-            || self.ways.iter().any(|way| way.borrow().broken)
+        self.directions
+            .iter()
+            .all(|direction| Rc::strong_count(direction) <= 1)
+            || self
+                .directions
+                .iter()
+                .any(|direction| direction.borrow().broken)
     }
 }
 
 impl Stream {
-    fn new(input: Rc<RefCell<Way>>, output: Rc<RefCell<Way>>) -> Self {
+    fn new(input: Rc<RefCell<Direction>>, output: Rc<RefCell<Direction>>) -> Self {
         let timer = Box::pin(sleep_until(Instant::now()));
         Self {
             input,
@@ -146,8 +155,8 @@
 impl Drop for Stream {
     fn drop(&mut self) {
         let mut output = self.output.borrow_mut();
-        let due = output.due();
-        output.ended.get_or_insert(due);
+        let arrival = output.next_arrival();
+        output.ended.get_or_insert(arrival);
         output.wake();
     }
 }
@@ -159,31 +168,31 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let input = self.input.clone();
-        let mut way = input.borrow_mut();
-        way.reader = Some(context.waker().clone());
-        if way.broken || way.given_up {
+        let mut direction = input.borrow_mut();
+        direction.reader = Some(context.waker().clone());
+        if direction.broken || direction.dropped_by_far_end {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        if way.held || way.silent {
+        if direction.held || direction.silent {
             return Poll::Pending;
         }
-        let front = way.queue.front().map(|(due, _)| *due);
-        let Some(due) = front.or(way.ended) else {
+        let front = direction.queue.front().map(|(arrival, _)| *arrival);
+        let Some(arrival) = front.or(direction.ended) else {
             return Poll::Pending;
         };
-        if due > Instant::now() {
-            self.timer.as_mut().reset(due);
+        if arrival > Instant::now() {
+            self.timer.as_mut().reset(arrival);
             if self.timer.as_mut().poll(context).is_pending() {
                 return Poll::Pending;
             }
         }
-        let Some((_, bytes)) = way.queue.front_mut() else {
+        let Some((_, bytes)) = direction.queue.front_mut() else {
             return Poll::Ready(Ok(()));
         };
         let count = bytes.len().min(buffer.remaining());
         buffer.put_slice(&bytes.split_to(count));
         if !bytes.has_remaining() {
-            way.queue.pop_front();
+            direction.queue.pop_front();
         }
         Poll::Ready(Ok(()))
     }
@@ -195,16 +204,18 @@
         _: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let mut way = self.output.borrow_mut();
-        if way.broken {
+        let mut direction = self.output.borrow_mut();
+        if direction.broken {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        if way.ended.is_some() {
+        if direction.ended.is_some() {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        let due = way.due();
-        way.queue.push_back((due, Bytes::copy_from_slice(bytes)));
-        way.wake();
+        let arrival = direction.next_arrival();
+        direction
+            .queue
+            .push_back((arrival, Bytes::copy_from_slice(bytes)));
+        direction.wake();
         Poll::Ready(Ok(bytes.len()))
     }
 
@@ -213,10 +224,10 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let mut way = self.output.borrow_mut();
-        let due = way.due();
-        way.ended.get_or_insert(due);
-        way.wake();
+        let mut direction = self.output.borrow_mut();
+        let arrival = direction.next_arrival();
+        direction.ended.get_or_insert(arrival);
+        direction.wake();
         Poll::Ready(Ok(()))
     }
 }
--- a/src/standin/direct/network.rs
+++ b/src/standin/direct/network.rs
@@ -14,10 +14,10 @@
 use tokio::time::Instant;
 
 /// How long after its other end becomes unreachable a database drops a connection.
-const UNREACHED: Duration = Duration::from_secs(3);
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How many bytes a transfer sends over a link before other transfers get their turn.
-const PORTION: u64 = 16 << 10;
+const CHUNK_SIZE: u64 = 16 << 10;
 
 /// The bandwidth of a node's link, in bytes per second each way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     }
 
     /// How long a link takes to transmit `bytes` bytes.
-    fn takes(self, bytes: u64) -> Duration {
+    fn transmission_time(self, bytes: u64) -> Duration {
         Duration::from_micros(bytes.saturating_mul(1_000_000) / self.0.max(1))
     }
 }
@@ -89,7 +89,7 @@
 struct Call {
     open: Cell<bool>,
     /// When a part of the answer last arrived.
-    moved: Cell<Option<Instant>>,
+    last_arrival: Cell<Option<Instant>>,
 }
 
 impl Sender {
@@ -97,7 +97,7 @@
     pub fn new() -> (Sender, Hold) {
         let call = Rc::new(Call {
             open: Cell::new(true),
-            moved: Cell::new(None),
+            last_arrival: Cell::new(None),
         });
         (Sender(call.clone()), Hold(call))
     }
@@ -110,8 +110,8 @@
 
 impl Hold {
     /// When a part of the answer last arrived, if any has.
-    pub fn moved(&self) -> Option<Instant> {
-        self.0.moved.get()
+    pub fn last_arrival(&self) -> Option<Instant> {
+        self.0.last_arrival.get()
     }
 }
 
@@ -126,14 +126,14 @@
     /// The failure domain and region of each node.
     places: RefCell<BTreeMap<Node, (usize, usize)>>,
     cuts: RefCell<BTreeSet<(Node, Node)>>,
-    dark: RefCell<BTreeSet<Node>>,
+    isolated: RefCell<BTreeSet<Node>>,
     /// Additional delay of bytes from and to a node.
-    slow: RefCell<BTreeMap<Node, Duration>>,
+    extra_delays: RefCell<BTreeMap<Node, Duration>>,
     /// The links of nodes with limited bandwidth.
     ports: RefCell<BTreeMap<Node, Port>>,
     links: RefCell<Vec<(Node, Node, Link)>>,
     /// The number of connections at which those no longer in use are next removed.
-    sweep: Cell<usize>,
+    cleanup_at: Cell<usize>,
     changed: Notify,
     domain_delay: Duration,
     region_delay: Duration,
@@ -158,11 +158,11 @@
         Rc::new(Self {
             places: RefCell::default(),
             cuts: RefCell::default(),
-            dark: RefCell::default(),
-            slow: RefCell::default(),
+            isolated: RefCell::default(),
+            extra_delays: RefCell::default(),
             ports: RefCell::default(),
             links: RefCell::default(),
-            sweep: Cell::new(0),
+            cleanup_at: Cell::new(0),
             changed: Notify::new(),
             domain_delay,
             region_delay,
@@ -197,16 +197,16 @@
             (Some(a), Some(b)) if a.0 == b.0 => self.domain_delay / 5,
             _ => self.domain_delay,
         };
-        let slow = self.slow.borrow();
-        let more = |node: &Node| slow.get(node).copied().unwrap_or_default();
+        let extra_delays = self.extra_delays.borrow();
+        let more = |node: &Node| extra_delays.get(node).copied().unwrap_or_default();
         near + more(a) + more(b)
     }
 
     /// Adds a delay to all bytes from and to a node; zero removes it.
-    pub fn slow(&self, node: &Node, more: Duration) {
+    pub fn set_extra_delay(&self, node: &Node, more: Duration) {
         match more.is_zero() {
-            true => self.slow.borrow_mut().remove(node),
-            false => self.slow.borrow_mut().insert(node.clone(), more),
+            true => self.extra_delays.borrow_mut().remove(node),
+            false => self.extra_delays.borrow_mut().insert(node.clone(), more),
         };
         for (a, b, link) in self.links.borrow().iter() {
             if a == node || b == node {
@@ -218,7 +218,7 @@
     /// Removes a node for good.
     pub fn forget(&self, node: &Node) {
         self.places.borrow_mut().remove(node);
-        self.darken(node, false);
+        self.set_isolated(node, false);
     }
 
     /// Partitions two nodes from each other.
@@ -231,7 +231,7 @@
     }
 
     /// Ends the partition between two nodes.
-    pub fn mend(&self, a: &Node, b: &Node) {
+    pub fn end_cut(&self, a: &Node, b: &Node) {
         let mut cuts = self.cuts.borrow_mut();
         cuts.remove(&(a.clone(), b.clone()));
         cuts.remove(&(b.clone(), a.clone()));
@@ -240,10 +240,10 @@
     }
 
     /// Partitions a node from all others, or ends that.
-    pub fn darken(&self, node: &Node, dark: bool) {
-        match dark {
-            true => self.dark.borrow_mut().insert(node.clone()),
-            false => self.dark.borrow_mut().remove(node),
+    pub fn set_isolated(&self, node: &Node, isolated: bool) {
+        match isolated {
+            true => self.isolated.borrow_mut().insert(node.clone()),
+            false => self.isolated.borrow_mut().remove(node),
         };
         self.apply();
     }
@@ -251,18 +251,18 @@
     /// Ends all partitions.
     pub fn heal(&self) {
         self.cuts.borrow_mut().clear();
-        self.dark.borrow_mut().clear();
+        self.isolated.borrow_mut().clear();
         self.apply();
     }
 
     /// Whether two nodes reach each other.
     pub fn reaches(&self, a: &Node, b: &Node) -> bool {
-        let dark = self.dark.borrow();
-        if dark.is_empty() && self.cuts.borrow().is_empty() {
+        let isolated = self.isolated.borrow();
+        if isolated.is_empty() && self.cuts.borrow().is_empty() {
             return true;
         }
         let cut = (a.clone(), b.clone());
-        !dark.contains(a) && !dark.contains(b) && !self.cuts.borrow().contains(&cut)
+        !isolated.contains(a) && !isolated.contains(b) && !self.cuts.borrow().contains(&cut)
     }
 
     /// Completes with the next change of partitions.
@@ -278,7 +278,7 @@
     }
 
     /// Limits the bandwidth of a node's link for calls between VMs and calls of the store.
-    pub fn narrow(&self, node: Node, bandwidth: Bandwidth) {
+    pub fn limit_bandwidth(&self, node: Node, bandwidth: Bandwidth) {
         let now = Instant::now();
         let port = Port {
             bandwidth,
@@ -295,10 +295,10 @@
         ports.get(node).map_or(0, |port| port.received)
     }
 
-    /// Transmits bytes over the links of `a` and `b`, then continues as [`Network::travel`]. The
+    /// Transmits bytes over the links of `a` and `b`, then continues as [`Network::deliver`]. The
     /// transfer goes on even if the sender no longer waits, unless `breaks` is set: then it ends
     /// with the sender's connection.
-    pub async fn carry(
+    pub async fn transmit(
         &self,
         (a, b): (&Node, &Node),
         bytes: u64,
@@ -307,28 +307,29 @@
     ) -> bool {
         let mut left = bytes;
         while left > 0 && (sender.is_open() || !breaks) {
-            let portion = left.min(PORTION);
-            left -= portion;
-            let Some(until) = self.portion(a, b, portion) else {
+            let chunk = left.min(CHUNK_SIZE);
+            left -= chunk;
+            let Some(until) = self.transmit_chunk(a, b, chunk) else {
                 break;
             };
             tokio::time::sleep_until(until).await;
-            sender.0.moved.set(Some(Instant::now()));
+            sender.0.last_arrival.set(Some(Instant::now()));
         }
-        self.travel(a, b, sender).await
+        self.deliver(a, b, sender).await
     }
 
-    /// When the transmission of a portion ends; `None` if neither link has limited bandwidth.
-    fn portion(&self, a: &Node, b: &Node, bytes: u64) -> Option<Instant> {
+    /// When the transmission of a chunk ends; `None` if neither link has limited bandwidth.
+    fn transmit_chunk(&self, a: &Node, b: &Node, bytes: u64) -> Option<Instant> {
         let now = Instant::now();
         let mut ports = self.ports.borrow_mut();
         let sent = ports.get_mut(a).map(|port| {
-            port.sends_until = port.sends_until.max(now) + port.bandwidth.takes(bytes);
+            port.sends_until = port.sends_until.max(now) + port.bandwidth.transmission_time(bytes);
             port.sends_until
         });
         let received = ports.get_mut(b).map(|port| {
             port.received += bytes;
-            port.receives_until = port.receives_until.max(now) + port.bandwidth.takes(bytes);
+            port.receives_until =
+                port.receives_until.max(now) + port.bandwidth.transmission_time(bytes);
             port.receives_until
         });
         sent.max(received)
@@ -336,7 +337,7 @@
 
     /// Delivers a message from `a` to `b`. Returns false if the message was lost, because its
     /// sender gave up while a partition held it back.
-    pub async fn travel(&self, a: &Node, b: &Node, sender: &Sender) -> bool {
+    pub async fn deliver(&self, a: &Node, b: &Node, sender: &Sender) -> bool {
         tokio::time::sleep(self.delay(a, b)).await;
         if self.reaches(a, b) {
             return true;
@@ -351,26 +352,26 @@
         let (near, far, link) = link::pair(self.delay(a, b));
         link.hold(!self.reaches(a, b));
         let mut links = self.links.borrow_mut();
-        if links.len() >= self.sweep.get() {
+        if links.len() >= self.cleanup_at.get() {
             links.retain(|(_, _, link)| !link.is_over());
-            self.sweep.set(2 * links.len() + 16);
+            self.cleanup_at.set(2 * links.len() + 16);
         }
         links.push((a.clone(), b.clone(), link));
         (near, far)
     }
 
-    /// Resets the connections that `which` selects.
-    pub fn reset(&self, which: impl Fn(&Node, &Node) -> bool) {
-        self.each(which, Link::reset);
+    /// Resets the connections that `select` selects.
+    pub fn reset(&self, select: impl Fn(&Node, &Node) -> bool) {
+        self.for_each_link(select, Link::reset);
     }
 
-    /// Stops the connections that `which` selects from carrying data for good; new ones work.
+    /// Stops the connections that `select` selects from carrying data for good; new ones work.
     ///
     /// A database drops its ends of them after a while, as it does when it can't reach the other
     /// end.
-    pub fn silence(&self, which: impl Fn(&Node, &Node) -> bool) {
+    pub fn silence(&self, select: impl Fn(&Node, &Node) -> bool) {
         for (a, b, link) in self.links.borrow().iter() {
-            if !(which(a, b) || which(b, a)) {
+            if !(select(a, b) || select(b, a)) {
                 continue;
             }
             link.silence();
@@ -380,9 +381,9 @@
         }
     }
 
-    fn each(&self, which: impl Fn(&Node, &Node) -> bool, what: fn(&Link)) {
+    fn for_each_link(&self, select: impl Fn(&Node, &Node) -> bool, what: fn(&Link)) {
         for (a, b, link) in self.links.borrow().iter() {
-            if which(a, b) || which(b, a) {
+            if select(a, b) || select(b, a) {
                 what(link);
             }
         }
@@ -402,7 +403,7 @@
     /// Makes a database drop a connection that is still held back after a while.
     fn give_up(&self, link: Link) {
         self.spawn(async move {
-            tokio::time::sleep(UNREACHED).await;
+            tokio::time::sleep(UNREACHABLE_TIMEOUT).await;
             if link.is_held() || link.is_silent() {
                 link.give_up();
             }
--- a/src/standin/direct/orders.rs
+++ b/src/standin/direct/orders.rs
@@ -58,15 +58,15 @@
 
     /// Returns the function with which a VM gives orders. An order is sent at once and stays in
     /// transit until its deadline resets the connection; a VM that is frozen resets nothing.
-    pub fn way(self: &Rc<Self>, clock: Clock) -> Promote {
+    pub fn promoter(self: &Rc<Self>, clock: Clock) -> Promote {
         let orders = self.clone();
         Rc::new(move |promotion| {
             let (orders, clock) = (orders.clone(), clock.clone());
-            Box::pin(async move { orders.give(promotion, clock()).await })
+            Box::pin(async move { orders.send(promotion, clock()).await })
         })
     }
 
-    async fn give(self: Rc<Self>, promotion: Promotion, now: Time) -> Promoted {
+    async fn send(self: Rc<Self>, promotion: Promotion, now: Time) -> Promoted {
         if now >= promotion.deadline {
             return Promoted::Refused;
         }
@@ -74,7 +74,7 @@
         let (answer, answered) = oneshot::channel();
         let (sender, hold) = Sender::new();
         let network = self.network.clone();
-        network.spawn(async move { self.arrive(promotion, sender, answer).await });
+        network.spawn(async move { self.receive(promotion, sender, answer).await });
         let result = timeout(left.into(), answered).await;
         drop(hold);
         match result {
@@ -83,29 +83,29 @@
         }
     }
 
-    async fn arrive(
+    async fn receive(
         self: Rc<Self>,
         promotion: Promotion,
         sender: Sender,
         answer: oneshot::Sender<Promoted>,
     ) {
         let from = Node::Vm(promotion.holder.clone());
-        if !self.network.travel(&from, &Node::Orders, &sender).await {
+        if !self.network.deliver(&from, &Node::Orders, &sender).await {
             return;
         }
         let promoted = match self.health.get() {
             Health::Refusing => Promoted::Refused,
-            _ => self.take(&promotion),
+            _ => self.execute(&promotion),
         };
         if self.health.get() == Health::Losing {
             return;
         }
-        if self.network.travel(&Node::Orders, &from, &sender).await {
+        if self.network.deliver(&Node::Orders, &from, &sender).await {
             let _ = answer.send(promoted);
         }
     }
 
-    fn take(&self, promotion: &Promotion) -> Promoted {
+    fn execute(&self, promotion: &Promotion) -> Promoted {
         self.journal.borrow_mut().orders.push(Ordered {
             holder: promotion.holder.clone(),
             token: promotion.token,
--- a/src/standin/direct/program.rs
+++ b/src/standin/direct/program.rs
@@ -12,10 +12,10 @@
 use tokio::time::{sleep, timeout};
 
 /// How often the load balancer checks whether the VM is ready.
-const BALANCER: Duration = Duration::from_secs(1);
+const READY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How much of the grace period is left when the process ends.
-const LEFT_OVER: Span = Span::from_millis(500);
+const RESERVED_GRACE: Span = Span::from_millis(500);
 
 /// Returns the program.
 pub fn program() -> Program {
@@ -36,12 +36,12 @@
         relay: Some(machine.relay),
         seeds: machine.seeds,
     });
-    let place = Location {
+    let location = Location {
         domain: machine.domain,
         relay: Some(machine.relay),
         regions: machine.regions,
     };
-    let front = Front::new(machine.adapter, shared.clone(), place);
+    let front = Front::new(machine.adapter, shared.clone(), location);
     let (asked, mut questions) = (control.clone(), machine.questions);
     actix_rt::spawn(async move {
         while let Some((question, reply)) = questions.recv().await {
@@ -66,14 +66,14 @@
     actix_rt::spawn(async move {
         loop {
             ready.set(asked.is_ready());
-            sleep(BALANCER).await;
+            sleep(READY_INTERVAL).await;
         }
     });
     let Ok(grace) = machine.stop.await else {
         return;
     };
     shared.modify(|view| view.stopping = true);
-    let grace = Span(grace.0.saturating_sub(LEFT_OVER.0));
+    let grace = Span(grace.0.saturating_sub(RESERVED_GRACE.0));
     let served = async {
         tokio::join!(front.stop(grace), relay.stop(grace));
     };
--- a/src/standin/direct/reach.rs
+++ b/src/standin/direct/reach.rs
@@ -52,7 +52,7 @@
         };
         let opening = (database.make.id.clone(), vm.clone());
         let (from, to) = (Node::Vm(vm), database.node());
-        if !self.network.travel(&from, &to, &sender).await || database.life().is_none() {
+        if !self.network.deliver(&from, &to, &sender).await || database.life().is_none() {
             return;
         }
         let (near, far) = self.network.connect(&from, &to);
@@ -63,7 +63,7 @@
             .entry(opening)
             .or_default() += 1;
         self.network.spawn(session::serve(group, database, far));
-        if self.network.travel(&to, &from, &sender).await {
+        if self.network.deliver(&to, &from, &sender).await {
             let _ = answer.send(near);
         }
     }
@@ -84,7 +84,7 @@
             return;
         };
         let (from, to) = (Node::Vm(vm), Node::Vm(other.clone()));
-        if !self.network.travel(&from, &to, &sender).await || !self.is_running(&other) {
+        if !self.network.deliver(&from, &to, &sender).await || !self.is_running(&other) {
             return;
         }
         let (near, far) = self.network.connect(&from, &to);
@@ -93,7 +93,7 @@
             let sent = vms.get(&other).map(|running| running.relays.send(far));
             sent.is_some_and(|sent| sent.is_ok())
         };
-        if sent && self.network.travel(&to, &from, &sender).await {
+        if sent && self.network.deliver(&to, &from, &sender).await {
             let _ = answer.send(near);
         }
     }
@@ -129,31 +129,31 @@
             return;
         };
         let (from, to) = (Node::Vm(vm), Node::Vm(other.clone()));
-        if !self.network.travel(&from, &to, &sender).await {
+        if !self.network.deliver(&from, &to, &sender).await {
             return;
         }
         let (reply, replied) = oneshot::channel();
-        let taken = {
+        let accepted = {
             let vms = self.vms.borrow();
             let running = vms.get(&other);
             running.is_some_and(|running| running.questions.send((question, reply)).is_ok())
         };
         // A question gets no answer if its VM ended meanwhile.
-        let told = match taken {
+        let response = match accepted {
             false => Answer::Absent,
             true => match replied.await {
-                Ok(told) => told,
+                Ok(response) => response,
                 Err(_) => return,
             },
         };
-        let length = postcard::to_stdvec(&told).map_or(0, |bytes| bytes.len() as u64);
-        *self.told.borrow_mut().entry(other).or_default() += length;
+        let length = postcard::to_stdvec(&response).map_or(0, |bytes| bytes.len() as u64);
+        *self.answered_bytes.borrow_mut().entry(other).or_default() += length;
         if self
             .network
-            .carry((&to, &from), length, &sender, false)
+            .transmit((&to, &from), length, &sender, false)
             .await
         {
-            let _ = answer.send(told);
+            let _ = answer.send(response);
         }
     }
 }
--- a/src/standin/direct/said.rs
+++ b/src/standin/direct/said.rs
@@ -48,15 +48,15 @@
 
 /// The recorded statements in order of their numbers, without those that were taken out.
 #[derive(Debug, Default)]
-pub struct Talk {
+pub struct Transcript {
     said: Vec<Said>,
     next: u64,
 }
 
 /// A record that callers share.
-pub type Record = Rc<RefCell<Talk>>;
+pub type Record = Rc<RefCell<Transcript>>;
 
-impl Deref for Talk {
+impl Deref for Transcript {
     type Target = [Said];
 
     fn deref(&self) -> &[Said] {
@@ -64,7 +64,7 @@
     }
 }
 
-impl Talk {
+impl Transcript {
     /// The number of the next statement.
     pub fn next(&self) -> u64 {
         self.next
--- a/src/standin/direct/session.rs
+++ b/src/standin/direct/session.rs
@@ -48,9 +48,9 @@
 
 /// Counts a connection of a database's run while it is open.
 #[derive(Debug)]
-struct Counted(Rc<Database>, u64);
+struct OpenConnection(Rc<Database>, u64);
 
-impl Drop for Counted {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         if self.0.life() == Some(self.1) {
             self.0.state.borrow_mut().connections -= 1;
@@ -65,7 +65,7 @@
     };
     let open = database.state.borrow().connections;
     database.state.borrow_mut().connections += 1;
-    let counted = Counted(database.clone(), life);
+    let counted = OpenConnection(database.clone(), life);
     let full = open >= database.make.connections;
     let connection = group.journal.borrow_mut().number();
     let session = Session {
@@ -123,7 +123,7 @@
                 after,
             };
             let answer = self.answer(&work).await;
-            if id.as_ref() != OWN && self.loses() {
+            if id.as_ref() != OWN && self.loses_answer() {
                 return;
             }
             output.clear();
@@ -136,9 +136,9 @@
 
     async fn start(&self, start: Request, full: bool) -> Answer {
         let make = &self.database.make;
-        let meant = (make.group.as_str(), make.id.as_str());
-        let is_meant = matches!(&start, Request::Start { group, database, .. } if (&**group, &**database) == meant);
-        if !is_meant {
+        let expected = (make.group.as_str(), make.id.as_str());
+        let is_expected = matches!(&start, Request::Start { group, database, .. } if (&**group, &**database) == expected);
+        if !is_expected {
             return refused(Code::OtherDatabase);
         }
         if full {
@@ -150,7 +150,7 @@
         self.finish(Ok((Vec::new(), None)))
     }
 
-    fn loses(&self) -> bool {
+    fn loses_answer(&self) -> bool {
         let losing = &self.database.trouble.losing;
         let loses = losing.get() > 0;
         losing.set(losing.get().saturating_sub(1));
@@ -158,7 +158,7 @@
     }
 
     async fn answer(&mut self, work: &Work<'_>) -> Answer {
-        let outcome = self.outcome(work).await;
+        let outcome = self.execute(work).await;
         if outcome.is_err()
             && let Some(transaction) = &mut self.transaction
         {
@@ -188,8 +188,8 @@
         }
     }
 
-    async fn outcome(&mut self, work: &Work<'_>) -> Outcome {
-        if let Some(outcome) = self.own(work) {
+    async fn execute(&mut self, work: &Work<'_>) -> Outcome {
+        if let Some(outcome) = self.proxy_statement(work) {
             return outcome;
         }
         match wire::statement(work.text) {
@@ -222,12 +222,12 @@
                 Some((true, shape)) => self.write(work, Some(shape)).await,
                 Some((false, shape)) => self.read(work, Some(shape)).await,
             },
-            Statement::Unknown => self.standing(work).await,
+            Statement::Unknown => self.status(work).await,
         }
     }
 
     /// Executes a statement that only the proxy itself sends.
-    fn own(&mut self, work: &Work<'_>) -> Option<Outcome> {
+    fn proxy_statement(&mut self, work: &Work<'_>) -> Option<Outcome> {
         if work.text == "reset" {
             self.values.clear();
             self.prepared.clear();
@@ -237,18 +237,18 @@
         if self.database.step_down(term.0) {
             self.group.report(&self.database);
         }
-        Some(Ok((vec![self.stands()], None)))
+        Some(Ok((vec![self.status_row()], None)))
     }
 
-    async fn standing(&self, work: &Work<'_>) -> Outcome {
+    async fn status(&self, work: &Work<'_>) -> Outcome {
         if work.text != "standing" {
             return Err(Code::Malformed);
         }
-        self.work().await?;
-        Ok((vec![self.stands()], None))
+        self.occupy_slot().await?;
+        Ok((vec![self.status_row()], None))
     }
 
-    fn stands(&self) -> Bytes {
+    fn status_row(&self) -> Bytes {
         let state = self.database.state.borrow();
         let role = if state.primary { "primary" } else { "replica" };
         let term = state.term;
@@ -260,7 +260,7 @@
         if self.transaction.is_some() {
             return Err(Code::Malformed);
         }
-        self.far_enough(work)?;
+        self.check_position(work)?;
         if !read && !self.database.state.borrow().primary {
             return Err(Code::NotPrimary);
         }
@@ -273,7 +273,7 @@
         Ok((Vec::new(), None))
     }
 
-    fn far_enough(&self, work: &Work<'_>) -> Result<(), Code> {
+    fn check_position(&self, work: &Work<'_>) -> Result<(), Code> {
         match work.after {
             Some(after) if !self.database.has(after) => Err(Code::Behind),
             _ => Ok(()),
@@ -293,14 +293,14 @@
     }
 
     /// Occupies a slot for as long as a statement takes. Fails with `Busy` if the queue is full.
-    async fn work(&self) -> Result<(), Code> {
+    async fn occupy_slot(&self) -> Result<(), Code> {
         let database = &self.database;
         let waiting = database.state.borrow().waiting;
         if database.slots.available_permits() == 0 && waiting >= database.make.queue {
             return Err(Code::Busy);
         }
         database.state.borrow_mut().waiting += 1;
-        let waits = Waits(database);
+        let waits = QueuedStatement(database);
         let slot = database.slots.acquire().await;
         drop(waits);
         sleep(database.make.work + database.trouble.slow.get()).await;
@@ -326,10 +326,10 @@
 
     async fn read(&mut self, work: &Work<'_>, shape: Option<Box<str>>) -> Outcome {
         self.may_run(false)?;
-        self.far_enough(work)?;
-        let mut run = self.ran(work, shape);
+        self.check_position(work)?;
+        let mut run = self.new_run(work, shape);
         run.saw = self.database.position();
-        self.work().await?;
+        self.occupy_slot().await?;
         if self.fails() {
             return Err(Code::Failed);
         }
@@ -338,13 +338,13 @@
             format!("{item} in {} commits", run.saw.offset).into(),
             format!("for {}", work.id).into(),
         ];
-        Ok(self.done(run))
+        Ok(self.finish_run(run))
     }
 
     async fn write(&mut self, work: &Work<'_>, shape: Option<Box<str>>) -> Outcome {
         self.may_run(true)?;
-        let mut run = self.ran(work, shape);
-        self.work().await?;
+        let mut run = self.new_run(work, shape);
+        self.occupy_slot().await?;
         self.may_run(true)?;
         if self.fails() {
             return Err(Code::Failed);
@@ -356,11 +356,11 @@
         let write = Write { id, item, data };
         if let Some(transaction) = &mut self.transaction {
             transaction.writes.push(write);
-            return Ok(self.done(run));
+            return Ok(self.finish_run(run));
         }
         let commit = self.group.commit(&self.database, vec![write]).await;
         run.commit = Some(commit.ok_or(Code::NotPrimary)?);
-        Ok(self.done(run))
+        Ok(self.finish_run(run))
     }
 
     async fn commit(&mut self, work: &Work<'_>) -> Outcome {
@@ -371,8 +371,8 @@
             self.transaction = None;
             return Err(Code::RolledBack);
         }
-        let mut run = self.ran(work, None);
-        self.work().await?;
+        let mut run = self.new_run(work, None);
+        self.occupy_slot().await?;
         let Some(transaction) = self.transaction.take() else {
             return Err(Code::Malformed);
         };
@@ -380,10 +380,10 @@
             let commit = self.group.commit(&self.database, transaction.writes).await;
             run.commit = Some(commit.ok_or(Code::NotPrimary)?);
         }
-        Ok(self.done(run))
+        Ok(self.finish_run(run))
     }
 
-    fn ran(&self, work: &Work<'_>, shape: Option<Box<str>>) -> Run {
+    fn new_run(&self, work: &Work<'_>, shape: Option<Box<str>>) -> Run {
         Run {
             id: work.id.into(),
             text: work.text.into(),
@@ -403,7 +403,7 @@
         }
     }
 
-    fn done(&self, mut run: Run) -> (Vec<Bytes>, Option<Box<str>>) {
+    fn finish_run(&self, mut run: Run) -> (Vec<Bytes>, Option<Box<str>>) {
         let mut journal = self.group.journal.borrow_mut();
         let number = journal.number();
         run.signature = format!("{}.{number}", self.database.make.id).into();
@@ -414,9 +414,9 @@
 }
 
 /// Counts a statement that waits for a slot.
-struct Waits<'a>(&'a Database);
+struct QueuedStatement<'a>(&'a Database);
 
-impl Drop for Waits<'_> {
+impl Drop for QueuedStatement<'_> {
     fn drop(&mut self) {
         self.0.state.borrow_mut().waiting -= 1;
     }
--- a/src/standin/direct/setup.rs
+++ b/src/standin/direct/setup.rs
@@ -19,7 +19,7 @@
 const DEPLOYMENT: Deployment = Deployment::Association;
 
 /// The number of databases in a group.
-const COPIES: usize = GROUPS;
+const DATABASES_PER_GROUP: usize = GROUPS;
 
 /// The port on which VMs answer each other's questions.
 pub const MESH_PORT: u16 = 7_000;
@@ -205,10 +205,10 @@
     group: usize,
 ) -> Result<Vec<Rc<Database>>, Invalid> {
     let mut members = Vec::new();
-    for turn in 0..COPIES {
-        let domain = (group + turn) % COPIES;
+    for index in 0..DATABASES_PER_GROUP {
+        let domain = (group + index) % DATABASES_PER_GROUP;
         let make = Make {
-            id: format!("db{group}{}", ["a", "b", "c"][turn]).parse()?,
+            id: format!("db{group}{}", ["a", "b", "c"][index]).parse()?,
             group: format!("ledger{group}").parse()?,
             address: address(domain, 100 + group, DATABASE_PORT),
             domain: setup.domain(domain)?,
@@ -219,7 +219,7 @@
             work: setup.work,
             lag: setup.lag,
         };
-        let database = Database::new(make, turn == 0, 1, Log::default());
+        let database = Database::new(make, index == 0, 1, Log::default());
         network.place(database.node(), domain, setup.region(domain));
         members.push(database);
     }
--- a/src/standin/direct/store.rs
+++ b/src/standin/direct/store.rs
@@ -16,10 +16,10 @@
 use tokio::time::Instant;
 
 /// How long an answer that has begun to arrive may pause.
-const STALL: Duration = Duration::from_millis(800);
+const STALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The time that each call takes in the store.
-const WORK: Duration = Duration::from_millis(4);
+const CALL_TIME: Duration = Duration::from_millis(4);
 
 /// How the store handles a call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 }
 
 /// How long earlier values of rows are kept for a restore.
-const UNDO: Duration = Duration::from_secs(30);
+const UNDO_RETENTION: Duration = Duration::from_secs(30);
 
 /// The value of a row before a change.
 #[derive(Debug)]
@@ -91,7 +91,7 @@
     /// How long each change takes; changes are executed one after another.
     pace: Cell<Span>,
     /// When the last of the queued changes ends.
-    taken: Cell<Option<Instant>>,
+    queue_end: Cell<Option<Instant>>,
     losing: Cell<Losing>,
     changed: Notify,
     log: RefCell<Vec<Written>>,
@@ -123,7 +123,7 @@
             only: RefCell::default(),
             slow: Cell::default(),
             pace: Cell::default(),
-            taken: Cell::default(),
+            queue_end: Cell::default(),
             losing: Cell::default(),
             changed: Notify::new(),
             log: RefCell::default(),
@@ -170,7 +170,7 @@
     /// wrote since is written again after `rewrites`, except for rows that were written meanwhile.
     pub fn restore(self: &Rc<Self>, age: Span, rewrites: Span) {
         let copied = Instant::now() - Duration::from(age);
-        let lost = self.go_back(copied);
+        let lost = self.undo_since(copied);
         let number = self.number.get();
         self.era.set(Era(self.era.get().0 + 1));
         self.history
@@ -192,7 +192,7 @@
 
     /// Undoes all writes after a moment. Returns the last values of the undone rows that the
     /// operator or databases had written.
-    fn go_back(&self, copied: Instant) -> BTreeMap<RowId, Option<Bytes>> {
+    fn undo_since(&self, copied: Instant) -> BTreeMap<RowId, Option<Bytes>> {
         let mut rows = self.rows.borrow_mut();
         let mut undo = self.undo.borrow_mut();
         let mut lost = BTreeMap::new();
@@ -278,21 +278,21 @@
     /// or killed.
     pub fn calls_of(self: &Rc<Self>, vm: &VmId) -> CallStore {
         let (store, vm) = (self.clone(), vm.clone());
-        Rc::new(move |ask, span| store.call(vm.clone(), ask, span))
+        Rc::new(move |command, span| store.call(vm.clone(), command, span))
     }
 
     fn call(
         self: &Rc<Self>,
         vm: VmId,
-        ask: Command,
+        command: Command,
         span: Span,
     ) -> LocalFuture<Result<Response, Fault>> {
         let (store, network) = (self.clone(), self.network.clone());
         Box::pin(async move {
             let (answer, answered) = oneshot::channel();
             let (sender, hold) = Sender::new();
-            network.spawn(async move { store.serve(vm, ask, sender, answer).await });
-            let result = while_it_comes(answered, &hold, span).await;
+            network.spawn(async move { store.serve(vm, command, sender, answer).await });
+            let result = await_answer(answered, &hold, span).await;
             drop::<Hold>(hold);
             match result {
                 Some(Ok(result)) => result,
@@ -305,41 +305,44 @@
     async fn serve(
         self: Rc<Self>,
         vm: VmId,
-        ask: Command,
+        command: Command,
         sender: Sender,
         answer: oneshot::Sender<Result<Response, Fault>>,
     ) {
         let from = Node::Vm(vm.clone());
-        if !self.network.travel(&from, &Node::Store, &sender).await {
+        if !self.network.deliver(&from, &Node::Store, &sender).await {
             return;
         }
         self.calls.set(self.calls.get() + 1);
-        tokio::time::sleep(WORK + self.slow.get().into()).await;
-        if matches!(ask, Command::Write(_)) {
-            self.wait_in_line().await;
+        tokio::time::sleep(CALL_TIME + self.slow.get().into()).await;
+        if matches!(command, Command::Write(_)) {
+            self.wait_for_queue().await;
         }
-        let told = match self.health_for(&vm) {
-            Health::Well => self.run(&vm, ask).await,
+        let response = match self.health_for(&vm) {
+            Health::Well => self.run(&vm, command).await,
             Health::Refusing => Some(Err(Fault::Refused("down".into()))),
             Health::Reset => None,
-            Health::Silent => return hang(answer).await,
+            Health::Silent => return hold_open(answer).await,
         };
-        let Some(told) = told else {
+        let Some(response) = response else {
             return;
         };
-        let bytes = told.as_ref().map_or(0, length);
-        let way = (&Node::Store, &from);
-        if self.network.carry(way, bytes, &sender, true).await {
-            let _ = answer.send(told);
+        let bytes = response.as_ref().map_or(0, length);
+        let route = (&Node::Store, &from);
+        if self.network.transmit(route, bytes, &sender, true).await {
+            let _ = answer.send(response);
         }
     }
 
     /// Waits until all earlier changes and this one have been executed.
-    async fn wait_in_line(&self) {
+    async fn wait_for_queue(&self) {
         let now = Instant::now();
-        let begins = self.taken.get().map_or(now, |taken| taken.max(now));
+        let begins = self
+            .queue_end
+            .get()
+            .map_or(now, |queue_end| queue_end.max(now));
         let ends = begins + self.pace.get().into();
-        self.taken.set(Some(ends));
+        self.queue_end.set(Some(ends));
         tokio::time::sleep_until(ends).await;
     }
 
@@ -351,14 +354,12 @@
         }
     }
 
-    async fn run(self: &Rc<Self>, vm: &VmId, ask: Command) -> Option<Result<Response, Fault>> {
-        match ask {
+    async fn run(self: &Rc<Self>, vm: &VmId, command: Command) -> Option<Result<Response, Fault>> {
+        match command {
             Command::Read(table) => Some(Ok(self.read(vm, &table, "", usize::MAX))),
-            Command::Range {
-                table,
-                from,
-                limit: most,
-            } => Some(Ok(self.read(vm, &table, &from, most as usize))),
+            Command::Range { table, from, limit } => {
+                Some(Ok(self.read(vm, &table, &from, limit as usize)))
+            }
             Command::Follow { table, after, wait } => self.follow(vm, &table, after, wait).await,
             Command::Write(change) => match self.losing.get() {
                 Losing::None => Some(Ok(self.write(Some(vm), &change))),
@@ -378,16 +379,16 @@
         }
     }
 
-    /// Reads the rows of a table from the key `from` on, at most `most` of them.
-    fn read(&self, vm: &VmId, table: &str, from: &str, most: usize) -> Response {
+    /// Reads the rows of a table from the key `from` on, at most `limit` of them.
+    fn read(&self, vm: &VmId, table: &str, from: &str, limit: usize) -> Response {
         let rows = self.rows.borrow();
         let first = RowId::new(table, from);
         let rows = rows.range(first..);
-        let rows = rows.take_while(|(id, _)| &*id.table == table).take(most);
+        let rows = rows.take_while(|(id, _)| &*id.table == table).take(limit);
         let rows = rows.map(|(id, (value, version))| Row {
             id: id.clone(),
             value: Some(value.clone()),
-            version: self.tagged(*version),
+            version: self.version_of(*version),
         });
         let rows: Vec<Row> = rows.collect();
         let bytes = rows.iter().map(Row::size).sum::<usize>() as u64;
@@ -426,7 +427,7 @@
     }
 
     /// A version of the current era from a number.
-    fn tagged(&self, number: u64) -> Version {
+    fn version_of(&self, number: u64) -> Version {
         Version::new(self.era.get(), number)
     }
 
@@ -434,11 +435,11 @@
         let history = self.history.borrow();
         let rows = history.iter();
         let rows = rows.filter(|row| row.version.number > after && &*row.id.table == table);
-        let told = rows.cloned().map(|row| Row {
-            version: self.tagged(row.version.number),
+        let rows = rows.cloned().map(|row| Row {
+            version: self.version_of(row.version.number),
             ..row
         });
-        told.collect()
+        rows.collect()
     }
 
     fn write(&self, by: Option<&VmId>, change: &Change) -> Response {
@@ -453,7 +454,7 @@
                 Some(Row {
                     id: id.clone(),
                     value: Some(value.clone()),
-                    version: self.tagged(*version),
+                    version: self.version_of(*version),
                 })
             });
             return Response::Conflict(now.collect());
@@ -462,7 +463,7 @@
         let number = before + 1;
         self.number.set(number);
         let version = self.version();
-        self.note_undo(by.is_none(), &rows, change, before);
+        self.record_undo(by.is_none(), &rows, change, before);
         let mut changed = Vec::new();
         for (id, value) in &change.writes {
             rows.insert(id.clone(), (value.clone(), number));
@@ -489,15 +490,15 @@
 }
 
 /// The size of an answer in bytes, with values in base64.
-fn length(told: &Response) -> u64 {
-    let (Response::Rows { rows, .. } | Response::Conflict(rows)) = told else {
+fn length(response: &Response) -> u64 {
+    let (Response::Rows { rows, .. } | Response::Conflict(rows)) = response else {
         return 0;
     };
     rows.iter().map(|row| row.size() as u64 * 4 / 3).sum()
 }
 
 impl Store {
-    fn note_undo(
+    fn record_undo(
         &self,
         by_platform: bool,
         rows: &BTreeMap<RowId, (Bytes, u64)>,
@@ -514,30 +515,26 @@
             before: rows.get(id).cloned(),
             number,
         }));
-        let gone = undo.partition_point(|undo| undo.at + UNDO < at);
+        let gone = undo.partition_point(|undo| undo.at + UNDO_RETENTION < at);
         undo.drain(..gone);
     }
 }
 
 /// Waits for an answer that has to begin to arrive within `span` and then must not pause for longer
 /// than `STALL`.
-async fn while_it_comes<T>(
-    answered: impl Future<Output = T>,
-    hold: &Hold,
-    span: Span,
-) -> Option<T> {
+async fn await_answer<T>(answered: impl Future<Output = T>, hold: &Hold, span: Span) -> Option<T> {
     let mut answered = std::pin::pin!(answered);
     let mut due = Instant::now() + span.into();
     loop {
         if let Ok(answer) = tokio::time::timeout_at(due, &mut answered).await {
             return Some(answer);
         }
-        let moved = hold.moved().map(|moved| moved + STALL);
-        due = moved.filter(|moved| *moved > due)?;
+        let stalled_at = hold.last_arrival().map(|arrival| arrival + STALL_TIMEOUT);
+        due = stalled_at.filter(|stalled_at| *stalled_at > due)?;
     }
 }
 
 /// Keeps a call open without an answer until the caller stops waiting.
-async fn hang(mut answer: oneshot::Sender<Result<Response, Fault>>) {
+async fn hold_open(mut answer: oneshot::Sender<Result<Response, Fault>>) {
     answer.closed().await;
 }
--- a/src/standin/direct/world.rs
+++ b/src/standin/direct/world.rs
@@ -28,7 +28,7 @@
 use tokio::time::{Instant, sleep};
 
 /// The time that every clock shows at the start.
-const BOOTED: Time = Time(1_000_000_000);
+const CLOCK_START: Time = Time(1_000_000_000);
 
 /// For how long a VM is suspended and runs, in turns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -65,7 +65,7 @@
     /// The endpoint that takes orders to promote.
     pub orders: Rc<Orders>,
     /// How many bytes each VM has sent to others in answers.
-    pub told: RefCell<BTreeMap<VmId, u64>>,
+    pub answered_bytes: RefCell<BTreeMap<VmId, u64>>,
     /// Each configuration, with the moment at which it came into force.
     pub configs: RefCell<Vec<(Instant, Config)>>,
     program: Program,
@@ -77,7 +77,7 @@
     /// The number of the next VM to be added.
     next: Cell<usize>,
     /// How far each VM's clock has jumped ahead.
-    ahead: RefCell<BTreeMap<VmId, Rc<Cell<Span>>>>,
+    clock_offsets: RefCell<BTreeMap<VmId, Rc<Cell<Span>>>>,
     started: Instant,
     lives: Cell<u64>,
 }
@@ -135,8 +135,8 @@
             addresses: RefCell::default(),
             retired: RefCell::default(),
             next: Cell::new(setup.vms),
-            told: RefCell::default(),
-            ahead: RefCell::default(),
+            answered_bytes: RefCell::default(),
+            clock_offsets: RefCell::default(),
             started: Instant::now(),
             lives: Cell::new(0),
             setup,
@@ -233,7 +233,8 @@
         let region = self.setup.region(domain);
         self.network.place(Node::Vm(vm.clone()), domain, region);
         if let Some(bandwidth) = (self.setup.link)(number) {
-            self.network.narrow(Node::Vm(vm.clone()), bandwidth);
+            self.network
+                .limit_bandwidth(Node::Vm(vm.clone()), bandwidth);
         }
         self.lives.set(self.lives.get() + 1);
         let (streams, streams_in) = mpsc::unbounded_channel();
@@ -277,11 +278,11 @@
     /// Addresses of the first three VMs that were not replaced.
     fn seeds(&self) -> Vec<SocketAddr> {
         let (known, retired) = (self.addresses.borrow(), self.retired.borrow());
-        let lasts = |number: &usize| match *number < self.setup.vms {
+        let remains = |number: &usize| match *number < self.setup.vms {
             true => !retired.contains(number),
             false => known.contains_key(&self.mesh_address(*number)),
         };
-        let numbers = (0..self.next.get()).filter(lasts).take(3);
+        let numbers = (0..self.next.get()).filter(remains).take(3);
         numbers.map(|number| self.mesh_address(number)).collect()
     }
 
@@ -296,7 +297,7 @@
         if number < self.setup.vms {
             self.retired.borrow_mut().insert(number);
         }
-        self.ahead.borrow_mut().remove(vm);
+        self.clock_offsets.borrow_mut().remove(vm);
         self.addresses
             .borrow_mut()
             .remove(&self.mesh_address(number));
@@ -361,8 +362,8 @@
 
     /// Advances a VM's clock by a span that its timers don't count.
     pub fn jump_clock(&self, vm: &VmId, span: Span) {
-        let ahead = self.ahead_of(vm);
-        ahead.set(ahead.get() + span);
+        let offset = self.clock_offset(vm);
+        offset.set(offset.get() + span);
     }
 
     /// Whether a VM runs, frozen or not.
@@ -390,7 +391,7 @@
     }
 
     /// Connects a caller of a failure domain to a VM. Returns `None` if the VM does not run.
-    pub async fn call_on(self: &Rc<Self>, domain: usize, vm: &VmId) -> Option<Stream> {
+    pub async fn connect_caller(self: &Rc<Self>, domain: usize, vm: &VmId) -> Option<Stream> {
         let from = Node::Callers(domain);
         let region = self.setup.region(domain);
         self.network.place(from.clone(), domain, region);
@@ -409,14 +410,14 @@
         found.find_map(|(group, member)| Some((group.clone(), member?)))
     }
 
-    fn ahead_of(&self, vm: &VmId) -> Rc<Cell<Span>> {
-        let mut ahead = self.ahead.borrow_mut();
-        ahead.entry(vm.clone()).or_default().clone()
+    fn clock_offset(&self, vm: &VmId) -> Rc<Cell<Span>> {
+        let mut clock_offsets = self.clock_offsets.borrow_mut();
+        clock_offsets.entry(vm.clone()).or_default().clone()
     }
 
     fn clock_of(&self, vm: &VmId) -> Clock {
-        let (started, ahead) = (self.started, self.ahead_of(vm));
-        Rc::new(move || BOOTED + Span::from(started.elapsed()) + ahead.get())
+        let (started, offset) = (self.started, self.clock_offset(vm));
+        Rc::new(move || CLOCK_START + Span::from(started.elapsed()) + offset.get())
     }
 
     fn adapter(self: &Rc<Self>, vm: &VmId) -> Adapter {
@@ -425,7 +426,7 @@
             wire: wire::wire(),
             documents: documents(),
             store: self.store.calls_of(vm),
-            promote: self.orders.way(clock.clone()),
+            promote: self.orders.promoter(clock.clone()),
             connect: self.connect_of(vm),
             clock,
         }
--- a/tests/direct_fleet.rs
+++ b/tests/direct_fleet.rs
@@ -261,16 +261,16 @@
     (member, row.version)
 }
 
-fn fellows(domains: usize, each: usize) -> Vec<Peer> {
-    let fellow = |domain: usize, host: usize| Peer {
+fn peers(domains: usize, each: usize) -> Vec<Peer> {
+    let peer = |domain: usize, host: usize| Peer {
         address: SocketAddr::from(([10, domain as u8, 0, host as u8], 7_440)),
         relay: None,
         domain: format!("domain{domain}").parse().unwrap(),
         cores: Cores::default(),
         evicted: false,
     };
-    let fellows = (0..domains).flat_map(|domain| (0..each).map(move |host| fellow(domain, host)));
-    fellows.collect()
+    let peers = (0..domains).flat_map(|domain| (0..each).map(move |host| peer(domain, host)));
+    peers.collect()
 }
 
 /// Forty VMs with eighty groups. The register of 240 databases takes 20 KB, as much as the list of
@@ -284,13 +284,13 @@
 }
 
 /// A quarter of the bytes that a link of 10 Mbit/s carries in a second.
-const QUARTER: u64 = 312_500;
+const QUARTER_OF_LINK: u64 = 312_500;
 
 /// The most bytes that any VM has sent to others in answers so far.
-fn most_told(scene: &Scene) -> u64 {
+fn max_answered_bytes(scene: &Scene) -> u64 {
     scene
         .world
-        .told
+        .answered_bytes
         .borrow()
         .values()
         .copied()
@@ -306,20 +306,20 @@
 #[test]
 fn many_groups_are_told_in_short() {
     play(many_groups(), |scene| async move {
-        let start = most_told(&scene);
+        let start = max_answered_bytes(&scene);
         assert!(
-            start <= 5 * QUARTER,
+            start <= 5 * QUARTER_OF_LINK,
             "{start} bytes in the 5 s of the start"
         );
         scene.until(2_000).await;
-        let quiet = most_told(&scene) - start;
-        assert!(quiet <= 2 * QUARTER, "{quiet} bytes in 2 s");
-        let before = most_told(&scene);
+        let quiet = max_answered_bytes(&scene) - start;
+        assert!(quiet <= 2 * QUARTER_OF_LINK, "{quiet} bytes in 2 s");
+        let before = max_answered_bytes(&scene);
         scene
             .fault(Fault::Crash(scene::db("db3a")), 2_000, 8_000)
             .await;
-        let change = most_told(&scene) - before;
-        assert!(change <= 6 * QUARTER, "{change} bytes in 6 s");
+        let change = max_answered_bytes(&scene) - before;
+        assert!(change <= 6 * QUARTER_OF_LINK, "{change} bytes in 6 s");
         assert_eq!(ready(&scene), 40);
         scene.passes().await;
     });
@@ -331,13 +331,13 @@
 fn many_groups_are_known_again_soon() {
     play(many_groups(), |scene| async move {
         scene.until(3_000).await;
-        let before = most_told(&scene);
+        let before = max_answered_bytes(&scene);
         let all = Fault::KillAll(scene.world.running());
         scene.fault(all, 3_000, 4_400).await;
         scene.until(6_400).await;
         assert_eq!(ready(&scene), 40);
-        let told = most_told(&scene) - before;
-        assert!(told <= 2 * QUARTER, "{told} bytes in 2 s");
+        let told = max_answered_bytes(&scene) - before;
+        assert!(told <= 2 * QUARTER_OF_LINK, "{told} bytes in 2 s");
         scene.passes().await;
     });
 }
@@ -374,16 +374,16 @@
 /// VMs with more processor cores read for the others of their failure domain.
 #[test]
 fn strong_vms_read() {
-    let mut fellows = fellows(6, 33);
+    let mut peers = peers(6, 33);
     let strong = Cores::from_thousandths(500);
     for place in [20, 30] {
-        fellows[33 + place].cores = strong;
+        peers[33 + place].cores = strong;
     }
-    let readers = reader::all(&fellows);
-    let of_domain = fellows[33..66]
+    let readers = reader::all(&peers);
+    let of_domain = peers[33..66]
         .iter()
         .filter(|f| readers.contains(&f.address));
-    assert!(of_domain.clone().all(|fellow| fellow.cores == strong));
+    assert!(of_domain.clone().all(|peer| peer.cores == strong));
     assert_eq!(of_domain.count(), 2);
 }
 
@@ -392,14 +392,12 @@
 #[test]
 fn readers_of_fleets() {
     let counts = [(3, 3), (3, 6), (6, 33), (7, 83)].map(|(domains, each)| {
-        let fellows = fellows(domains, each);
-        let readers = reader::all(&fellows);
-        let by_themselves = fellows
-            .iter()
-            .filter(|f| reader::reads(&fellows, f.address));
+        let peers = peers(domains, each);
+        let readers = reader::all(&peers);
+        let by_themselves = peers.iter().filter(|f| reader::reads(&peers, f.address));
         let by_themselves: BTreeSet<_> = by_themselves.map(|f| f.address).collect();
         assert_eq!(readers, by_themselves);
-        format!("{} VMs: {} read", fellows.len(), readers.len())
+        format!("{} VMs: {} read", peers.len(), readers.len())
     });
     insta::assert_debug_snapshot!(counts, @r#"
     [
@@ -409,10 +407,10 @@
         "581 VMs: 14 read",
     ]
     "#);
-    let fellows = fellows(6, 33);
-    let own = fellows[40].address;
-    let near = reader::near(&fellows, own);
-    let far = reader::far(&fellows, own);
+    let peers = peers(6, 33);
+    let own = peers[40].address;
+    let near = reader::near(&peers, own);
+    let far = reader::far(&peers, own);
     assert!(
         near.iter()
             .all(|address| address.ip().to_string().starts_with("10.1."))
@@ -424,6 +422,6 @@
 #[test]
 fn a_vm_that_is_not_listed_reads() {
     let own = SocketAddr::from(([10, 9, 0, 1], 7_440));
-    assert!(reader::reads(&fellows(6, 33), own));
+    assert!(reader::reads(&peers(6, 33), own));
     assert!(reader::reads(&[], own));
 }
--- a/tests/direct_random.rs
+++ b/tests/direct_random.rs
@@ -3,11 +3,11 @@
 
 use lentilspoke::schedule::direct::{self, Variant};
 
-fn plays_well(seed: u64) {
-    passes(&direct::play(seed, Variant::default()).unwrap());
+fn run_seed(seed: u64) {
+    assert_passes(&direct::play(seed, Variant::default()).unwrap());
 }
 
-fn passes(report: &direct::Report) {
+fn assert_passes(report: &direct::Report) {
     assert!(
         report.broken.is_empty(),
         "{report}\n{}",
@@ -20,7 +20,7 @@
 /// random. Every answer has to agree with what the databases ran.
 #[test]
 fn first_seeds() {
-    (1..=10).for_each(plays_well);
+    (1..=10).for_each(run_seed);
 }
 
 /// Guards against writes that are acknowledged in an old term. A primary was replaced while it was
@@ -29,7 +29,7 @@
 /// old term.
 #[test]
 fn replaced_primary_is_acted_on_in_its_old_term() {
-    plays_well(239);
+    run_seed(239);
 }
 
 /// When the answer to the first read of a transaction is lost, the read is sent again to another
@@ -37,7 +37,7 @@
 /// all later statements have to run there.
 #[test]
 fn transaction_begins_anew_elsewhere() {
-    [173, 361, 502, 1025].into_iter().for_each(plays_well);
+    [173, 361, 502, 1025].into_iter().for_each(run_seed);
 }
 
 /// Five to seven VMs share databases of eight connections, so that most statements are relayed by
@@ -51,7 +51,7 @@
         ..Variant::default()
     };
     for seed in (1..=4).chain([21, 59]) {
-        passes(&direct::play(seed, crowded).unwrap());
+        assert_passes(&direct::play(seed, crowded).unwrap());
     }
 }
 
@@ -66,7 +66,7 @@
             ..Variant::default()
         };
         for seed in 1..=4 {
-            passes(&direct::play(seed, variant).unwrap());
+            assert_passes(&direct::play(seed, variant).unwrap());
         }
     }
 }
@@ -79,6 +79,6 @@
         ..Variant::default()
     };
     for seed in 1..=6 {
-        passes(&direct::play(seed, fleet).unwrap());
+        assert_passes(&direct::play(seed, fleet).unwrap());
     }
 }
--- a/tests/direct_standin.rs
+++ b/tests/direct_standin.rs
@@ -269,7 +269,7 @@
 
 /// Applies a fault to an idle world while `during` runs, then ends it. No task may panic meanwhile:
 /// a panic would end the task without failing the test.
-fn under<F: Future<Output = ()>>(
+fn run_under<F: Future<Output = ()>>(
     fault: fault::Fault,
     during: impl FnOnce(Rc<World>, Rc<Machine>) -> F,
 ) -> Rc<World> {
@@ -292,7 +292,7 @@
 
 #[test]
 fn grey_database_fails_its_share_of_statements() {
-    under(
+    run_under(
         fault::Fault::Grey(id("db0a"), 40),
         |world, machine| async move {
             let (mut session, _) = Session::open(&world, &machine, "db0a").await;
@@ -309,7 +309,7 @@
 
 #[test]
 fn flapping_database_goes_down_and_up_and_ends_up() {
-    let world = under(
+    let world = run_under(
         fault::Fault::Flap(id("db0a"), SECOND),
         |world, _| async move {
             let mut ups = Vec::new();
@@ -330,7 +330,7 @@
     let primary = Node::Database(id("db0a"));
     let fault = fault::Fault::Sever(primary.clone(), replicas.to_vec());
     let cut = (primary.clone(), replicas.clone());
-    let world = under(fault, |world, machine| async move {
+    let world = run_under(fault, |world, machine| async move {
         let (primary, replicas) = cut;
         assert!(
             replicas
@@ -353,7 +353,7 @@
     let fault = fault::Fault::SlowLink(node.clone(), Span::from_millis(300));
     let before = Rc::new(RefCell::new(None));
     let noted = before.clone();
-    let world = under(fault, |world, machine| async move {
+    let world = run_under(fault, |world, machine| async move {
         let begun = tokio::time::Instant::now();
         let (mut session, _) = Session::open(&world, &machine, "db0a").await;
         session.ask("read i1").await;
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -19,13 +19,13 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// How long a world runs before callers start.
-const WARM: Duration = Duration::from_secs(5);
+const WARM_UP: Duration = Duration::from_secs(5);
 
 /// How long callers run.
-const LENGTH: Duration = Duration::from_secs(30);
+const RUN_TIME: Duration = Duration::from_secs(30);
 
 /// The longest pause of callers between statements.
-const PAUSE: Duration = Duration::from_millis(100);
+const MAX_PAUSE: Duration = Duration::from_millis(100);
 
 /// A world, its callers' record and the moment at which callers started.
 pub struct Scene {
@@ -43,7 +43,7 @@
     /// A world with a caller of each kind in each failure domain.
     async fn start(setup: Setup) -> Self {
         let world = World::start(setup, program()).unwrap();
-        sleep(WARM).await;
+        sleep(WARM_UP).await;
         let scene = Self {
             world,
             record: Record::default(),
@@ -51,8 +51,8 @@
         };
         for (seed, route) in (1..).zip(["primary0", "bounded0", "session0"].repeat(3)) {
             let domain = (seed as usize - 1) / 3;
-            let caller = Caller::new(&scene.world, &scene.record, domain, route, seed, PAUSE);
-            tokio::task::spawn_local(caller.run(scene.begun + LENGTH));
+            let caller = Caller::new(&scene.world, &scene.record, domain, route, seed, MAX_PAUSE);
+            tokio::task::spawn_local(caller.run(scene.begun + RUN_TIME));
         }
         scene
     }
@@ -77,7 +77,7 @@
 
     /// Waits until all callers have ended, and checks their answers.
     pub async fn check(&self) -> Report {
-        sleep_until(self.begun + LENGTH + Duration::from_secs(11)).await;
+        sleep_until(self.begun + RUN_TIME + Duration::from_secs(11)).await;
         check(&self.world, self.begun, &self.record.borrow())
     }
 
@@ -109,7 +109,7 @@
         let writes = record.iter().filter(|said| said.text.starts_with("write "));
         let acknowledged = writes.filter(|said| said.sent >= self.at(since));
         let first = acknowledged.filter_map(Said::acknowledged).min();
-        first.map_or(LENGTH, |first| first - self.at(since))
+        first.map_or(RUN_TIME, |first| first - self.at(since))
     }
 
     /// Opens sessions at all VMs but one, each with an idle transaction that has run one statement.
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -27,7 +27,7 @@
 }
 
 /// The answer of a healthy database, which tracks the state of a transaction per connection.
-fn well(open: &mut bool, text: &str) -> Act {
+fn healthy(open: &mut bool, text: &str) -> Act {
     let signature = match text.split(' ').next() {
         Some("read" | "write" | "exec" | "commit") => "sig",
         _ => "-",
@@ -258,7 +258,7 @@
         let act = (script.borrow_mut())(&id, number, &text);
         let act = act.unwrap_or_else(|| match text.as_str() {
             "start" => Act::Say(12, "state idle 1/10\n".into()),
-            text => well(&mut open, text),
+            text => healthy(&mut open, text),
         });
         match act {
             Act::Say(millis, lines) => {
