--- a/src/soak/people.rs
+++ b/src/soak/people.rs
@@ -65,7 +65,7 @@
             let opened = Session::open(&world, &record, domain, &vm, &route).await;
             let Ok(mut session) = opened else { return };
             if session.begin(false).await.is_ok() {
-                let _ = session.say(&format!("write i0 v{number}")).await;
+                let _ = session.execute(&format!("write i0 v{number}")).await;
                 sleep_until(until).await;
             }
         });
--- a/src/standin/direct/caller.rs
+++ b/src/standin/direct/caller.rs
@@ -126,7 +126,7 @@
 
     /// Sends one statement and waits for its answer, outside a transaction or in the one that
     /// [`Session::begin`] opened.
-    pub async fn say(&mut self, text: &str) -> Result<Answer, Closed> {
+    pub async fn execute(&mut self, text: &str) -> Result<Answer, Closed> {
         let number = self.record_statement(text);
         let id = id_of(number);
         let mut output = BytesMut::new();
@@ -207,7 +207,7 @@
             since: Instant::now(),
         });
         let text = if read { "begin read" } else { "begin" };
-        let answer = self.say(text).await;
+        let answer = self.execute(text).await;
         if !matches!(&answer, Ok(answer) if answer.state == State::Open) {
             self.operation = None;
         }
@@ -216,7 +216,9 @@
 
     /// Ends a transaction.
     pub async fn end(&mut self, commit: bool) -> Result<Answer, Closed> {
-        let answer = self.say(if commit { "commit" } else { "rollback" }).await;
+        let answer = self
+            .execute(if commit { "commit" } else { "rollback" })
+            .await;
         self.operation = None;
         answer
     }
@@ -305,12 +307,12 @@
         let answer = match self.below(12) {
             drawn if drawn < self.writes && writes => {
                 let text = self.write(session);
-                session.say(&text).await?
+                session.execute(&text).await?
             }
             3 | 4 => return self.transaction(session, writes).await,
             5 => {
                 let text = format!("set s{} {}", self.below(2), self.below(9));
-                return require_success(session.say(&text).await?);
+                return require_success(session.execute(&text).await?);
             }
             6 => {
                 let name = PREPARED_NAMES[self.below(2) as usize];
@@ -320,17 +322,17 @@
                     "read"
                 };
                 let text = format!("prepare {name} {kind} shape{}", self.below(3));
-                return require_success(session.say(&text).await?);
+                return require_success(session.execute(&text).await?);
             }
             7 => match session.prepared.keys().next().cloned() {
                 Some(name) if self.below(3) == 0 => {
-                    return require_success(session.say(&format!("forget {name}")).await?);
+                    return require_success(session.execute(&format!("forget {name}")).await?);
                 }
                 _ => return Ok(()),
             },
             _ => {
                 let text = self.read(session);
-                session.say(&text).await?
+                session.execute(&text).await?
             }
         };
         match answer.state {
@@ -350,7 +352,7 @@
                 true => self.write(session),
                 false => self.read(session),
             };
-            let answer = session.say(&text).await?;
+            let answer = session.execute(&text).await?;
             if answer.state != State::Open {
                 break;
             }
--- a/tests/direct_keys.rs
+++ b/tests/direct_keys.rs
@@ -85,17 +85,17 @@
         let vm = vm("vm1");
         let mut idle = scene.session("primary0", &vm, "key0").await;
         let mut open = scene.session("primary0", &vm, "key0").await;
-        assert_eq!(code(&idle.say("write i1 a").await.unwrap()), None);
+        assert_eq!(code(&idle.execute("write i1 a").await.unwrap()), None);
         open.begin(false).await.unwrap();
-        assert_eq!(code(&open.say("write i2 b").await.unwrap()), None);
+        assert_eq!(code(&open.execute("write i2 b").await.unwrap()), None);
         let only = Some([vm.clone()].into());
         Fault::Store(Health::Refusing, only).begin(&scene.world);
         set_keys(&scene, &[]);
         sleep(Duration::from_secs(1)).await;
-        assert!(idle.say("read i1").await.is_err());
-        let answer = open.say("write i3 c").await.unwrap();
+        assert!(idle.execute("read i1").await.is_err());
+        let answer = open.execute("write i3 c").await.unwrap();
         assert_eq!(code(&answer), Some(Code::NoKey));
-        assert!(open.say("commit").await.is_err());
+        assert!(open.execute("commit").await.is_err());
         scene.check().await;
         let writes = scene
             .book()
@@ -175,5 +175,5 @@
 
 /// Sends reads, each as soon as the previous one is answered.
 async fn read_repeatedly(mut session: Session) {
-    while session.say("read i1").await.is_ok() {}
+    while session.execute("read i1").await.is_ok() {}
 }
--- a/tests/direct_relay.rs
+++ b/tests/direct_relay.rs
@@ -160,7 +160,7 @@
             scene.until(4_900).await;
             for mut session in ending {
                 // Its stream is then not needed by any other session, and stays idle.
-                assert!(session.say("rollback").await.is_ok());
+                assert!(session.execute("rollback").await.is_ok());
             }
             let stop = Fault::Stop(stopped, Span::from_secs(6));
             scene.fault(stop, 5_000, 13_000).await;
--- a/tests/direct_tenure.rs
+++ b/tests/direct_tenure.rs
@@ -48,7 +48,7 @@
 async fn saturate(scene: &Scene, vm: &VmId) {
     for number in 0..ORGANISATIONS {
         let mut session = scene.session("bounded0", vm, &format!("key{number}")).await;
-        tokio::task::spawn_local(async move { while session.say("read i1").await.is_ok() {} });
+        tokio::task::spawn_local(async move { while session.execute("read i1").await.is_ok() {} });
     }
 }
 
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -119,7 +119,7 @@
             let opened = Session::open(&self.world, &self.record, 0, vm, route).await;
             let Ok(mut session) = opened else { continue };
             let begun = session.begin(false).await.is_ok();
-            if begun && session.say("read i1").await.is_ok() {
+            if begun && session.execute("read i1").await.is_ok() {
                 resting.push(session);
             }
         }
