--- a/src/soak/judge.rs
+++ b/src/soak/judge.rs
@@ -8,7 +8,7 @@
 use crate::soak::tally::Tally;
 use crate::standin::direct::check::{Routes, compare_on};
 use crate::standin::direct::host;
-use crate::standin::direct::journal::{Book, Run};
+use crate::standin::direct::journal::{Events, Run};
 use crate::standin::direct::known::Known;
 use crate::standin::direct::said::{Record, Said};
 use crate::standin::direct::world::World;
@@ -82,23 +82,23 @@
         };
         self.listen(world, story, now);
         let said = record.borrow_mut().take(settled);
-        let mut book = world.journal.borrow_mut();
-        let rest = self.part(&mut book, &said, record, settled);
+        let mut events = world.journal.borrow_mut();
+        let rest = self.part(&mut events, &said, record, settled);
         let routes = routes(world);
-        let report = compare_on(&mut self.known, &book, &routes, self.started, &said);
+        let report = compare_on(&mut self.known, &events, &routes, self.started, &said);
         for text in report.broken {
             self.breaks(settled, text, story);
         }
         self.late(&said, story);
-        self.tally.count(&said, &book.runs, story);
-        self.gaps.acknowledged(&said, &book.runs);
-        book.runs = rest;
+        self.tally.count(&said, &events.runs, story);
+        self.gaps.acknowledged(&said, &events.runs);
+        events.runs = rest;
         // Orders were judged, and noted as events.
-        book.orders.clear();
-        book.reigns.clear();
-        book.openings.clear();
-        book.forget(now.checked_sub(COMMITS).unwrap_or(self.started));
-        drop(book);
+        events.orders.clear();
+        events.reigns.clear();
+        events.openings.clear();
+        events.forget(now.checked_sub(COMMITS).unwrap_or(self.started));
+        drop(events);
         for (at, text) in std::mem::take(&mut story.found) {
             self.breaks(at, text, story);
         }
@@ -115,33 +115,39 @@
         self.forget(world, story, now, settled);
     }
 
-    /// Puts the runs of what is judged into the book, and gives the others.
-    fn part(&self, book: &mut Book, said: &[Said], record: &Record, settled: Instant) -> Vec<Run> {
+    /// Puts the runs of what is judged into the events, and gives the others.
+    fn part(
+        &self,
+        events: &mut Events,
+        said: &[Said],
+        record: &Record,
+        settled: Instant,
+    ) -> Vec<Run> {
         let ids: BTreeSet<&str> = said.iter().map(|said| &*said.id).collect();
         let mut record = record.borrow_mut();
         let mut is_asked = |run: &Run| {
             let number = run.id.strip_prefix('q').and_then(|text| text.parse().ok());
             number.is_some_and(|number| record.find(number).is_some())
         };
-        let runs = std::mem::take(&mut book.runs);
+        let runs = std::mem::take(&mut events.runs);
         let (part, rest) = runs.into_iter().partition(|run| {
             // Nobody asked for it, or it ran long after its caller was judged.
             ids.contains(&*run.id) || (run.at < settled && !is_asked(run))
         });
-        book.runs = part;
+        events.runs = part;
         rest
     }
 
     /// Notes what was ordered, who came to lead, and what was written about that.
     fn listen(&mut self, world: &World, story: &mut Story, now: Instant) {
-        let book = world.journal.borrow();
-        for order in &book.orders {
+        let events = world.journal.borrow();
+        for order in &events.orders {
             let (holder, token, database) = (&order.holder, order.token, &order.database);
             let text = format!("{holder} orders {database} to lead, token {token}");
             story.event(order.at, text);
             self.gaps.ordered(order);
         }
-        for reign in &book.reigns {
+        for reign in &events.reigns {
             story.event(reign.at, format!("{} leads", reign.database));
             self.gaps.reigns(reign);
         }
--- a/src/standin/direct/check.rs
+++ b/src/standin/direct/check.rs
@@ -1,7 +1,7 @@
 //! Checks the answers that callers received against what the databases ran.
 
 use crate::direct::statement::Statement;
-use crate::standin::direct::journal::{Book, Run};
+use crate::standin::direct::journal::{Events, Run};
 use crate::standin::direct::known::{Known, Seen};
 use crate::standin::direct::said::Said;
 use crate::standin::direct::wire::{self, OWN};
@@ -61,7 +61,7 @@
 struct Check<'a> {
     started: Instant,
     said: &'a [Said],
-    book: &'a Book,
+    events: &'a Events,
     by_id: BTreeMap<&'a str, &'a Said>,
     by_signature: BTreeMap<&'a str, &'a Run>,
     routes: &'a Routes,
@@ -81,15 +81,15 @@
 }
 
 /// Checks recorded statements against what happened at the databases.
-pub fn compare(book: &Book, routes: &Routes, started: Instant, said: &[Said]) -> Report {
-    compare_on(&mut Known::default(), book, routes, started, said)
+pub fn compare(events: &Events, routes: &Routes, started: Instant, said: &[Said]) -> Report {
+    compare_on(&mut Known::default(), events, routes, started, said)
 }
 
 /// Checks one batch of recorded statements, made of whole operations, against the events of the
 /// same time. `known` carries the state from the batches before.
 pub fn compare_on(
     known: &mut Known,
-    book: &Book,
+    events: &Events,
     routes: &Routes,
     started: Instant,
     said: &[Said],
@@ -97,9 +97,13 @@
     let mut check = Check {
         started,
         said,
-        book,
+        events,
         by_id: said.iter().map(|said| (&*said.id, said)).collect(),
-        by_signature: book.runs.iter().map(|run| (&*run.signature, run)).collect(),
+        by_signature: events
+            .runs
+            .iter()
+            .map(|run| (&*run.signature, run))
+            .collect(),
         routes,
         known,
         report: Report::default(),
@@ -176,7 +180,7 @@
     /// Checks that each statement that ran was sent by a caller, with the same text, organisation,
     /// session values and transaction, and ran in a group that its route names.
     fn runs(&mut self) {
-        for run in &self.book.runs {
+        for run in &self.events.runs {
             if &*run.id == OWN {
                 self.report
                     .broken
@@ -215,7 +219,7 @@
     /// it; then only the last answer counts.
     fn transactions(&mut self) {
         let mut places: BTreeMap<u64, Place<'_>> = BTreeMap::new();
-        for run in &self.book.runs {
+        for run in &self.events.runs {
             let Some(said) = self.by_id.get(&*run.id).copied() else {
                 continue;
             };
@@ -253,7 +257,7 @@
 
     fn writes(&mut self) {
         let mut commits: BTreeMap<&str, usize> = BTreeMap::new();
-        for write in self.book.commits.iter().flat_map(|c| &c.writes) {
+        for write in self.events.commits.iter().flat_map(|c| &c.writes) {
             *commits.entry(&write.id).or_default() += 1;
         }
         let promised: BTreeSet<u64> = self
@@ -287,7 +291,7 @@
             }
             return;
         };
-        if self.book.commit(number).is_some_and(|c| c.replaced) {
+        if self.events.commit(number).is_some_and(|c| c.replaced) {
             self.breaks("acknowledged by a replaced primary", said, Some(run));
         }
     }
@@ -297,7 +301,7 @@
         for said in self.said {
             self.acknowledges(said);
         }
-        self.known.sort(self.book);
+        self.known.sort(self.events);
         for said in self.said {
             let Some(run) = said.signature().and_then(|s| self.by_signature.get(s)) else {
                 continue;
@@ -306,7 +310,7 @@
                 continue;
             }
             let run = *run;
-            if let Some(missed) = self.known.missed(self.book, said, run) {
+            if let Some(missed) = self.known.missed(self.events, said, run) {
                 let age = (said.since - missed.at).as_millis();
                 let rule = format!("stale, commit {} was {age} ms old", missed.commit);
                 self.breaks(&rule, said, Some(run));
@@ -320,7 +324,7 @@
         let (Some(run), Some(at)) = (run, said.acknowledged()) else {
             return;
         };
-        let commit = run.commit.and_then(|n| Some((n, self.book.commit(n)?)));
+        let commit = run.commit.and_then(|n| Some((n, self.events.commit(n)?)));
         if let Some((number, commit)) = commit {
             let seen = Seen {
                 commit: number,
@@ -334,7 +338,7 @@
     /// Checks that the fencing tokens of orders never fall, and that each token belongs to one VM.
     fn orders(&mut self) {
         let mut last = self.known.order.take();
-        for order in &self.book.orders {
+        for order in &self.events.orders {
             let wrong = match &last {
                 Some((token, holder)) if *token == order.token => *holder != order.holder,
                 Some((token, _)) => *token > order.token,
--- a/src/standin/direct/journal.rs
+++ b/src/standin/direct/journal.rs
@@ -100,7 +100,7 @@
 
 /// All events of a world.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Events {
     /// Statements that ran, in order.
     pub runs: Vec<Run>,
     /// Commits with writes, in order of their numbers.
@@ -120,9 +120,9 @@
 }
 
 /// The events, shared by all databases.
-pub type Journal = Rc<RefCell<Book>>;
+pub type Journal = Rc<RefCell<Events>>;
 
-impl Book {
+impl Events {
     /// Returns a commit by its number, unless it was discarded.
     pub fn commit(&self, number: u64) -> Option<&Commit> {
         let index = number.checked_sub(self.forgotten)?;
--- a/src/standin/direct/known.rs
+++ b/src/standin/direct/known.rs
@@ -1,7 +1,7 @@
 //! State that the checker carries from one batch of recorded statements to the next.
 
 use crate::direct::config::Kind;
-use crate::standin::direct::journal::{Book, Run};
+use crate::standin::direct::journal::{Events, Run};
 use crate::standin::direct::said::Said;
 use crate::types::{GroupId, Position, VmId};
 use std::collections::BTreeMap;
@@ -42,9 +42,9 @@
 }
 
 impl Commits {
-    fn sort(&mut self, book: &Book) {
+    fn sort(&mut self, events: &Events) {
         self.seen
-            .retain(|seen| book.commit(seen.commit).is_none_or(|c| c.lost.is_none()));
+            .retain(|seen| events.commit(seen.commit).is_none_or(|c| c.lost.is_none()));
         self.seen.sort_by_key(|seen| seen.at);
         self.furthest.clear();
         for seen in &self.seen {
@@ -79,19 +79,19 @@
     }
 
     /// Removes lost commits and orders the rest by time.
-    pub fn sort(&mut self, book: &Book) {
+    pub fn sort(&mut self, events: &Events) {
         let lines = self.groups.values_mut().chain(self.sessions.values_mut());
-        lines.for_each(|line| line.sort(book));
+        lines.for_each(|line| line.sort(events));
     }
 
     /// Returns a commit that a read had to see and did not.
-    pub fn missed(&self, book: &Book, said: &Said, run: &Run) -> Option<Seen> {
+    pub fn missed(&self, events: &Events, said: &Said, run: &Run) -> Option<Seen> {
         let (age, own) = match said.kind {
             Kind::Primary => (Duration::ZERO, false),
             Kind::Bounded(span) => (span.into(), false),
             Kind::Session(span) => (span.into(), true),
         };
-        let has = |seen: &Seen| book.contains(&run.group, run.saw, seen.position);
+        let has = |seen: &Seen| events.contains(&run.group, run.saw, seen.position);
         let old = said.since.checked_sub(age);
         let line = self.groups.get(&run.group);
         let all = line.and_then(|line| line.before(old?));
--- a/tests/direct_check.rs
+++ b/tests/direct_check.rs
@@ -4,7 +4,7 @@
 use lentilspoke::direct::config::Kind;
 use lentilspoke::direct::statement::{Answer, Code, End, State};
 use lentilspoke::standin::direct::check::{Routes, compare, compare_on};
-use lentilspoke::standin::direct::journal::{Book, Commit, Ordered, Run, Write};
+use lentilspoke::standin::direct::journal::{Commit, Events, Ordered, Run, Write};
 use lentilspoke::standin::direct::known::Known;
 use lentilspoke::standin::direct::said::Said;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 /// A write and a later read of it, both answered correctly.
 struct Scene {
     said: Vec<Said>,
-    book: Book,
+    events: Events,
     routes: Routes,
     began: Instant,
 }
@@ -27,19 +27,19 @@
             said("q1", "write i1 v1", at(10)),
             said("q2", "read i1", at(30)),
         ];
-        let mut book = Book {
+        let mut events = Events {
             runs: vec![
                 run("q1", "write i1 v1", at(12)),
                 run("q2", "read i1", at(32)),
             ],
-            ..Book::default()
+            ..Events::default()
         };
-        book.runs[0].commit = Some(0);
-        book.runs[1].saw = "1/1".parse().unwrap();
-        book.commits.push(commit("q1", at(12)));
+        events.runs[0].commit = Some(0);
+        events.runs[1].saw = "1/1".parse().unwrap();
+        events.commits.push(commit("q1", at(12)));
         Self {
             said,
-            book,
+            events,
             routes: [("ledger".into(), "g".parse().unwrap())].into(),
             began,
         }
@@ -49,7 +49,7 @@
     fn found(change: impl FnOnce(&mut Scene)) -> String {
         let mut scene = Self::new();
         change(&mut scene);
-        let report = compare(&scene.book, &scene.routes, scene.began, &scene.said);
+        let report = compare(&scene.events, &scene.routes, scene.began, &scene.said);
         let rules = report
             .broken
             .iter()
@@ -147,14 +147,14 @@
 fn nothing_is_found_where_nothing_is_wrong() {
     assert_eq!(Scene::found(|_| ()), "");
     let lost = |scene: &mut Scene| {
-        scene.book.runs[1].saw = "1/0".parse().unwrap();
-        scene.book.commits[0].lost = Some(scene.began);
+        scene.events.runs[1].saw = "1/0".parse().unwrap();
+        scene.events.commits[0].lost = Some(scene.began);
     };
     assert_eq!(Scene::found(lost), "", "a promotion rolled the commit back");
     let unknown = |scene: &mut Scene| refuse(&mut scene.said[0], Code::Unknown);
     assert_eq!(Scene::found(unknown), "");
     let young = |scene: &mut Scene| {
-        scene.book.runs[1].saw = "1/0".parse().unwrap();
+        scene.events.runs[1].saw = "1/0".parse().unwrap();
         scene.said[1].kind = Kind::Bounded(lentilspoke::clock::Span::from_millis(50));
     };
     assert_eq!(Scene::found(young), "");
@@ -167,7 +167,7 @@
         Scene::found(other),
         "another caller's answer; stale, commit 0 was 10 ms old"
     );
-    let torn = |s: &mut Scene| s.book.runs[1].rows.push(Bytes::new());
+    let torn = |s: &mut Scene| s.events.runs[1].rows.push(Bytes::new());
     assert_eq!(Scene::found(torn), "not the whole answer");
     let none = |s: &mut Scene| s.said[1].told.as_mut().unwrap().1.end = End::Done(None);
     assert_eq!(Scene::found(none), "done without a database");
@@ -175,9 +175,9 @@
 
 #[test]
 fn statements_that_ran_otherwise_are_found() {
-    let text = |s: &mut Scene| s.book.runs[1].text = "read i2".into();
+    let text = |s: &mut Scene| s.events.runs[1].text = "read i2".into();
     assert_eq!(Scene::found(text), "another text or shape");
-    let nobody = |s: &mut Scene| s.book.runs[1].id = "q9".into();
+    let nobody = |s: &mut Scene| s.events.runs[1].id = "q9".into();
     assert_eq!(
         Scene::found(nobody),
         "another caller's answer; nobody asked"
@@ -186,7 +186,7 @@
         s.said[1].values.insert("a".into(), "b".into());
     };
     assert_eq!(Scene::found(values), "other session values");
-    let inside = |s: &mut Scene| s.book.runs[1].transaction = Some(7);
+    let inside = |s: &mut Scene| s.events.runs[1].transaction = Some(7);
     assert_eq!(Scene::found(inside), "inside or outside a transaction");
     let route = |s: &mut Scene| s.routes.clear();
     assert_eq!(
@@ -198,7 +198,7 @@
 #[test]
 fn torn_transactions_are_found() {
     let both = |s: &mut Scene| {
-        for (said, run) in s.said.iter_mut().zip(&mut s.book.runs) {
+        for (said, run) in s.said.iter_mut().zip(&mut s.events.runs) {
             said.transaction = true;
             said.operation = 1;
             run.transaction = Some(7);
@@ -206,14 +206,14 @@
     };
     let moved = |s: &mut Scene| {
         both(s);
-        s.book.runs[1].connection = 2;
+        s.events.runs[1].connection = 2;
     };
     assert_eq!(Scene::found(moved), "a transaction on two connections");
     let left_behind = |s: &mut Scene| {
         both(s);
-        let mut again = s.book.runs[0].clone();
+        let mut again = s.events.runs[0].clone();
         again.connection = 2;
-        s.book.runs.push(again);
+        s.events.runs.push(again);
     };
     assert_eq!(
         Scene::found(left_behind),
@@ -221,18 +221,18 @@
     );
     let given_up = |s: &mut Scene| {
         both(s);
-        let mut again = s.book.runs[0].clone();
+        let mut again = s.events.runs[0].clone();
         (again.connection, again.signature) = (2, "another".into());
-        s.book.runs[1].connection = 2;
-        s.book.runs.insert(1, again);
+        s.events.runs[1].connection = 2;
+        s.events.runs.insert(1, again);
     };
     assert_eq!(Scene::found(given_up), "told of a run that was given up");
     let begun_anew = |s: &mut Scene| {
         both(s);
-        let mut lost = s.book.runs[0].clone();
+        let mut lost = s.events.runs[0].clone();
         (lost.connection, lost.transaction) = (2, Some(6));
         (lost.signature, lost.commit) = ("lost".into(), None);
-        s.book.runs.insert(0, lost);
+        s.events.runs.insert(0, lost);
     };
     assert_eq!(Scene::found(begun_anew), "");
     let shared = |s: &mut Scene| {
@@ -247,22 +247,22 @@
     let run_all_the_same = |s: &mut Scene| refuse(&mut s.said[0], Code::Busy);
     assert_eq!(Scene::found(run_all_the_same), "told not run, and run");
     let twice = |s: &mut Scene| {
-        let again = s.book.commits[0].clone();
-        s.book.commits.push(again);
+        let again = s.events.commits[0].clone();
+        s.events.commits.push(again);
     };
     assert_eq!(Scene::found(twice), "a write took effect twice");
-    let missing = |s: &mut Scene| s.book.runs[0].commit = None;
+    let missing = |s: &mut Scene| s.events.runs[0].commit = None;
     assert_eq!(Scene::found(missing), "acknowledged, and not committed");
-    let replaced = |s: &mut Scene| s.book.commits[0].replaced = true;
+    let replaced = |s: &mut Scene| s.events.commits[0].replaced = true;
     assert_eq!(Scene::found(replaced), "acknowledged by a replaced primary");
 }
 
 #[test]
 fn stale_reads_are_found() {
-    let stale = |s: &mut Scene| s.book.runs[1].saw = "1/0".parse().unwrap();
+    let stale = |s: &mut Scene| s.events.runs[1].saw = "1/0".parse().unwrap();
     assert_eq!(Scene::found(stale), "stale, commit 0 was 10 ms old");
     let own = |s: &mut Scene| {
-        s.book.runs[1].saw = "1/0".parse().unwrap();
+        s.events.runs[1].saw = "1/0".parse().unwrap();
         s.said[1].kind = Kind::Session(lentilspoke::clock::Span::from_secs(9));
     };
     assert_eq!(Scene::found(own), "stale, commit 0 was 10 ms old");
@@ -271,12 +271,12 @@
 #[test]
 fn wrong_orders_are_found() {
     let rising = |s: &mut Scene| {
-        s.book.orders = vec![order("vm1", 1, s.began), order("vm2", 2, s.began)];
+        s.events.orders = vec![order("vm1", 1, s.began), order("vm2", 2, s.began)];
     };
     assert_eq!(Scene::found(rising), "");
     for token in [1, 0] {
         let wrong = |s: &mut Scene| {
-            s.book.orders = vec![order("vm1", 1, s.began), order("vm2", token, s.began)];
+            s.events.orders = vec![order("vm1", 1, s.began), order("vm2", token, s.began)];
         };
         assert_eq!(Scene::found(wrong), "orders");
     }
@@ -286,11 +286,11 @@
 /// in the second that follow from the first are still found.
 #[test]
 fn parts_are_judged_like_the_whole() {
-    let stale = |s: &mut Scene| s.book.runs[1].saw = "1/0".parse().unwrap();
+    let stale = |s: &mut Scene| s.events.runs[1].saw = "1/0".parse().unwrap();
     let behind =
-        |s: &mut Scene| s.book.orders = vec![order("vm1", 2, s.began), order("vm2", 1, s.began)];
+        |s: &mut Scene| s.events.orders = vec![order("vm1", 2, s.began), order("vm2", 1, s.began)];
     let shared = |s: &mut Scene| {
-        for (said, run) in s.said.iter_mut().zip(&mut s.book.runs) {
+        for (said, run) in s.said.iter_mut().zip(&mut s.events.runs) {
             said.transaction = true;
             run.transaction = Some(7);
         }
@@ -299,17 +299,17 @@
         let mut scene = Scene::new();
         change(&mut scene);
         let mut known = Known::default();
-        let (runs, orders) = (scene.book.runs.clone(), scene.book.orders.clone());
+        let (runs, orders) = (scene.events.runs.clone(), scene.events.orders.clone());
         let mut texts = Vec::new();
         for (part, said) in scene.said.iter().enumerate() {
-            scene.book.runs = vec![runs[part].clone()];
-            scene.book.orders = orders.get(part).cloned().into_iter().collect();
+            scene.events.runs = vec![runs[part].clone()];
+            scene.events.orders = orders.get(part).cloned().into_iter().collect();
             let said = std::slice::from_ref(said);
-            let report = compare_on(&mut known, &scene.book, &scene.routes, scene.began, said);
+            let report = compare_on(&mut known, &scene.events, &scene.routes, scene.began, said);
             texts.extend(report.broken);
             // Everything in the first batch is recent enough to be kept for the second.
             known.forget(scene.began);
-            scene.book.forget(scene.began + Duration::from_secs(1));
+            scene.events.forget(scene.began + Duration::from_secs(1));
         }
         let rules = texts.iter().filter_map(|text| text.split(':').next());
         rules.collect::<Vec<_>>().join("; ")
@@ -324,14 +324,14 @@
 /// none after it.
 #[test]
 fn logs_fork_where_a_term_began() {
-    let mut book = Book::default();
+    let mut events = Events::default();
     let group = "g".parse().unwrap();
     let mut first = commit("q1", Instant::now());
-    book.committed(first.clone(), "1/0".parse().unwrap());
+    events.committed(first.clone(), "1/0".parse().unwrap());
     first.position = "2/2".parse().unwrap();
-    book.committed(first, "1/1".parse().unwrap());
+    events.committed(first, "1/1".parse().unwrap());
     let has = |log: &str, entry: &str| {
-        book.contains(&group, log.parse().unwrap(), entry.parse().unwrap())
+        events.contains(&group, log.parse().unwrap(), entry.parse().unwrap())
     };
     assert!(has("2/2", "1/1") && has("2/2", "2/2") && has("1/2", "1/2"));
     assert!(!has("2/2", "1/2") && !has("1/2", "2/2") && !has("2/2", "2/3"));
--- a/tests/direct_failures.rs
+++ b/tests/direct_failures.rs
@@ -55,7 +55,7 @@
         let told = scene.passes().await.told;
         assert_ne!(scene.leader(), db("db0a"));
         assert_eq!((told.failed, told.untold), (0, 0), "{told:?}");
-        assert!(scene.book().commits.iter().all(|c| c.lost.is_none()));
+        assert!(scene.events().commits.iter().all(|c| c.lost.is_none()));
     });
 }
 
@@ -69,7 +69,7 @@
         scene.fault(Fault::Crash(db("db0a")), 6_000, 20_000).await;
         Fault::Deaf(db("db0b")).end(&scene.world);
         scene.passes().await;
-        assert_eq!(scene.book().reigns[0].database, db("db0c"));
+        assert_eq!(scene.events().reigns[0].database, db("db0c"));
     });
 }
 
--- a/tests/direct_keys.rs
+++ b/tests/direct_keys.rs
@@ -59,8 +59,8 @@
         let said = scene.said(0, 30_000);
         let refused: Vec<_> = said.iter().filter(|said| !said.is_done()).collect();
         assert!(refused.is_empty(), "{report} {refused:#?}");
-        let book = scene.book();
-        assert!(book.runs.iter().any(|run| &*run.organisation == "org2"));
+        let events = scene.events();
+        assert!(events.runs.iter().any(|run| &*run.organisation == "org2"));
     });
 }
 
@@ -98,7 +98,7 @@
         assert!(open.execute("commit").await.is_err());
         scene.check().await;
         let writes = scene
-            .book()
+            .events()
             .runs
             .iter()
             .filter(|run| &*run.text == "write i3 c")
@@ -159,8 +159,11 @@
             .iter()
             .filter(|said| &*said.organisation != "org0" && said.is_promised());
         assert_eq!(refused.count(), 0);
-        let book = scene.book();
-        let runs = book.runs.iter().filter(|run| &*run.organisation == "org0");
+        let events = scene.events();
+        let runs = events
+            .runs
+            .iter()
+            .filter(|run| &*run.organisation == "org0");
         let at: Vec<_> = runs.map(|run| run.at).collect();
         let window = Duration::from_secs(5);
         let most = at.iter().map(|from| {
--- a/tests/direct_takeover.rs
+++ b/tests/direct_takeover.rs
@@ -69,13 +69,13 @@
         scene.until(5_000).await;
         dark.begin(&scene.world);
         let mut now = 5_000;
-        while scene.book().orders.is_empty() {
+        while scene.events().orders.is_empty() {
             now += 50;
             assert!(now < 9_000, "nothing is ordered");
             scene.until(now).await;
         }
         dark.end(&scene.world);
-        let successor = scene.book().orders[0].database.clone();
+        let successor = scene.events().orders[0].database.clone();
         let dark = Fault::Dark(Node::Database(successor));
         dark.begin(&scene.world);
         tokio::time::sleep(span).await;
--- a/tests/direct_tenure.rs
+++ b/tests/direct_tenure.rs
@@ -54,7 +54,7 @@
 
 /// The most operations of one organisation that ran within [`WINDOW`], and when that window began.
 fn busiest_window(scene: &Scene) -> (usize, Duration) {
-    let book = scene.book();
+    let book = scene.events();
     let mut ran = BTreeMap::<&str, Vec<Instant>>::new();
     for run in &book.runs {
         ran.entry(&run.organisation).or_default().push(run.at);
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -6,7 +6,7 @@
 use lentilspoke::standin::direct::check::{Report, check};
 use lentilspoke::standin::direct::fault::Fault;
 use lentilspoke::standin::direct::host;
-use lentilspoke::standin::direct::journal::Book;
+use lentilspoke::standin::direct::journal::Events;
 use lentilspoke::standin::direct::program::program;
 use lentilspoke::standin::direct::said::{Record, Said};
 use lentilspoke::standin::direct::setup::Setup;
@@ -152,14 +152,14 @@
     }
 
     /// The events at the databases.
-    pub fn book(&self) -> Ref<'_, Book> {
+    pub fn events(&self) -> Ref<'_, Events> {
         self.world.journal.borrow()
     }
 
     /// How often each VM connected to a database.
     pub fn openings(&self, id: &DatabaseId) -> BTreeMap<VmId, u64> {
-        let book = self.book();
-        let openings = book.openings.iter().filter(|((of, _), _)| of == id);
+        let events = self.events();
+        let openings = events.openings.iter().filter(|((of, _), _)| of == id);
         openings
             .map(|((_, vm), count)| (vm.clone(), *count))
             .collect()
