--- a/src/schedule/direct.rs
+++ b/src/schedule/direct.rs
@@ -161,9 +161,9 @@
         let text = format!("{holder} orders {database} to lead, token {token}");
         (order.at, text)
     });
-    let reigns = journal.reigns.iter();
-    let reigns = reigns.map(|reign| (reign.at, format!("{} leads", reign.database)));
-    orders.chain(reigns).collect()
+    let failovers = journal.failovers.iter();
+    let failovers = failovers.map(|failover| (failover.at, format!("{} leads", failover.database)));
+    orders.chain(failovers).collect()
 }
 
 fn call(world: &Rc<World>, record: &Record, seed: u64, until: Instant) {
--- a/src/soak/gap.rs
+++ b/src/soak/gap.rs
@@ -4,7 +4,7 @@
 use crate::soak::report::{Gap, Split};
 use crate::soak::story::{Story, Struck};
 use crate::soak::tally::{SETTLES, histogram};
-use crate::standin::direct::journal::{Ordered, Reign, Run};
+use crate::standin::direct::journal::{Failover, Ordered, Run};
 use crate::standin::direct::said::Said;
 use crate::types::GroupId;
 use hdrhistogram::Histogram;
@@ -80,7 +80,7 @@
     }
 
     /// Notes that a primary took over.
-    pub fn reigns(&mut self, reign: &Reign) {
+    pub fn reigns(&mut self, reign: &Failover) {
         self.course(&reign.group).reigns.insert(reign.at);
     }
 
--- a/src/soak/judge.rs
+++ b/src/soak/judge.rs
@@ -95,7 +95,7 @@
         events.runs = rest;
         // Orders were judged, and noted as events.
         events.orders.clear();
-        events.reigns.clear();
+        events.failovers.clear();
         events.openings.clear();
         events.forget(now.checked_sub(COMMITS).unwrap_or(self.started));
         drop(events);
@@ -147,7 +147,7 @@
             story.event(order.at, text);
             self.gaps.ordered(order);
         }
-        for reign in &events.reigns {
+        for reign in &events.failovers {
             story.event(reign.at, format!("{} leads", reign.database));
             self.gaps.reigns(reign);
         }
--- a/src/standin/direct/group.rs
+++ b/src/standin/direct/group.rs
@@ -4,7 +4,7 @@
 use crate::direct::adapter::Promoted;
 use crate::direct::table::RowId;
 use crate::standin::direct::database::Database;
-use crate::standin::direct::journal::{Commit, Journal, Reign, Write};
+use crate::standin::direct::journal::{Commit, Failover, Journal, Write};
 use crate::standin::direct::network::{Network, Node};
 use crate::standin::direct::store::Store;
 use crate::types::{DatabaseId, GroupId};
@@ -248,7 +248,7 @@
             }
         }
         journal.commits = commits;
-        journal.reigns.push(Reign {
+        journal.failovers.push(Failover {
             group: self.id.clone(),
             database: database.make.id.clone(),
             at: now,
--- a/src/standin/direct/journal.rs
+++ b/src/standin/direct/journal.rs
@@ -89,7 +89,7 @@
 
 /// A completed promotion.
 #[derive(Debug, Clone)]
-pub struct Reign {
+pub struct Failover {
     /// The group.
     pub group: GroupId,
     /// The new primary.
@@ -112,7 +112,7 @@
     /// Orders to promote, as they arrived.
     pub orders: Vec<Ordered>,
     /// Completed promotions, in order.
-    pub reigns: Vec<Reign>,
+    pub failovers: Vec<Failover>,
     /// How often each VM connected to each database.
     pub openings: BTreeMap<(DatabaseId, VmId), u64>,
     /// The last number given to a connection, transaction or run.
@@ -155,7 +155,7 @@
         self.commits.drain(..gone);
         self.forgotten += gone as u64;
         self.orders.retain(|order| order.at >= before);
-        self.reigns.retain(|reign| reign.at >= before);
+        self.failovers.retain(|reign| reign.at >= before);
     }
 
     /// Returns the next unique number.
--- a/tests/direct_failures.rs
+++ b/tests/direct_failures.rs
@@ -69,7 +69,7 @@
         scene.fault(Fault::Crash(db("db0a")), 6_000, 20_000).await;
         Fault::Deaf(db("db0b")).end(&scene.world);
         scene.passes().await;
-        assert_eq!(scene.events().reigns[0].database, db("db0c"));
+        assert_eq!(scene.events().failovers[0].database, db("db0c"));
     });
 }
 
