--- a/src/soak/tally.rs
+++ b/src/soak/tally.rs
@@ -157,7 +157,7 @@
             told.done += 1;
             told.in_objective += u64::from(took <= self.objective);
             self.took.saturating_record(millis);
-        } else if said.is_promised() {
+        } else if said.is_not_run() {
             told.refused += 1;
             self.refused.saturating_record(millis);
         } else if said.code() == Some(Code::Failed) {
--- a/src/standin/direct/check.rs
+++ b/src/standin/direct/check.rs
@@ -17,11 +17,11 @@
     /// Statements that succeeded.
     pub done: u64,
     /// Statements answered by an error that guarantees that they had no effect.
-    pub promised: u64,
+    pub not_run: u64,
     /// Statements answered by another error.
     pub failed: u64,
     /// Statements that got no answer.
-    pub untold: u64,
+    pub unanswered: u64,
 }
 
 /// The result of a check.
@@ -37,13 +37,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             done,
-            promised,
+            not_run,
             failed,
-            untold,
+            unanswered,
         } = self;
         write!(
             f,
-            "{done} done, {promised} not run, {failed} failed, {untold} untold"
+            "{done} done, {not_run} not run, {failed} failed, {unanswered} untold"
         )
     }
 }
@@ -144,11 +144,11 @@
     fn count(&mut self) {
         let told = &mut self.report.told;
         for said in self.said {
-            match (said.is_done(), said.is_promised(), said.told.is_some()) {
+            match (said.is_done(), said.is_not_run(), said.told.is_some()) {
                 (true, _, _) => told.done += 1,
-                (_, true, _) => told.promised += 1,
+                (_, true, _) => told.not_run += 1,
                 (_, _, true) => told.failed += 1,
-                _ => told.untold += 1,
+                _ => told.unanswered += 1,
             }
         }
     }
@@ -260,10 +260,10 @@
         for write in self.events.commits.iter().flat_map(|c| &c.writes) {
             *commits.entry(&write.id).or_default() += 1;
         }
-        let promised: BTreeSet<u64> = self
+        let not_run: BTreeSet<u64> = self
             .said
             .iter()
-            .filter(|said| said.is_promised())
+            .filter(|said| said.is_not_run())
             .map(|said| said.operation)
             .collect();
         for said in self.said {
@@ -271,7 +271,7 @@
             if kept > 1 {
                 self.breaks("a write took effect twice", said, None);
             }
-            if kept > 0 && promised.contains(&said.operation) {
+            if kept > 0 && not_run.contains(&said.operation) {
                 self.breaks("told not run, and run", said, None);
             }
             self.acknowledged(said);
--- a/src/standin/direct/journal.rs
+++ b/src/standin/direct/journal.rs
@@ -155,7 +155,7 @@
         self.commits.drain(..gone);
         self.forgotten += gone as u64;
         self.orders.retain(|order| order.at >= before);
-        self.failovers.retain(|reign| reign.at >= before);
+        self.failovers.retain(|failover| failover.at >= before);
     }
 
     /// Returns the next unique number.
--- a/src/standin/direct/said.rs
+++ b/src/standin/direct/said.rs
@@ -116,7 +116,7 @@
     }
 
     /// Whether its error guarantees that it had no effect.
-    pub fn is_promised(&self) -> bool {
+    pub fn is_not_run(&self) -> bool {
         self.code().is_some_and(Code::is_not_run)
     }
 
--- a/tests/direct_failures.rs
+++ b/tests/direct_failures.rs
@@ -15,7 +15,7 @@
 fn no_failures() {
     play(Setup::default(), |scene| async move {
         let told = scene.passes().await.told;
-        assert_eq!(told.promised + told.failed + told.untold, 0, "{told:?}");
+        assert_eq!(told.not_run + told.failed + told.unanswered, 0, "{told:?}");
     });
 }
 
@@ -54,7 +54,7 @@
         scene.fault(leave, 5_000, 5_001).await;
         let told = scene.passes().await.told;
         assert_ne!(scene.leader(), db("db0a"));
-        assert_eq!((told.failed, told.untold), (0, 0), "{told:?}");
+        assert_eq!((told.failed, told.unanswered), (0, 0), "{told:?}");
         assert!(scene.events().commits.iter().all(|c| c.lost.is_none()));
     });
 }
@@ -183,6 +183,6 @@
         let lag = Fault::Lag(db("db0b"), Span::from_secs(5));
         scene.fault(lag, 2_000, 20_000).await;
         let told = scene.passes().await.told;
-        assert_eq!(told.promised + told.failed + told.untold, 0, "{told:?}");
+        assert_eq!(told.not_run + told.failed + told.unanswered, 0, "{told:?}");
     });
 }
--- a/tests/direct_keys.rs
+++ b/tests/direct_keys.rs
@@ -150,14 +150,14 @@
         let said = scene.said(2_000, 17_000);
         let slow = said.iter().filter(|said| {
             let took = said.told.as_ref().map(|(at, _)| *at - said.sent);
-            said.is_promised()
+            said.is_not_run()
                 && &*said.organisation == "org0"
                 && took > Some(Duration::from_millis(200))
         });
         assert_eq!(slow.count(), 0);
         let refused = said
             .iter()
-            .filter(|said| &*said.organisation != "org0" && said.is_promised());
+            .filter(|said| &*said.organisation != "org0" && said.is_not_run());
         assert_eq!(refused.count(), 0);
         let events = scene.events();
         let runs = events
--- a/tests/direct_relay.rs
+++ b/tests/direct_relay.rs
@@ -53,7 +53,11 @@
             .into_iter()
             .filter(|said| !said.is_done())
             .collect();
-        assert_eq!(told.promised + told.failed + told.untold, 0, "{refused:#?}");
+        assert_eq!(
+            told.not_run + told.failed + told.unanswered,
+            0,
+            "{refused:#?}"
+        );
         for id in ["db0a", "db0b", "db0c"] {
             let opened = scene.openings(&db(id));
             assert!(opened.len() <= 4, "{id}: {opened:?}");
@@ -113,7 +117,7 @@
         let stop = Fault::Stop(stopped, Span::from_secs(6));
         scene.fault(stop, 5_000, 13_000).await;
         let told = scene.passes().await.told;
-        assert_eq!(told.failed + told.untold, 0, "{told:?}");
+        assert_eq!(told.failed + told.unanswered, 0, "{told:?}");
     });
 }
 
--- a/tests/direct_vms.rs
+++ b/tests/direct_vms.rs
@@ -23,7 +23,11 @@
         let down = Fault::Store(Health::Silent, None);
         scene.fault(down, 5_000, 11_000).await;
         let tally = scene.passes().await.told;
-        assert_eq!(tally.promised + tally.failed + tally.untold, 0, "{tally:?}");
+        assert_eq!(
+            tally.not_run + tally.failed + tally.unanswered,
+            0,
+            "{tally:?}"
+        );
     });
 }
 
@@ -62,8 +66,8 @@
         let down = Fault::Store(Health::Refusing, only);
         scene.fault(down, 5_000, 20_000).await;
         let tally = scene.passes().await.told;
-        assert_eq!(tally.failed + tally.untold, 0, "{tally:?}");
-        assert!(tally.done > 50 * tally.promised, "{tally:?}");
+        assert_eq!(tally.failed + tally.unanswered, 0, "{tally:?}");
+        assert!(tally.done > 50 * tally.not_run, "{tally:?}");
     });
 }
 
@@ -260,7 +264,7 @@
             scene.fault(stop, from, from + 6_500).await;
         }
         let tally = scene.passes().await.told;
-        assert_eq!((tally.failed, tally.untold), (0, 0), "{tally:?}");
+        assert_eq!((tally.failed, tally.unanswered), (0, 0), "{tally:?}");
     });
 }
 
