--- a/src/soak/judge.rs
+++ b/src/soak/judge.rs
@@ -57,7 +57,7 @@
 impl Judge {
     /// One that has seen nothing yet.
     pub fn new(world: &Rc<World>, plan: &Plan, started: Instant) -> Self {
-        let manners = &world.setup.manners;
+        let manners = &world.setup.route_kinds;
         let timeouts = manners.iter().map(|m| (m.name.clone(), m.timeout.into()));
         Self {
             started,
--- a/src/soak/profile.rs
+++ b/src/soak/profile.rs
@@ -4,7 +4,7 @@
 use crate::direct::config::Kind;
 use crate::direct::table::Era;
 use crate::jsonc::{self, Fault};
-use crate::standin::direct::setup::{Manner, Place, Setup};
+use crate::standin::direct::setup::{Place, RouteKind, Setup};
 use crate::types::Cores;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -135,7 +135,7 @@
         }
         Setup {
             places,
-            manners: self.manners(),
+            route_kinds: self.manners(),
             cores: |_| Cores::default(),
             link: |_| None,
             era: Era::default(),
@@ -153,23 +153,23 @@
     }
 
     /// How each kind of route serves, and that of the steady writers, like the primary's.
-    pub fn manners(&self) -> Vec<Manner> {
+    pub fn manners(&self) -> Vec<RouteKind> {
         let known = ROUTES.iter().filter_map(|name| self.manner(name));
-        let writer = self.manner(ROUTES[0]).map(|manner| Manner {
+        let writer = self.manner(ROUTES[0]).map(|manner| RouteKind {
             name: WRITER.into(),
             ..manner
         });
         known.chain(writer).collect()
     }
 
-    fn manner(&self, name: &str) -> Option<Manner> {
+    fn manner(&self, name: &str) -> Option<RouteKind> {
         let route = self.routes.get(name)?;
         let kind = match name {
             "primary" => Kind::Primary,
             "bounded" => Kind::Bounded(route.age),
             _ => Kind::Session(route.age),
         };
-        Some(Manner {
+        Some(RouteKind {
             name: name.into(),
             kind,
             timeout: route.timeout,
--- a/src/standin/direct/setup.rs
+++ b/src/standin/direct/setup.rs
@@ -41,7 +41,7 @@
 
 /// The properties of one kind of route.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Manner {
+pub struct RouteKind {
     /// The prefix of its routes' names.
     pub name: Box<str>,
     /// The freshness that it guarantees to reads.
@@ -59,7 +59,7 @@
     pub places: Vec<Place>,
     /// The kinds of route, in order of priority, the most important first. Each group gets a route
     /// of each kind.
-    pub manners: Vec<Manner>,
+    pub route_kinds: Vec<RouteKind>,
     /// The number of VMs.
     pub vms: usize,
     /// The processor cores of each VM, by its number.
@@ -96,7 +96,7 @@
             domain: place.domain.into(),
             region: usize::from(place.region),
         });
-        let manner = |name: &str, kind| Manner {
+        let route_kind = |name: &str, kind| RouteKind {
             name: name.into(),
             kind,
             timeout: Span::from_secs(5),
@@ -104,10 +104,10 @@
         };
         Self {
             places: places.collect(),
-            manners: vec![
-                manner("primary", Kind::Primary),
-                manner("bounded", Kind::Bounded(Span::from_millis(1_500))),
-                manner("session", Kind::Session(Span::from_millis(2_500))),
+            route_kinds: vec![
+                route_kind("primary", Kind::Primary),
+                route_kind("bounded", Kind::Bounded(Span::from_millis(1_500))),
+                route_kind("session", Kind::Session(Span::from_millis(2_500))),
             ],
             vms: 3,
             cores: |_| Cores::default(),
@@ -172,16 +172,16 @@
     let mut routes = BTreeMap::new();
     let mut limited = BTreeMap::new();
     for (number, group) in groups.iter().enumerate() {
-        for (priority, manner) in setup.manners.iter().enumerate() {
+        for (priority, route_kind) in setup.route_kinds.iter().enumerate() {
             let route = Route {
                 group: group.id.clone(),
-                kind: manner.kind,
-                timeout: manner.timeout,
-                objective: manner.objective,
+                kind: route_kind.kind,
+                timeout: route_kind.timeout,
+                objective: route_kind.objective,
                 priority: priority as u8,
                 public: false,
             };
-            routes.insert(format!("{}{number}", manner.name).into(), route);
+            routes.insert(format!("{}{number}", route_kind.name).into(), route);
         }
         let limits = config::Group {
             connections: setup.connections,
