--- a/src/schedule/direct.rs
+++ b/src/schedule/direct.rs
@@ -359,7 +359,7 @@
             return Some(group.leader());
         }
         let members = group.members();
-        Some(self.one(&members)?.make.id.clone())
+        Some(self.one(&members)?.spec.id.clone())
     }
 
     fn span(&mut self, bound: u64) -> Span {
--- a/src/soak/kind.rs
+++ b/src/soak/kind.rs
@@ -122,7 +122,7 @@
     fn replicas(&mut self, world: &World) -> Option<Vec<DatabaseId>> {
         let (group, primary) = self.primary(world)?;
         let members = group.members();
-        let ids = members.iter().map(|member| member.make.id.clone());
+        let ids = members.iter().map(|member| member.spec.id.clone());
         Some(ids.filter(|id| *id != primary).collect())
     }
 
@@ -169,7 +169,7 @@
             "primary-dark" => Fault::Dark(node),
             "primary-cut-replicas" => {
                 let members = group.members();
-                let others = members.iter().filter(|member| member.make.id != id);
+                let others = members.iter().filter(|member| member.spec.id != id);
                 Fault::Sever(node, others.map(|member| member.node()).collect())
             }
             "primary-cut-vms" => {
--- a/src/standin/direct/database.rs
+++ b/src/standin/direct/database.rs
@@ -12,7 +12,7 @@
 
 /// The fixed properties of a database.
 #[derive(Debug, Clone)]
-pub struct Make {
+pub struct Spec {
     /// Its id.
     pub id: DatabaseId,
     /// Its group.
@@ -85,7 +85,7 @@
 #[derive(Debug)]
 pub struct Database {
     /// Its fixed properties.
-    pub make: Make,
+    pub spec: Spec,
     /// The changing state of a database.
     pub state: RefCell<State>,
     /// The active faults of a database.
@@ -98,8 +98,8 @@
 
 impl Database {
     /// Creates a running database.
-    pub fn new(make: Make, primary: bool, term: u64, log: Log) -> Rc<Self> {
-        let slots = Semaphore::new(make.slots as usize);
+    pub fn new(spec: Spec, primary: bool, term: u64, log: Log) -> Rc<Self> {
+        let slots = Semaphore::new(spec.slots as usize);
         let applied = log.len();
         let state = State {
             up: true,
@@ -114,7 +114,7 @@
             waiting: 0,
         };
         Rc::new(Self {
-            make,
+            spec,
             state: RefCell::new(state),
             trouble: Trouble::default(),
             slots,
@@ -124,19 +124,19 @@
 
     /// Its node in the network.
     pub fn node(&self) -> Node {
-        Node::Database(self.make.id.clone())
+        Node::Database(self.spec.id.clone())
     }
 
     /// Its entry in the register of databases.
     pub fn entry(&self) -> config::Database {
         let state = self.state.borrow();
         config::Database {
-            id: self.make.id.clone(),
+            id: self.spec.id.clone(),
             born: Some(Birth(state.birth)),
-            group: self.make.group.clone(),
-            address: self.make.address,
-            domain: self.make.domain.clone(),
-            slots: self.make.slots,
+            group: self.spec.group.clone(),
+            address: self.spec.address,
+            domain: self.spec.domain.clone(),
+            slots: self.spec.slots,
             leaving: state.leaving,
             primary: state.primary,
         }
--- a/src/standin/direct/group.rs
+++ b/src/standin/direct/group.rs
@@ -65,7 +65,7 @@
         journal: Journal,
         members: Vec<Rc<Database>>,
     ) -> Rc<Self> {
-        let leader = members[0].make.id.clone();
+        let leader = members[0].spec.id.clone();
         let group = Rc::new(Self {
             id,
             durable: false,
@@ -93,7 +93,7 @@
     /// A member by its id.
     pub fn member(&self, id: &DatabaseId) -> Option<Rc<Database>> {
         let members = self.members.borrow();
-        members.iter().find(|m| m.make.id == *id).cloned()
+        members.iter().find(|m| m.spec.id == *id).cloned()
     }
 
     /// The database that was promoted last, whatever others consider themselves.
@@ -111,12 +111,12 @@
         if !database.state.borrow().primary {
             return None;
         }
-        let replaced = self.leader() != database.make.id;
+        let replaced = self.leader() != database.spec.id;
         let now = Instant::now();
         let before = database.received();
         let commit = Commit {
             group: self.id.clone(),
-            database: database.make.id.clone(),
+            database: database.spec.id.clone(),
             position: database.append(),
             writes,
             at: now,
@@ -135,7 +135,7 @@
     /// Replicates the log of a database to all other members.
     fn replicate_to_all(self: &Rc<Self>, from: &Rc<Database>) {
         for to in self.members() {
-            if to.make.id != from.make.id {
+            if to.spec.id != from.spec.id {
                 self.start_replication(from, &to);
             }
         }
@@ -177,7 +177,7 @@
             self.report(to);
         }
         self.received.notify_waiters();
-        sleep(to.make.lag + to.trouble.lag.get()).await;
+        sleep(to.spec.lag + to.trouble.lag.get()).await;
         to.apply(term, count);
     }
 
@@ -238,7 +238,7 @@
         let terms = members.iter().map(|m| m.state.borrow().term);
         let term = terms.max().unwrap_or(0) + 1;
         database.lead(term);
-        *self.leader.borrow_mut() = database.make.id.clone();
+        *self.leader.borrow_mut() = database.spec.id.clone();
         let now = Instant::now();
         let mut journal = self.journal.borrow_mut();
         let mut commits = std::mem::take(&mut journal.commits);
@@ -250,7 +250,7 @@
         journal.commits = commits;
         journal.failovers.push(Failover {
             group: self.id.clone(),
-            database: database.make.id.clone(),
+            database: database.spec.id.clone(),
             at: now,
         });
         drop(journal);
@@ -275,7 +275,7 @@
     /// Restarts a crashed database with its log, as a replica if another leads.
     pub fn restart(self: &Rc<Self>, database: &Rc<Database>) {
         database.set_running(true);
-        if self.leader() != database.make.id {
+        if self.leader() != database.spec.id {
             database.state.borrow_mut().primary = false;
         }
         self.report(database);
@@ -314,18 +314,18 @@
         self.network.reset(|_, to| *to == node);
         self.remove_entry(old);
         self.replacements.set(self.replacements.get() + 1);
-        let mut make = old.make.clone();
-        let id = format!("{}.{}", make.id, self.replacements.get());
+        let mut spec = old.spec.clone();
+        let id = format!("{}.{}", spec.id, self.replacements.get());
         let Ok(id) = id.parse() else { return };
-        make.id = id;
+        spec.id = id;
         let (term, log) = {
             let state = old.state.borrow();
             (state.term, state.log.clone())
         };
-        let new = Database::new(make, false, term, log);
+        let new = Database::new(spec, false, term, log);
         self.network.place_like(&new.node(), &old.node());
         let mut members = self.members.borrow_mut();
-        members.retain(|member| member.make.id != old.make.id);
+        members.retain(|member| member.spec.id != old.spec.id);
         members.push(new.clone());
         drop(members);
         self.report(&new);
@@ -347,7 +347,7 @@
     }
 
     fn row(database: &Database) -> RowId {
-        RowId::new(REGISTER, database.make.id.as_str())
+        RowId::new(REGISTER, database.spec.id.as_str())
     }
 
     fn write_entry(&self, database: &Database) {
--- a/src/standin/direct/reach.rs
+++ b/src/standin/direct/reach.rs
@@ -45,12 +45,12 @@
             let members = g.members();
             members.into_iter().map(|member| (g.clone(), member))
         });
-        let mut listening = members.filter(|(_, member)| member.make.address == address);
+        let mut listening = members.filter(|(_, member)| member.spec.address == address);
         let Some((group, database)) = listening.next() else {
             self.accept_relay(vm, address, sender, answer).await;
             return;
         };
-        let opening = (database.make.id.clone(), vm.clone());
+        let opening = (database.spec.id.clone(), vm.clone());
         let (from, to) = (Node::Vm(vm), database.node());
         if !self.network.deliver(&from, &to, &sender).await || database.life().is_none() {
             return;
--- a/src/standin/direct/session.rs
+++ b/src/standin/direct/session.rs
@@ -66,7 +66,7 @@
     let open = database.state.borrow().connections;
     database.state.borrow_mut().connections += 1;
     let counted = OpenConnection(database.clone(), life);
-    let full = open >= database.make.connections;
+    let full = open >= database.spec.connections;
     let connection = group.journal.borrow_mut().number();
     let session = Session {
         group,
@@ -135,8 +135,8 @@
     }
 
     async fn start(&self, start: Request, full: bool) -> Answer {
-        let make = &self.database.make;
-        let expected = (make.group.as_str(), make.id.as_str());
+        let spec = &self.database.spec;
+        let expected = (spec.group.as_str(), spec.id.as_str());
         let is_expected = matches!(&start, Request::Start { group, database, .. } if (&**group, &**database) == expected);
         if !is_expected {
             return refused(Code::OtherDatabase);
@@ -145,7 +145,7 @@
             return refused(Code::Full);
         }
         if let Ok(_slot) = self.database.slots.acquire().await {
-            sleep(make.cold).await;
+            sleep(spec.cold).await;
         }
         self.finish(Ok((Vec::new(), None)))
     }
@@ -176,7 +176,7 @@
         let (rows, end) = match outcome {
             Ok((rows, signature)) => (rows, End::Done(signature)),
             Err(code) => {
-                let text = self.database.make.id.as_str().into();
+                let text = self.database.spec.id.as_str().into();
                 (Vec::new(), End::Error { code, text })
             }
         };
@@ -296,14 +296,14 @@
     async fn occupy_slot(&self) -> Result<(), Code> {
         let database = &self.database;
         let waiting = database.state.borrow().waiting;
-        if database.slots.available_permits() == 0 && waiting >= database.make.queue {
+        if database.slots.available_permits() == 0 && waiting >= database.spec.queue {
             return Err(Code::Busy);
         }
         database.state.borrow_mut().waiting += 1;
         let waits = QueuedStatement(database);
         let slot = database.slots.acquire().await;
         drop(waits);
-        sleep(database.make.work + database.trouble.slow.get()).await;
+        sleep(database.spec.work + database.trouble.slow.get()).await;
         drop(slot);
         Ok(())
     }
@@ -387,7 +387,7 @@
         Run {
             id: work.id.into(),
             text: work.text.into(),
-            database: self.database.make.id.clone(),
+            database: self.database.spec.id.clone(),
             group: self.group.id.clone(),
             connection: self.connection,
             organisation: self.organisation.clone(),
@@ -406,7 +406,7 @@
     fn finish_run(&self, mut run: Run) -> (Vec<Bytes>, Option<Box<str>>) {
         let mut journal = self.group.journal.borrow_mut();
         let number = journal.number();
-        run.signature = format!("{}.{number}", self.database.make.id).into();
+        run.signature = format!("{}.{number}", self.database.spec.id).into();
         let done = (run.rows.clone(), Some(run.signature.clone()));
         journal.runs.push(run);
         done
--- a/src/standin/direct/setup.rs
+++ b/src/standin/direct/setup.rs
@@ -5,7 +5,7 @@
 use crate::direct::identity::{Allowance, Key, Organisations};
 use crate::direct::table::Era;
 use crate::standin::deployment::{Deployment, GROUPS};
-use crate::standin::direct::database::{Database, Make};
+use crate::standin::direct::database::{Database, Spec};
 use crate::standin::direct::group::Group;
 use crate::standin::direct::log::Log;
 use crate::standin::direct::network::{Bandwidth, Network};
@@ -207,7 +207,7 @@
     let mut members = Vec::new();
     for index in 0..DATABASES_PER_GROUP {
         let domain = (group + index) % DATABASES_PER_GROUP;
-        let make = Make {
+        let spec = Spec {
             id: format!("db{group}{}", ["a", "b", "c"][index]).parse()?,
             group: format!("ledger{group}").parse()?,
             address: address(domain, 100 + group, DATABASE_PORT),
@@ -219,7 +219,7 @@
             work: setup.work,
             lag: setup.lag,
         };
-        let database = Database::new(make, index == 0, 1, Log::default());
+        let database = Database::new(spec, index == 0, 1, Log::default());
         network.place(database.node(), domain, setup.region(domain));
         members.push(database);
     }
--- a/tests/direct_standin.rs
+++ b/tests/direct_standin.rs
@@ -59,7 +59,7 @@
         let id: DatabaseId = id.parse().unwrap();
         let (group, database) = world.database(&id).unwrap();
         let connect = &machine.adapter.connect;
-        let stream = connect(database.make.address, SECOND).await.unwrap();
+        let stream = connect(database.spec.address, SECOND).await.unwrap();
         let mut session = Self {
             stream,
             machine: machine.clone(),
@@ -210,7 +210,7 @@
         let now = (machine.adapter.clock)();
         let promoted = (machine.adapter.promote)(Promotion {
             group: group.id.clone(),
-            database: replica.make.id.clone(),
+            database: replica.spec.id.clone(),
             holder: machine.vm.clone(),
             token: 1,
             deadline: now + SECOND,
