--- a/src/standin/direct/database.rs
+++ b/src/standin/direct/database.rs
@@ -62,7 +62,7 @@
 
 /// The active faults of a database.
 #[derive(Debug, Default)]
-pub struct Trouble {
+pub struct Faults {
     /// Whether it receives no log entries.
     pub deaf: Cell<bool>,
     /// The additional delay before received entries are applied.
@@ -89,7 +89,7 @@
     /// The changing state of a database.
     pub state: RefCell<State>,
     /// The active faults of a database.
-    pub trouble: Trouble,
+    pub faults: Faults,
     /// The slots in which statements run.
     pub slots: Semaphore,
     /// Signals a change of state.
@@ -116,7 +116,7 @@
         Rc::new(Self {
             spec,
             state: RefCell::new(state),
-            trouble: Trouble::default(),
+            faults: Faults::default(),
             slots,
             changed: Notify::new(),
         })
--- a/src/standin/direct/fault.rs
+++ b/src/standin/direct/fault.rs
@@ -154,7 +154,7 @@
         match self {
             Self::SilencePeers => world.network.silence(|a, b| is_vm(a) && is_vm(b)),
             Self::Flap(id, turn) => with_database(world, id, |group, database| {
-                database.trouble.flapping.set(true);
+                database.faults.flapping.set(true);
                 let flap = flap(group.clone(), database.clone(), *turn);
                 world.network.spawn(flap);
             }),
@@ -185,7 +185,7 @@
     fn end_more(&self, world: &Rc<World>) {
         match self {
             Self::Flap(id, _) => with_database(world, id, |group, database| {
-                database.trouble.flapping.set(false);
+                database.faults.flapping.set(false);
                 if database.life().is_none() {
                     group.restart(database);
                 }
@@ -211,16 +211,16 @@
         let count = |count: &u32| if begins { *count } else { 0 };
         match self {
             Self::Deaf(id) => with_database(world, id, |_, database| {
-                database.trouble.deaf.set(begins);
+                database.faults.deaf.set(begins);
                 database.changed.notify_waiters();
             }),
-            Self::Lag(id, lag) => with_database(world, id, |_, d| d.trouble.lag.set(span(lag))),
-            Self::Slow(id, slow) => with_database(world, id, |_, d| d.trouble.slow.set(span(slow))),
+            Self::Lag(id, lag) => with_database(world, id, |_, d| d.faults.lag.set(span(lag))),
+            Self::Slow(id, slow) => with_database(world, id, |_, d| d.faults.slow.set(span(slow))),
             Self::LoseAnswers(id, n) => {
-                with_database(world, id, |_, d| d.trouble.losing.set(count(n)))
+                with_database(world, id, |_, d| d.faults.losing.set(count(n)))
             }
-            Self::Grey(id, n) => with_database(world, id, |_, d| d.trouble.grey.set(count(n))),
-            Self::Fail(id, n) => with_database(world, id, |_, d| d.trouble.failing.set(count(n))),
+            Self::Grey(id, n) => with_database(world, id, |_, d| d.faults.grey.set(count(n))),
+            Self::Fail(id, n) => with_database(world, id, |_, d| d.faults.failing.set(count(n))),
             _ => {}
         }
     }
@@ -241,7 +241,7 @@
 }
 
 async fn flap(group: Rc<Group>, database: Rc<Database>, turn: Span) {
-    while database.trouble.flapping.get() {
+    while database.faults.flapping.get() {
         match database.life() {
             Some(_) => group.crash(&database),
             None => group.restart(&database),
--- a/src/standin/direct/group.rs
+++ b/src/standin/direct/group.rs
@@ -177,13 +177,13 @@
             self.report(to);
         }
         self.received.notify_waiters();
-        sleep(to.spec.lag + to.trouble.lag.get()).await;
+        sleep(to.spec.lag + to.faults.lag.get()).await;
         to.apply(term, count);
     }
 
     fn can_replicate(&self, from: &Database, to: &Database) -> bool {
         let reaches = self.network.reaches(&from.node(), &to.node());
-        reaches && to.life().is_some() && !to.trouble.deaf.get()
+        reaches && to.life().is_some() && !to.faults.deaf.get()
     }
 
     async fn wait_until_replicating(&self, from: &Database, to: &Database) {
--- a/src/standin/direct/session.rs
+++ b/src/standin/direct/session.rs
@@ -151,7 +151,7 @@
     }
 
     fn loses_answer(&self) -> bool {
-        let losing = &self.database.trouble.losing;
+        let losing = &self.database.faults.losing;
         let loses = losing.get() > 0;
         losing.set(losing.get().saturating_sub(1));
         loses
@@ -303,25 +303,25 @@
         let waits = QueuedStatement(database);
         let slot = database.slots.acquire().await;
         drop(waits);
-        sleep(database.spec.work + database.trouble.slow.get()).await;
+        sleep(database.spec.work + database.faults.slow.get()).await;
         drop(slot);
         Ok(())
     }
 
     fn fails(&self) -> bool {
-        let trouble = &self.database.trouble;
-        let fails = trouble.failing.get() > 0;
-        trouble.failing.set(trouble.failing.get().saturating_sub(1));
+        let faults = &self.database.faults;
+        let fails = faults.failing.get() > 0;
+        faults.failing.set(faults.failing.get().saturating_sub(1));
         fails || self.is_grey()
     }
 
     /// Whether this statement is in the share that fails under `grey`, spread evenly over
     /// statements.
     fn is_grey(&self) -> bool {
-        let trouble = &self.database.trouble;
-        let count = trouble.counted.get().wrapping_add(1) % 100;
-        trouble.counted.set(count);
-        (count * 37) % 100 < trouble.grey.get()
+        let faults = &self.database.faults;
+        let count = faults.counted.get().wrapping_add(1) % 100;
+        faults.counted.set(count);
+        (count * 37) % 100 < faults.grey.get()
     }
 
     async fn read(&mut self, work: &Work<'_>, shape: Option<Box<str>>) -> Outcome {
--- a/tests/direct_standin.rs
+++ b/tests/direct_standin.rs
@@ -204,7 +204,7 @@
         let (mut old, _) = Session::open(&world, &machine, "db0a").await;
         assert_eq!(code(&old.ask("begin").await), None);
         let (group, replica) = world.database(&"db0b".parse().unwrap()).unwrap();
-        replica.trouble.deaf.set(true);
+        replica.faults.deaf.set(true);
         old.ask("write i1 v1").await;
         old.ask("commit").await;
         let now = (machine.adapter.clock)();
