--- a/src/schedule/direct.rs
+++ b/src/schedule/direct.rs
@@ -103,7 +103,7 @@
 
 /// Plays the schedule of `seed`.
 pub fn play(seed: u64, variant: Variant) -> Result<Report, Error> {
-    host::play(run(seed, variant)).map_err(|_| Error::Setup)?
+    host::simulate(run(seed, variant)).map_err(|_| Error::Setup)?
 }
 
 async fn run(seed: u64, variant: Variant) -> Result<Report, Error> {
--- a/src/soak/mod.rs
+++ b/src/soak/mod.rs
@@ -71,7 +71,7 @@
 
 /// Plays a soak.
 pub fn play(plan: Plan) -> Result<Report, Error> {
-    host::play(run(Rc::new(plan)))?
+    host::simulate(run(Rc::new(plan)))?
 }
 
 async fn run(plan: Rc<Plan>) -> Result<Report, Error> {
--- a/src/standin/direct/host.rs
+++ b/src/standin/direct/host.rs
@@ -143,7 +143,7 @@
 
 /// Runs a future and all tasks that it spawns locally on a paused clock, which advances from timer
 /// to timer.
-pub fn play<T>(future: impl Future<Output = T>) -> std::io::Result<T> {
+pub fn simulate<T>(future: impl Future<Output = T>) -> std::io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
--- a/tests/direct_era.rs
+++ b/tests/direct_era.rs
@@ -28,7 +28,7 @@
 
 /// Runs a test with a store in its first era and one client of it for each VM.
 fn play<F: Future<Output = ()>>(scene: impl FnOnce(Rc<World>, Vec<Machine>) -> F) {
-    host::play(async {
+    host::simulate(async {
         let (machines, mut machine) = mpsc::unbounded_channel();
         let setup = Setup {
             vms: 2,
--- a/tests/direct_lines.rs
+++ b/tests/direct_lines.rs
@@ -7,8 +7,8 @@
 use lentilspoke::direct::trace::{Completion, Operation, Reason, SAMPLE_INTERVAL, Sampler};
 use lentilspoke::logs::body;
 use lentilspoke::logs::queue::Queue;
-use lentilspoke::standin::direct::host::play;
-use scripted::{Act, World};
+use lentilspoke::standin::direct::host::simulate;
+use scripted::{Reaction, World};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Once;
@@ -46,7 +46,7 @@
         log::set_logger(&Capture).unwrap();
         log::set_max_level(log::LevelFilter::Info);
     });
-    play(scene).unwrap();
+    simulate(scene).unwrap();
     LINES.take()
 }
 
@@ -58,7 +58,8 @@
         let world = World::new();
         world.script(|_, _, text| {
             let busy = "error busy 4\nstate idle 1/10\n";
-            text.starts_with("write").then(|| Act::Say(30, busy.into()))
+            text.starts_with("write")
+                .then(|| Reaction::Answer(30, busy.into()))
         });
         world.caller("newest").await.ask("write x 1").await;
     });
@@ -73,11 +74,11 @@
         let world = World::new();
         world.script(|_, _, text| {
             let failed = "error failed disk full\nstate failed 1/10\n";
-            (text == "write y 1").then(|| Act::Say(1, failed.into()))
+            (text == "write y 1").then(|| Reaction::Answer(1, failed.into()))
         });
         let mut caller = world.caller("newest").await;
         caller
-            .play(&["begin", "write x 1", "write y 1", "read x", "commit"])
+            .run_all(&["begin", "write x 1", "write y 1", "read x", "commit"])
             .await;
     });
     insta::assert_snapshot!(lines);
@@ -90,12 +91,12 @@
     let lines = lines(async {
         let world = World::new();
         world.script(|_, _, text| match text {
-            "write x 1" => Some(Act::Break),
-            "write y 1" => Some(Act::Nothing),
+            "write x 1" => Some(Reaction::Break),
+            "write y 1" => Some(Reaction::Nothing),
             _ => None,
         });
         let mut caller = world.caller("newest").await;
-        caller.play(&["write x 1", "write y 1"]).await;
+        caller.run_all(&["write x 1", "write y 1"]).await;
         insta::assert_snapshot!(world.seen());
     });
     insta::assert_snapshot!(lines);
@@ -108,11 +109,11 @@
     let lines = lines(async {
         let world = World::new();
         let mut rests = world.caller("newest").await;
-        rests.play(&["begin", "write x 1"]).await;
+        rests.run_all(&["begin", "write x 1"]).await;
         tokio::time::sleep(Span::from_secs(4).into()).await;
         world.lead(1, "a", false);
         let mut leaves = world.caller("newest").await;
-        leaves.play(&["begin", "write x 1"]).await;
+        leaves.run_all(&["begin", "write x 1"]).await;
         tokio::time::sleep(Span::from_millis(10).into()).await;
         drop(leaves);
         tokio::time::sleep(Span::from_millis(10).into()).await;
@@ -127,7 +128,8 @@
     let lines = lines(async {
         let world = World::new();
         world.script(|_, _, text| {
-            (text == "read slow").then(|| Act::Say(100, "done sig\nstate idle 1/10\n".into()))
+            (text == "read slow")
+                .then(|| Reaction::Answer(100, "done sig\nstate idle 1/10\n".into()))
         });
         let (mut one, mut two) = (world.caller("newest").await, world.caller("newest").await);
         one.send("read slow").await;
@@ -180,7 +182,7 @@
         let world = World::new();
         world.script(|_, _, text| {
             text.starts_with("read")
-                .then(|| Act::Say(500, "done sig\nstate idle 1/10\n".into()))
+                .then(|| Reaction::Answer(500, "done sig\nstate idle 1/10\n".into()))
         });
         world.caller("newest").await.ask("read x").await;
     });
@@ -217,7 +219,7 @@
         let world = World::new();
         world.script(|_, _, text| {
             let failed = "error failed disk full\nstate failed 1/10\n";
-            (text == "write y 1").then(|| Act::Say(1, failed.into()))
+            (text == "write y 1").then(|| Reaction::Answer(1, failed.into()))
         });
         let mut caller = world.caller("newest").await;
         let texts = ["begin", "read x", "write y 1", "rollback", "write y 1"];
--- a/tests/direct_serve.rs
+++ b/tests/direct_serve.rs
@@ -4,16 +4,16 @@
 
 use insta::assert_snapshot;
 use lentilspoke::clock::Span;
-use lentilspoke::standin::direct::host::play;
-use scripted::{Act, World};
+use lentilspoke::standin::direct::host::simulate;
+use scripted::{Reaction, World};
 use std::rc::Rc;
 
 #[test]
 fn statements_reach_the_primary_under_their_own_text() {
-    play(async {
+    simulate(async {
         let world = World::new();
         let mut caller = world.caller("newest").await;
-        assert_snapshot!(caller.play(&["read x", "write x 1"]).await, @r"
+        assert_snapshot!(caller.run_all(&["read x", "write x 1"]).await, @r"
         read x: done sig | state idle 1/10
         write x 1: done sig | state idle 1/10
         ");
@@ -28,10 +28,10 @@
 
 #[test]
 fn aged_reads_go_to_a_replica_once_a_position_is_known() {
-    play(async {
+    simulate(async {
         let world = World::new();
         let mut caller = world.caller("aged").await;
-        caller.play(&["read x", "read x", "read x"]).await;
+        caller.run_all(&["read x", "read x", "read x"]).await;
         assert_snapshot!(world.seen(), @r"
         a1 start
         a1 q read x
@@ -45,11 +45,11 @@
 
 #[test]
 fn a_transaction_holds_one_connection_from_its_first_statement() {
-    play(async {
+    simulate(async {
         let world = World::new();
         let mut caller = world.caller("newest").await;
         let answers = caller
-            .play(&["begin", "read x", "write x 1", "commit"])
+            .run_all(&["begin", "read x", "write x 1", "commit"])
             .await;
         assert_snapshot!(answers, @r"
         begin: done - | state open -
@@ -72,13 +72,13 @@
 /// the same name for different statements: state left by the first would change what the second reads.
 #[test]
 fn what_one_session_sets_and_prepares_is_not_there_for_another() {
-    play(async {
+    simulate(async {
         let world = World::new();
         let mut one = world.caller("newest").await;
         let texts = ["set zone east", "prepare s read q1", "exec s x", "exec s x"];
-        one.play(&texts).await;
+        one.run_all(&texts).await;
         let mut two = world.caller("newest").await;
-        two.play(&["prepare s write q2", "exec s x 1"]).await;
+        two.run_all(&["prepare s write q2", "exec s x 1"]).await;
         assert_snapshot!(two.ask("exec t x").await, @"error no-statement prepare it first | state idle -");
         assert_snapshot!(world.seen(), @r"
         a1 start
@@ -98,9 +98,9 @@
 /// would make the caller write twice.
 #[test]
 fn a_write_whose_connection_breaks_is_in_doubt() {
-    play(async {
+    simulate(async {
         let world = World::new();
-        world.script(|_, _, text| text.starts_with("write").then_some(Act::Break));
+        world.script(|_, _, text| text.starts_with("write").then_some(Reaction::Break));
         let mut caller = world.caller("newest").await;
         assert_snapshot!(caller.ask("write x 1").await, @"error unknown the answer was lost | state idle -");
         assert_snapshot!(world.seen(), @r"
@@ -115,10 +115,10 @@
 /// caller noticing.
 #[test]
 fn a_read_whose_connection_breaks_is_repeated() {
-    play(async {
+    simulate(async {
         let world = World::new();
         world.script(|_, number, text| {
-            (number == 1 && text.starts_with("read")).then_some(Act::Break)
+            (number == 1 && text.starts_with("read")).then_some(Reaction::Break)
         });
         let mut caller = world.caller("newest").await;
         assert_snapshot!(caller.ask("read x").await, @"done sig | state idle 1/10");
@@ -130,12 +130,12 @@
 /// kept. Its further statements would run outside the transaction on another connection, so none is sent.
 #[test]
 fn a_transaction_whose_connection_breaks_is_rolled_back() {
-    play(async {
+    simulate(async {
         let world = World::new();
-        world.script(|_, _, text| text.starts_with("read y").then_some(Act::Break));
+        world.script(|_, _, text| text.starts_with("read y").then_some(Reaction::Break));
         let mut caller = world.caller("newest").await;
         let texts = ["begin", "write x 1", "read y", "read z", "commit", "read x"];
-        assert_snapshot!(caller.play(&texts).await, @r"
+        assert_snapshot!(caller.run_all(&texts).await, @r"
         begin: done - | state open -
         write x 1: done sig | state open 1/10
         read y: error rolled-back the connection to the database broke | state failed -
@@ -159,17 +159,17 @@
 /// the outcome unknown.
 #[test]
 fn a_commit_whose_connection_breaks_is_in_doubt_only_if_it_wrote() {
-    play(async {
+    simulate(async {
         let world = World::new();
-        world.script(|_, _, text| (text == "commit").then_some(Act::Break));
+        world.script(|_, _, text| (text == "commit").then_some(Reaction::Break));
         let mut caller = world.caller("newest").await;
-        let wrote = caller.play(&["begin", "write x 1", "commit"]).await;
+        let wrote = caller.run_all(&["begin", "write x 1", "commit"]).await;
         assert_snapshot!(wrote, @r"
         begin: done - | state open -
         write x 1: done sig | state open 1/10
         commit: error unknown the answer was lost | state idle -
         ");
-        let read = caller.play(&["begin", "read x", "commit"]).await;
+        let read = caller.run_all(&["begin", "read x", "commit"]).await;
         assert_snapshot!(read, @r"
         begin: done - | state open -
         read x: done sig | state open 1/10
@@ -183,14 +183,14 @@
 /// the transaction, and its write be kept although the caller may still roll back.
 #[test]
 fn nothing_follows_a_transaction_that_was_not_opened() {
-    play(async {
+    simulate(async {
         let world = World::new();
         world.script(|_, _, text| {
             let refused = "error not-primary b\nstate idle 1/10\n";
-            (text == "begin").then(|| Act::Say(1, refused.into()))
+            (text == "begin").then(|| Reaction::Answer(1, refused.into()))
         });
         let mut caller = world.caller("newest").await;
-        assert_snapshot!(caller.play(&["begin", "write x 1", "rollback"]).await, @r"
+        assert_snapshot!(caller.run_all(&["begin", "write x 1", "rollback"]).await, @r"
         begin: done - | state open -
         write x 1: error busy the primary does not serve; retry_ms=500 | state failed -
         rollback: done - | state idle -
@@ -204,11 +204,11 @@
 /// the new primary, so neither answer may be returned.
 #[test]
 fn answers_after_the_lease_was_dropped_are_not_passed_on() {
-    play(async {
+    simulate(async {
         let world = World::new();
         world.script(|id, _, text| {
             let slow = id == "a" && text != "start";
-            slow.then(|| Act::Say(100, "done sig\nstate idle 1/10\n".into()))
+            slow.then(|| Reaction::Answer(100, "done sig\nstate idle 1/10\n".into()))
         });
         let (mut writer, mut reader) = (world.caller("newest").await, world.caller("newest").await);
         writer.send("write x 1").await;
@@ -240,7 +240,7 @@
 /// this lease for a change and retried without a pause, so that the VM answered no caller.
 #[test]
 fn a_lease_on_a_database_that_is_gone_is_waited_out() {
-    play(async {
+    simulate(async {
         let world = World::new();
         world.shared.modify(|view| {
             view.databases.remove(&"a".parse().unwrap());
@@ -257,9 +257,9 @@
 /// Without a pause between attempts to connect, the VM did nothing else.
 #[test]
 fn a_full_database_is_asked_again_with_pauses() {
-    play(async {
+    simulate(async {
         let world = World::new();
-        world.script(|_, _, text| (text == "start").then(|| Act::Say(1, "error full 4\n".into())));
+        world.script(|_, _, text| (text == "start").then(|| Reaction::Answer(1, "error full 4\n".into())));
         let mut caller = world.caller("newest").await;
         assert_snapshot!(caller.ask("write x 1").await, @"error busy the primary is busy; retry_ms=40 | state idle -");
         assert_snapshot!(world.seen(), @r"
@@ -281,10 +281,10 @@
 /// connections from before have often stopped too, and each would fail one more statement if kept.
 #[test]
 fn a_silent_connection_takes_the_idle_ones_along() {
-    play(async {
+    simulate(async {
         let world = World::new();
         world
-            .script(|_, number, text| (number <= 2 && text == "read late").then_some(Act::Nothing));
+            .script(|_, number, text| (number <= 2 && text == "read late").then_some(Reaction::Nothing));
         let (mut one, mut two) = (world.caller("newest").await, world.caller("newest").await);
         one.send("read x").await;
         two.ask("read x").await;
@@ -311,17 +311,17 @@
 /// transaction gets half of the grace period and is then rolled back, which its caller is told.
 #[test]
 fn a_stop_closes_idle_sessions_and_rolls_back_what_stays_open() {
-    play(async {
+    simulate(async {
         let world = World::new();
         let (mut idle, mut open) = (world.caller("newest").await, world.caller("newest").await);
-        open.play(&["begin", "write x 1"]).await;
+        open.run_all(&["begin", "write x 1"]).await;
         let front = Rc::clone(&world.front);
         let before = world.now();
         tokio::task::spawn_local(async move { front.stop(Span::from_secs(6)).await });
         assert_snapshot!(idle.line().await, @"(closed)");
         assert_eq!(world.now().since(before), Span::from_millis(2_200));
         tokio::time::sleep(Span::from_millis(1_000).into()).await;
-        assert_snapshot!(open.play(&["read x", "rollback"]).await, @r"
+        assert_snapshot!(open.run_all(&["read x", "rollback"]).await, @r"
         read x: error rolled-back the transaction was idle for too long, or its VM stops | state failed -
         rollback: done - | state idle -
         ");
@@ -340,14 +340,14 @@
 /// flight. It is answered, because a session is closed only after it has been idle for some time.
 #[test]
 fn a_stop_answers_a_caller_that_has_just_connected() {
-    play(async {
+    simulate(async {
         let world = World::new();
         let front = Rc::clone(&world.front);
         tokio::task::spawn_local(async move { front.stop(Span::from_secs(6)).await });
         tokio::time::sleep(Span::from_millis(2_190).into()).await;
         let mut caller = world.caller("newest").await;
         tokio::time::sleep(Span::from_millis(20).into()).await;
-        assert_snapshot!(caller.play(&["write x 1"]).await, @"write x 1: done sig | state idle 1/10");
+        assert_snapshot!(caller.run_all(&["write x 1"]).await, @"write x 1: done sig | state idle 1/10");
         assert_snapshot!(caller.line().await, @"(closed)");
     })
     .unwrap();
@@ -357,7 +357,7 @@
 /// retry, and not that the route does not exist, after which the caller would not retry.
 #[test]
 fn before_the_first_configuration_callers_may_retry() {
-    play(async {
+    simulate(async {
         let world = World::new();
         world.shared.modify(|view| view.config = None);
         let answers = world.refusal("newest").await;
@@ -372,16 +372,16 @@
 /// A route is removed while a transaction is open. The change applies from the next transaction on.
 #[test]
 fn a_transaction_keeps_its_route() {
-    play(async {
+    simulate(async {
         let world = World::new();
         let mut caller = world.caller("newest").await;
-        caller.play(&["begin", "write x 1"]).await;
+        caller.run_all(&["begin", "write x 1"]).await;
         world.shared.modify(|view| {
             let mut config = scripted::config();
             config.routes.clear();
             view.config = Some(Rc::new(config));
         });
-        assert_snapshot!(caller.play(&["write y 1", "commit", "read x"]).await, @r"
+        assert_snapshot!(caller.run_all(&["write y 1", "commit", "read x"]).await, @r"
         write y 1: done sig | state open 1/10
         commit: done sig | state idle 1/10
         read x: error no-database no route has that name any more | state idle -
@@ -394,7 +394,7 @@
 /// it is sent after that would be lost.
 #[test]
 fn a_primary_that_leaves_gets_no_new_work_after_some_seconds() {
-    play(async {
+    simulate(async {
         let world = World::new();
         world.shared.modify(|view| {
             view.databases
@@ -414,13 +414,15 @@
 /// transaction on a second connection; instead, the caller is told that it was rolled back.
 #[test]
 fn the_first_statement_of_a_transaction_is_not_run_twice() {
-    play(async {
+    simulate(async {
         let world = World::new();
         let mut caller = world.caller("aged").await;
         caller.ask("read x").await;
-        world.script(|id, _, text| (id == "b" && text.starts_with("read")).then_some(Act::Break));
+        world.script(|id, _, text| {
+            (id == "b" && text.starts_with("read")).then_some(Reaction::Break)
+        });
         world.seen();
-        let answers = caller.play(&["begin read", "read x", "rollback"]).await;
+        let answers = caller.run_all(&["begin read", "read x", "rollback"]).await;
         assert_snapshot!(answers, @r"
         begin read: done - | state open -
         read x: error rolled-back the connection to the database broke | state failed -
--- a/tests/direct_standin.rs
+++ b/tests/direct_standin.rs
@@ -6,7 +6,7 @@
 use lentilspoke::direct::statement::{Answer, Code, End, Order, State};
 use lentilspoke::direct::table::{Change, Command, Era, Fault, Response, RowId, Version};
 use lentilspoke::standin::direct::fault;
-use lentilspoke::standin::direct::host::{self, play};
+use lentilspoke::standin::direct::host::{self, simulate};
 use lentilspoke::standin::direct::log::Log;
 use lentilspoke::standin::direct::machine::Machine;
 use lentilspoke::standin::direct::network::Node;
@@ -107,7 +107,7 @@
 
 #[test]
 fn store_changes_rows_under_conditions() {
-    play(async {
+    simulate(async {
         let (world, machine) = idle_world().await;
         let store = &machine.adapter.store;
         let Ok(Response::Written(version)) = store(write("a", "1", 0), SECOND).await else {
@@ -139,7 +139,7 @@
 
 #[test]
 fn store_fails_in_each_way() {
-    play(async {
+    simulate(async {
         let (world, machine) = idle_world().await;
         let store = &machine.adapter.store;
         for (health, refused) in [
@@ -166,7 +166,7 @@
 
 #[test]
 fn database_tells_what_it_cannot_do() {
-    play(async {
+    simulate(async {
         let (world, machine) = idle_world().await;
         let machine = Rc::new(machine);
         let (mut primary, answer) = Session::open(&world, &machine, "db0a").await;
@@ -198,7 +198,7 @@
 /// received; what the old one commits later is lost.
 #[test]
 fn promotion_takes_what_was_received() {
-    play(async {
+    simulate(async {
         let (world, machine) = idle_world().await;
         let machine = Rc::new(machine);
         let (mut old, _) = Session::open(&world, &machine, "db0a").await;
@@ -234,7 +234,7 @@
 
 #[test]
 fn frozen_vm_does_nothing_and_dead_one_never() {
-    play(async {
+    simulate(async {
         let ticks = Rc::new(RefCell::new(0));
         let counted = ticks.clone();
         let program = move |_: Machine| {
@@ -274,7 +274,7 @@
     during: impl FnOnce(Rc<World>, Rc<Machine>) -> F,
 ) -> Rc<World> {
     let panics = host::panics();
-    let world = play(async {
+    let world = simulate(async {
         let (world, machine) = idle_world().await;
         fault.begin(&world);
         during(world.clone(), Rc::new(machine)).await;
@@ -372,7 +372,7 @@
 /// failure domain. Questions to the old address get no answer.
 #[test]
 fn replaced_vm_comes_at_another_address() {
-    play(async {
+    simulate(async {
         let (machines, mut machine) = mpsc::unbounded_channel();
         let program = move |machine| {
             let _ = machines.send(machine);
@@ -404,7 +404,7 @@
 /// A VM that is suspended in turns does proportionally less work.
 #[test]
 fn starved_vm_runs_by_turns() {
-    play(async {
+    simulate(async {
         let ticks = Rc::new(RefCell::new(0));
         let counted = ticks.clone();
         let program = move |_: Machine| {
@@ -473,7 +473,7 @@
 #[test]
 fn panicking_task_is_counted() {
     let before = host::panics();
-    play(async {
+    simulate(async {
         let task = tokio::task::spawn_local(async { panic!("on purpose") });
         assert!(task.await.is_err());
     })
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -36,7 +36,7 @@
 
 /// Runs a scene.
 pub fn play<F: Future<Output = ()>>(setup: Setup, scene: impl FnOnce(Scene) -> F) {
-    host::play(async { scene(Scene::start(setup).await).await }).unwrap();
+    host::simulate(async { scene(Scene::start(setup).await).await }).unwrap();
 }
 
 impl Scene {
--- a/tests/scripted/mod.rs
+++ b/tests/scripted/mod.rs
@@ -17,9 +17,9 @@
 use tokio::time::{Duration, Instant, sleep};
 
 /// How a database reacts to a statement.
-pub enum Act {
+pub enum Reaction {
     /// Answers with these lines, after some milliseconds.
-    Say(u64, String),
+    Answer(u64, String),
     /// Closes the connection.
     Break,
     /// Does not answer.
@@ -27,7 +27,7 @@
 }
 
 /// The answer of a healthy database, which tracks the state of a transaction per connection.
-fn healthy(open: &mut bool, text: &str) -> Act {
+fn healthy(open: &mut bool, text: &str) -> Reaction {
     let signature = match text.split(' ').next() {
         Some("read" | "write" | "exec" | "commit") => "sig",
         _ => "-",
@@ -38,12 +38,12 @@
         _ => {}
     }
     let state = if *open { "open" } else { "idle" };
-    Act::Say(1, format!("done {signature}\nstate {state} 1/10\n"))
+    Reaction::Answer(1, format!("done {signature}\nstate {state} 1/10\n"))
 }
 
 /// Chooses a database's reaction by its id, the number of the connection, and the text (`start`
 /// first); `None` is the healthy reaction.
-type Script = Box<dyn FnMut(&str, u32, &str) -> Option<Act>>;
+type Script = Box<dyn FnMut(&str, u32, &str) -> Option<Reaction>>;
 
 pub struct World {
     pub shared: Rc<Shared>,
@@ -135,7 +135,7 @@
     }
 
     /// Sets the reactions of databases that differ from a healthy one's.
-    pub fn script(&self, script: impl FnMut(&str, u32, &str) -> Option<Act> + 'static) {
+    pub fn script(&self, script: impl FnMut(&str, u32, &str) -> Option<Reaction> + 'static) {
         *self.script.borrow_mut() = Box::new(script);
     }
 
@@ -255,20 +255,20 @@
         };
         seen.borrow_mut()
             .push_str(&format!("{id}{number} {line}\n"));
-        let act = (script.borrow_mut())(&id, number, &text);
-        let act = act.unwrap_or_else(|| match text.as_str() {
-            "start" => Act::Say(12, "state idle 1/10\n".into()),
+        let reaction = (script.borrow_mut())(&id, number, &text);
+        let reaction = reaction.unwrap_or_else(|| match text.as_str() {
+            "start" => Reaction::Answer(12, "state idle 1/10\n".into()),
             text => healthy(&mut open, text),
         });
-        match act {
-            Act::Say(millis, lines) => {
+        match reaction {
+            Reaction::Answer(millis, lines) => {
                 sleep(Duration::from_millis(millis)).await;
                 if stream.write_all(lines.as_bytes()).await.is_err() {
                     return;
                 }
             }
-            Act::Break => return,
-            Act::Nothing => {}
+            Reaction::Break => return,
+            Reaction::Nothing => {}
         }
     }
 }
@@ -309,13 +309,13 @@
     }
 
     /// Runs statements one after the other, and returns each with its answer.
-    pub async fn play(&mut self, texts: &[&str]) -> String {
-        let mut told = String::new();
+    pub async fn run_all(&mut self, texts: &[&str]) -> String {
+        let mut answers = String::new();
         for text in texts {
             let answer = self.ask(text).await;
-            told.push_str(&format!("{text}: {answer}\n"));
+            answers.push_str(&format!("{text}: {answer}\n"));
         }
-        told
+        answers
     }
 
     pub async fn line(&mut self) -> String {
