--- a/src/standin/direct/caller.rs
+++ b/src/standin/direct/caller.rs
@@ -79,7 +79,7 @@
     ) -> Result<Self, Closed> {
         let kind = world.kind_of(route).ok_or(Closed)?;
         let stream = world.connect_caller(domain, vm).await.ok_or(Closed)?;
-        let number = world.journal.borrow_mut().number();
+        let number = world.journal.borrow_mut().next_number();
         let own = format!("key{domain}");
         let key = key.unwrap_or(&own);
         let mut session = Self {
--- a/src/standin/direct/check.rs
+++ b/src/standin/direct/check.rs
@@ -2,7 +2,7 @@
 
 use crate::direct::statement::Statement;
 use crate::standin::direct::journal::{Events, Run};
-use crate::standin::direct::known::{Known, Seen};
+use crate::standin::direct::known::{Acknowledged, Known};
 use crate::standin::direct::said::Said;
 use crate::standin::direct::wire::{self, OWN};
 use crate::standin::direct::world::World;
@@ -119,7 +119,7 @@
 }
 
 impl Check<'_> {
-    fn breaks(&mut self, rule: &str, said: &Said, run: Option<&Run>) {
+    fn report_violation(&mut self, rule: &str, said: &Said, run: Option<&Run>) {
         let at = |moment: Instant| (moment - self.started).as_millis();
         let told = said
             .told
@@ -165,12 +165,12 @@
             let signature = said.signature().unwrap_or_default();
             let run = self.by_signature.get(signature).copied();
             match run {
-                None => self.breaks("done without a database", said, None),
+                None => self.report_violation("done without a database", said, None),
                 Some(run) if run.id != said.id => {
-                    self.breaks("another caller's answer", said, Some(run));
+                    self.report_violation("another caller's answer", said, Some(run));
                 }
                 Some(run) if run.rows != answer.rows => {
-                    self.breaks("not the whole answer", said, Some(run));
+                    self.report_violation("not the whole answer", said, Some(run));
                 }
                 Some(_) => {}
             }
@@ -194,22 +194,22 @@
                 continue;
             };
             if !same_text(said, run) {
-                self.breaks("another text or shape", said, Some(run));
+                self.report_violation("another text or shape", said, Some(run));
             }
             if said.organisation != run.organisation {
-                self.breaks("on another's behalf", said, Some(run));
+                self.report_violation("on another's behalf", said, Some(run));
             }
             if said.values != run.values {
-                self.breaks("other session values", said, Some(run));
+                self.report_violation("other session values", said, Some(run));
             }
             if said.transaction != run.transaction.is_some() {
-                self.breaks("inside or outside a transaction", said, Some(run));
+                self.report_violation("inside or outside a transaction", said, Some(run));
             }
             if !self
                 .routes
                 .contains(&(said.route.clone(), run.group.clone()))
             {
-                self.breaks("a group that no route names", said, Some(run));
+                self.report_violation("a group that no route names", said, Some(run));
             }
         }
     }
@@ -234,12 +234,14 @@
             }
             if place.is_elsewhere(run) {
                 match place.followed {
-                    true => self.breaks("a transaction on two connections", said, Some(run)),
+                    true => {
+                        self.report_violation("a transaction on two connections", said, Some(run))
+                    }
                     false => *place = Place::of(run),
                 }
             }
             if self.known.owner(transaction, said) != said.operation {
-                self.breaks("inside another caller's transaction", said, Some(run));
+                self.report_violation("inside another caller's transaction", said, Some(run));
             }
         }
         for place in places.into_values() {
@@ -250,7 +252,7 @@
                 .signature()
                 .is_some_and(|told| told != &*place.run.signature)
             {
-                self.breaks("told of a run that was given up", said, Some(place.run));
+                self.report_violation("told of a run that was given up", said, Some(place.run));
             }
         }
     }
@@ -269,10 +271,10 @@
         for said in self.said {
             let kept = commits.get(&*said.id).copied().unwrap_or_default();
             if kept > 1 {
-                self.breaks("a write took effect twice", said, None);
+                self.report_violation("a write took effect twice", said, None);
             }
             if kept > 0 && not_run.contains(&said.operation) {
-                self.breaks("told not run, and run", said, None);
+                self.report_violation("told not run, and run", said, None);
             }
             self.acknowledged(said);
         }
@@ -287,12 +289,12 @@
         let run = *run;
         let Some(number) = run.commit else {
             if is_write(said) && !said.transaction {
-                self.breaks("acknowledged, and not committed", said, Some(run));
+                self.report_violation("acknowledged, and not committed", said, Some(run));
             }
             return;
         };
         if self.events.commit(number).is_some_and(|c| c.replaced) {
-            self.breaks("acknowledged by a replaced primary", said, Some(run));
+            self.report_violation("acknowledged by a replaced primary", said, Some(run));
         }
     }
 
@@ -310,10 +312,10 @@
                 continue;
             }
             let run = *run;
-            if let Some(missed) = self.known.missed(self.events, said, run) {
+            if let Some(missed) = self.known.missed_commit(self.events, said, run) {
                 let age = (said.since - missed.at).as_millis();
                 let rule = format!("stale, commit {} was {age} ms old", missed.commit);
-                self.breaks(&rule, said, Some(run));
+                self.report_violation(&rule, said, Some(run));
             }
         }
     }
@@ -326,12 +328,12 @@
         };
         let commit = run.commit.and_then(|n| Some((n, self.events.commit(n)?)));
         if let Some((number, commit)) = commit {
-            let seen = Seen {
+            let commit = Acknowledged {
                 commit: number,
                 position: commit.position,
                 at,
             };
-            self.known.note(&run.group, said.session, seen);
+            self.known.acknowledge(&run.group, said.session, commit);
         }
     }
 
--- a/src/standin/direct/group.rs
+++ b/src/standin/direct/group.rs
@@ -123,7 +123,7 @@
             replaced,
             lost: replaced.then_some(now),
         };
-        let number = self.journal.borrow_mut().committed(commit, before);
+        let number = self.journal.borrow_mut().record_commit(commit, before);
         let received = self.received.notified();
         self.replicate_to_all(database);
         if self.durable {
--- a/src/standin/direct/journal.rs
+++ b/src/standin/direct/journal.rs
@@ -116,7 +116,7 @@
     /// How often each VM connected to each database.
     pub openings: BTreeMap<(DatabaseId, VmId), u64>,
     /// The last number given to a connection, transaction or run.
-    pub given: u64,
+    pub last_number: u64,
 }
 
 /// The events, shared by all databases.
@@ -131,7 +131,7 @@
 
     /// Records a commit, and the position before it if it is the first of its term. Returns its
     /// number.
-    pub fn committed(&mut self, commit: Commit, before: Position) -> u64 {
+    pub fn record_commit(&mut self, commit: Commit, before: Position) -> u64 {
         let term = (commit.group.clone(), commit.position.term);
         self.begun.entry(term).or_insert(before);
         self.commits.push(commit);
@@ -159,8 +159,8 @@
     }
 
     /// Returns the next unique number.
-    pub fn number(&mut self) -> u64 {
-        self.given += 1;
-        self.given
+    pub fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 }
--- a/src/standin/direct/known.rs
+++ b/src/standin/direct/known.rs
@@ -13,7 +13,7 @@
 
 /// A commit that was acknowledged to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct Acknowledged {
     /// The commit's number.
     pub commit: u64,
     /// Its log position.
@@ -37,68 +37,71 @@
 /// one so far. They are all on one log, so a log that contains the furthest contains them all.
 #[derive(Debug, Default)]
 struct Commits {
-    seen: Vec<Seen>,
-    furthest: Vec<Seen>,
+    list: Vec<Acknowledged>,
+    furthest: Vec<Acknowledged>,
 }
 
 impl Commits {
     fn sort(&mut self, events: &Events) {
-        self.seen
-            .retain(|seen| events.commit(seen.commit).is_none_or(|c| c.lost.is_none()));
-        self.seen.sort_by_key(|seen| seen.at);
+        self.list.retain(|commit| {
+            events
+                .commit(commit.commit)
+                .is_none_or(|c| c.lost.is_none())
+        });
+        self.list.sort_by_key(|commit| commit.at);
         self.furthest.clear();
-        for seen in &self.seen {
-            let last = self.furthest.last().copied().unwrap_or(*seen);
-            let further = seen.position > last.position;
-            self.furthest.push(if further { *seen } else { last });
+        for commit in &self.list {
+            let last = self.furthest.last().copied().unwrap_or(*commit);
+            let further = commit.position > last.position;
+            self.furthest.push(if further { *commit } else { last });
         }
     }
 
     /// The furthest commit acknowledged before a moment.
-    fn before(&self, moment: Instant) -> Option<Seen> {
-        let count = self.seen.partition_point(|seen| seen.at < moment);
+    fn before(&self, moment: Instant) -> Option<Acknowledged> {
+        let count = self.list.partition_point(|commit| commit.at < moment);
         self.furthest.get(count.checked_sub(1)?).copied()
     }
 
     /// Keeps only the furthest of the commits acknowledged before a moment.
     fn forget(&mut self, before: Instant) {
         if let Some(furthest) = self.before(before) {
-            self.seen.retain(|seen| seen.at >= before);
-            self.seen.insert(0, furthest);
+            self.list.retain(|commit| commit.at >= before);
+            self.list.insert(0, furthest);
         }
     }
 }
 
 impl Known {
     /// Records a commit that was acknowledged to a session.
-    pub fn note(&mut self, group: &GroupId, session: u64, seen: Seen) {
-        let line = self.groups.entry(group.clone()).or_default();
-        line.seen.push(seen);
+    pub fn acknowledge(&mut self, group: &GroupId, session: u64, commit: Acknowledged) {
+        let commits = self.groups.entry(group.clone()).or_default();
+        commits.list.push(commit);
         let own = self.sessions.entry((session, group.clone()));
-        own.or_default().seen.push(seen);
+        own.or_default().list.push(commit);
     }
 
     /// Removes lost commits and orders the rest by time.
     pub fn sort(&mut self, events: &Events) {
-        let lines = self.groups.values_mut().chain(self.sessions.values_mut());
-        lines.for_each(|line| line.sort(events));
+        let all = self.groups.values_mut().chain(self.sessions.values_mut());
+        all.for_each(|commits| commits.sort(events));
     }
 
     /// Returns a commit that a read had to see and did not.
-    pub fn missed(&self, events: &Events, said: &Said, run: &Run) -> Option<Seen> {
+    pub fn missed_commit(&self, events: &Events, said: &Said, run: &Run) -> Option<Acknowledged> {
         let (age, own) = match said.kind {
             Kind::Primary => (Duration::ZERO, false),
             Kind::Bounded(span) => (span.into(), false),
             Kind::Session(span) => (span.into(), true),
         };
-        let has = |seen: &Seen| events.contains(&run.group, run.saw, seen.position);
+        let has = |commit: &Acknowledged| events.contains(&run.group, run.saw, commit.position);
         let old = said.since.checked_sub(age);
-        let line = self.groups.get(&run.group);
-        let all = line.and_then(|line| line.before(old?));
+        let commits = self.groups.get(&run.group);
+        let all = commits.and_then(|commits| commits.before(old?));
         let session = (said.session, run.group.clone());
-        let line = own.then(|| self.sessions.get(&session)).flatten();
-        let own = line.and_then(|line| line.before(said.since));
-        all.into_iter().chain(own).find(|seen| !has(seen))
+        let commits = own.then(|| self.sessions.get(&session)).flatten();
+        let own = commits.and_then(|commits| commits.before(said.since));
+        all.into_iter().chain(own).find(|commit| !has(commit))
     }
 
     /// The operation that a transaction belongs to: that of the first statement found in it.
@@ -112,11 +115,12 @@
         self.owners.retain(|_, (_, sent)| *sent >= before);
         self.groups
             .values_mut()
-            .for_each(|line| line.forget(before));
-        self.sessions.retain(|_, line| {
-            line.seen
+            .for_each(|commits| commits.forget(before));
+        self.sessions.retain(|_, commits| {
+            commits
+                .list
                 .last()
-                .is_some_and(|seen| seen.at + MAX_SESSION >= before)
+                .is_some_and(|commit| commit.at + MAX_SESSION >= before)
         });
     }
 }
--- a/src/standin/direct/session.rs
+++ b/src/standin/direct/session.rs
@@ -67,7 +67,7 @@
     database.state.borrow_mut().connections += 1;
     let counted = OpenConnection(database.clone(), life);
     let full = open >= database.spec.connections;
-    let connection = group.journal.borrow_mut().number();
+    let connection = group.journal.borrow_mut().next_number();
     let session = Session {
         group,
         database: database.clone(),
@@ -265,7 +265,7 @@
             return Err(Code::NotPrimary);
         }
         self.transaction = Some(Transaction {
-            number: self.group.journal.borrow_mut().number(),
+            number: self.group.journal.borrow_mut().next_number(),
             read,
             failed: false,
             writes: Vec::new(),
@@ -405,7 +405,7 @@
 
     fn finish_run(&self, mut run: Run) -> (Vec<Bytes>, Option<Box<str>>) {
         let mut journal = self.group.journal.borrow_mut();
-        let number = journal.number();
+        let number = journal.next_number();
         run.signature = format!("{}.{number}", self.database.spec.id).into();
         let done = (run.rows.clone(), Some(run.signature.clone()));
         journal.runs.push(run);
--- a/src/standin/direct/store.rs
+++ b/src/standin/direct/store.rs
@@ -89,7 +89,7 @@
     only: RefCell<Option<BTreeSet<VmId>>>,
     slow: Cell<Span>,
     /// How long each change takes; changes are executed one after another.
-    pace: Cell<Span>,
+    change_time: Cell<Span>,
     /// When the last of the queued changes ends.
     queue_end: Cell<Option<Instant>>,
     losing: Cell<Losing>,
@@ -122,7 +122,7 @@
             health: Cell::default(),
             only: RefCell::default(),
             slow: Cell::default(),
-            pace: Cell::default(),
+            change_time: Cell::default(),
             queue_end: Cell::default(),
             losing: Cell::default(),
             changed: Notify::new(),
@@ -145,8 +145,8 @@
     }
 
     /// Sets how long each change takes from now on; changes are executed one after another.
-    pub fn set_pace(&self, pace: Span) {
-        self.pace.set(pace);
+    pub fn set_change_time(&self, change_time: Span) {
+        self.change_time.set(change_time);
     }
 
     /// Sets what happens to writes and their answers from now on.
@@ -341,7 +341,7 @@
             .queue_end
             .get()
             .map_or(now, |queue_end| queue_end.max(now));
-        let ends = begins + self.pace.get().into();
+        let ends = begins + self.change_time.get().into();
         self.queue_end.set(Some(ends));
         tokio::time::sleep_until(ends).await;
     }
--- a/tests/direct_check.rs
+++ b/tests/direct_check.rs
@@ -327,9 +327,9 @@
     let mut events = Events::default();
     let group = "g".parse().unwrap();
     let mut first = commit("q1", Instant::now());
-    events.committed(first.clone(), "1/0".parse().unwrap());
+    events.record_commit(first.clone(), "1/0".parse().unwrap());
     first.position = "2/2".parse().unwrap();
-    events.committed(first, "1/1".parse().unwrap());
+    events.record_commit(first, "1/1".parse().unwrap());
     let has = |log: &str, entry: &str| {
         events.contains(&group, log.parse().unwrap(), entry.parse().unwrap())
     };
--- a/tests/direct_fleet.rs
+++ b/tests/direct_fleet.rs
@@ -22,7 +22,7 @@
 
 /// The time that a change takes in the store's partition that holds all rows: 150 changes per
 /// second.
-const PACE: Span = Span(6_667);
+const CHANGE_TIME: Span = Span(6_667);
 
 fn fleet() -> Setup {
     Setup {
@@ -54,7 +54,7 @@
 #[test]
 fn all_vms_lose_power() {
     play(fleet(), |scene| async move {
-        scene.world.store.set_pace(PACE);
+        scene.world.store.set_change_time(CHANGE_TIME);
         scene.until(3_000).await;
         let all = Fault::KillAll(scene.world.running());
         scene.fault(all, 3_000, 4_400).await;
@@ -153,7 +153,7 @@
 #[test]
 fn half_is_cut_from_the_steward_and_the_store() {
     play(fleet(), |scene| async move {
-        scene.world.store.set_pace(PACE);
+        scene.world.store.set_change_time(CHANGE_TIME);
         let steward = scene.steward();
         let others = scene
             .world
