--- a/tests/direct_check.rs
+++ b/tests/direct_check.rs
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn torn_transactions_are_found() {
+fn split_transactions_are_found() {
     let both = |s: &mut Scene| {
         for (said, run) in s.said.iter_mut().zip(&mut s.events.runs) {
             said.transaction = true;
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn broken_promises_are_found() {
+fn broken_guarantees_are_found() {
     let run_all_the_same = |s: &mut Scene| refuse(&mut s.said[0], Code::Busy);
     assert_eq!(Scene::found(run_all_the_same), "told not run, and run");
     let twice = |s: &mut Scene| {
@@ -285,7 +285,7 @@
 /// Statements are checked in two batches, and the first is discarded before the second. Violations
 /// in the second that follow from the first are still found.
 #[test]
-fn parts_are_judged_like_the_whole() {
+fn batches_are_checked_like_the_whole() {
     let stale = |s: &mut Scene| s.events.runs[1].saw = "1/0".parse().unwrap();
     let behind =
         |s: &mut Scene| s.events.orders = vec![order("vm1", 2, s.began), order("vm2", 1, s.began)];
--- a/tests/direct_fleet.rs
+++ b/tests/direct_fleet.rs
@@ -100,7 +100,7 @@
 /// read for others have it, the steward learns of it from their heartbeats, and all others from the
 /// steward: within 2.5 s.
 #[test]
-fn configuration_changes_while_the_steward_is_turned_away() {
+fn configuration_changes_while_the_steward_is_refused() {
     play(fleet(), |scene| async move {
         let only = Some([scene.steward()].into());
         let down = Fault::Store(Health::Refusing, only);
@@ -135,7 +135,7 @@
 /// as leases last. Each VM retries only from time to time: otherwise the steward's offers alone
 /// would make every VM read the rows, and ask others to do so.
 #[test]
-fn store_is_away_for_all() {
+fn store_refuses_all_calls() {
     play(fleet(), |scene| async move {
         let down = Fault::Store(Health::Reset, None);
         scene.until(3_000).await;
@@ -304,7 +304,7 @@
 /// a VM that lacks a long list reads it from the store. Sent in full, the register alone takes 800
 /// KB per change.
 #[test]
-fn many_groups_are_told_in_short() {
+fn many_groups_are_sent_changes_only() {
     play(many_groups(), |scene| async move {
         let start = max_answered_bytes(&scene);
         assert!(
@@ -328,7 +328,7 @@
 /// The same VMs all lose power and start again 1.4 s later without any state. The same bounds hold
 /// for what they are sent and read as at the first start, and they are ready as soon.
 #[test]
-fn many_groups_are_known_again_soon() {
+fn many_groups_recover_soon() {
     play(many_groups(), |scene| async move {
         scene.until(3_000).await;
         let before = max_answered_bytes(&scene);
--- a/tests/direct_standin.rs
+++ b/tests/direct_standin.rs
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn database_tells_what_it_cannot_do() {
+fn database_refuses_what_it_cannot_do() {
     simulate(async {
         let (world, machine) = idle_world().await;
         let machine = Rc::new(machine);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn frozen_vm_does_nothing_and_dead_one_never() {
+fn frozen_vm_pauses_and_killed_vm_ends() {
     simulate(async {
         let ticks = Rc::new(RefCell::new(0));
         let counted = ticks.clone();
