--- a/src/schedule/direct.rs
+++ b/src/schedule/direct.rs
@@ -103,7 +103,7 @@
 
 /// Plays the schedule of `seed`.
 pub fn play(seed: u64, variant: Variant) -> Result<Report, Error> {
-    host::play(run(seed, variant)).map_err(|_| Error::Setup)?
+    host::simulate(run(seed, variant)).map_err(|_| Error::Setup)?
 }
 
 async fn run(seed: u64, variant: Variant) -> Result<Report, Error> {
@@ -161,9 +161,9 @@
         let text = format!("{holder} orders {database} to lead, token {token}");
         (order.at, text)
     });
-    let reigns = journal.reigns.iter();
-    let reigns = reigns.map(|reign| (reign.at, format!("{} leads", reign.database)));
-    orders.chain(reigns).collect()
+    let failovers = journal.failovers.iter();
+    let failovers = failovers.map(|failover| (failover.at, format!("{} leads", failover.database)));
+    orders.chain(failovers).collect()
 }
 
 fn call(world: &Rc<World>, record: &Record, seed: u64, until: Instant) {
@@ -359,7 +359,7 @@
             return Some(group.leader());
         }
         let members = group.members();
-        Some(self.one(&members)?.make.id.clone())
+        Some(self.one(&members)?.spec.id.clone())
     }
 
     fn span(&mut self, bound: u64) -> Span {
--- a/src/standin/direct/caller.rs
+++ b/src/standin/direct/caller.rs
@@ -1,4 +1,4 @@
-//! Callers, which write down all that they say and are told.
+//! Simulated callers, which record every statement they send and its answer.
 
 use crate::direct::config::Kind;
 use crate::direct::statement::{Answer, State};
@@ -16,17 +16,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a caller waits for a session to start.
-const START: Duration = Duration::from_secs(2);
+/// Timeout for the start of a session.
+const START_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout for the answer to a statement.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How many items there are.
-const ITEMS: u64 = 8;
+/// The number of distinct items that callers read and write.
+const ITEM_COUNT: u64 = 8;
 
-/// The names under which callers prepare statements, which collide.
-const NAMES: [&str; 2] = ["p1", "p2"];
+/// The names of prepared statements. All callers share them, so that names collide between
+/// sessions.
+const PREPARED_NAMES: [&str; 2] = ["p1", "p2"];
 
 /// One open session.
 #[derive(Debug)]
@@ -44,14 +45,14 @@
     operation: Option<Operation>,
 }
 
-/// What a statement is part of.
+/// The transaction that a statement belongs to.
 #[derive(Debug, Clone, Copy)]
 struct Operation {
     number: u64,
     since: Instant,
 }
 
-/// The session is of no more use.
+/// The session can't be used any more: its connection failed, timed out or was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Closed;
 
@@ -67,7 +68,7 @@
         Self::open_with(world, record, domain, vm, route, None).await
     }
 
-    /// The same with a key.
+    /// Opens a session with an explicit key instead of the domain's own.
     pub async fn open_with(
         world: &Rc<World>,
         record: &Record,
@@ -77,8 +78,8 @@
         key: Option<&str>,
     ) -> Result<Self, Closed> {
         let kind = world.kind_of(route).ok_or(Closed)?;
-        let stream = world.call_on(domain, vm).await.ok_or(Closed)?;
-        let number = world.journal.borrow_mut().number();
+        let stream = world.connect_caller(domain, vm).await.ok_or(Closed)?;
+        let number = world.journal.borrow_mut().next_number();
         let own = format!("key{domain}");
         let key = key.unwrap_or(&own);
         let mut session = Self {
@@ -97,7 +98,7 @@
         let mut output = BytesMut::new();
         wire::write_caller_start(&mut output, route, key);
         session.write(&output).await?;
-        let answer = timeout(START, session.answer(true)).await;
+        let answer = timeout(START_TIMEOUT, session.answer(true)).await;
         let answer = answer.map_err(|_| Closed)??;
         match answer.end {
             crate::direct::statement::End::Done(_) => Ok(session),
@@ -123,15 +124,15 @@
         }
     }
 
-    /// Says one statement and waits for its answer, outside a transaction or in the one that
+    /// Sends one statement and waits for its answer, outside a transaction or in the one that
     /// [`Session::begin`] opened.
-    pub async fn say(&mut self, text: &str) -> Result<Answer, Closed> {
-        let number = self.note(text);
+    pub async fn execute(&mut self, text: &str) -> Result<Answer, Closed> {
+        let number = self.record_statement(text);
         let id = id_of(number);
         let mut output = BytesMut::new();
         wire::write_caller_query(&mut output, &id, text);
         self.write(&output).await?;
-        let answer = timeout(PATIENCE, self.answer(false)).await;
+        let answer = timeout(ANSWER_TIMEOUT, self.answer(false)).await;
         let now = Instant::now();
         let answer = answer.ok().and_then(Result::ok);
         if let Some(said) = self.record.borrow_mut().find(number) {
@@ -141,11 +142,11 @@
             }
         }
         let answer = answer.ok_or(Closed)?;
-        self.learn(text, &answer);
+        self.apply_answer(text, &answer);
         Ok(answer)
     }
 
-    fn note(&self, text: &str) -> u64 {
+    fn record_statement(&self, text: &str) -> u64 {
         let mut record = self.record.borrow_mut();
         let number = record.next();
         let now = Instant::now();
@@ -175,7 +176,7 @@
         number
     }
 
-    fn learn(&mut self, text: &str, answer: &Answer) {
+    fn apply_answer(&mut self, text: &str, answer: &Answer) {
         use crate::direct::statement::{End, Statement};
         if matches!(answer.end, End::Error { .. }) {
             return;
@@ -206,7 +207,7 @@
             since: Instant::now(),
         });
         let text = if read { "begin read" } else { "begin" };
-        let answer = self.say(text).await;
+        let answer = self.execute(text).await;
         if !matches!(&answer, Ok(answer) if answer.state == State::Open) {
             self.operation = None;
         }
@@ -215,40 +216,42 @@
 
     /// Ends a transaction.
     pub async fn end(&mut self, commit: bool) -> Result<Answer, Closed> {
-        let answer = self.say(if commit { "commit" } else { "rollback" }).await;
+        let answer = self
+            .execute(if commit { "commit" } else { "rollback" })
+            .await;
         self.operation = None;
         answer
     }
 
-    /// Ends the session as it should be.
-    pub async fn bye(mut self) {
+    /// Closes the session in an orderly way.
+    pub async fn close(mut self) {
         let mut output = BytesMut::new();
         wire::write_caller_bye(&mut output);
         let _ = self.write(&output).await;
     }
 }
 
-/// A caller that opens sessions and runs operations, as its random numbers tell.
+/// A caller that opens sessions and runs randomly chosen operations.
 #[derive(Debug)]
 pub struct Caller {
-    /// The world.
+    /// The simulated world.
     pub world: Rc<World>,
-    /// Where it writes down.
+    /// Where it records its statements.
     pub record: Record,
-    /// Its failure domain.
+    /// Its failure domain, by number.
     pub domain: usize,
-    /// The route that it names.
+    /// The route that its sessions name.
     pub route: Box<str>,
-    /// Its random numbers.
+    /// Its random number generator.
     pub random: ChaCha8Rng,
-    /// How long it pauses at most.
+    /// The longest pause between operations and statements.
     pub pause: Duration,
     /// How many of twelve operations are single writes.
     pub writes: u64,
 }
 
 impl Caller {
-    /// A caller of its own random numbers.
+    /// Creates a caller whose random numbers come from `seed`.
     pub fn new(
         world: &Rc<World>,
         record: &Record,
@@ -268,11 +271,11 @@
         }
     }
 
-    /// Calls until a moment.
+    /// Opens sessions and runs operations until `until`.
     pub async fn run(mut self, until: Instant) {
         while Instant::now() < until {
             self.pause().await;
-            let Some(vm) = self.choose() else { continue };
+            let Some(vm) = self.choose_vm() else { continue };
             let opened =
                 Session::open(&self.world, &self.record, self.domain, &vm, &self.route).await;
             let Ok(session) = opened else { continue };
@@ -294,42 +297,42 @@
             }
             self.pause().await;
         }
-        session.bye().await;
+        session.close().await;
         Ok(())
     }
 
-    /// One operation; an error of it ends the session in some cases.
+    /// Runs one operation. Returns an error if the session should not be used further.
     async fn operation(&mut self, session: &mut Session) -> Result<(), Closed> {
         let writes = !matches!(session.kind, Kind::Bounded(_));
         let answer = match self.below(12) {
             drawn if drawn < self.writes && writes => {
                 let text = self.write(session);
-                session.say(&text).await?
+                session.execute(&text).await?
             }
             3 | 4 => return self.transaction(session, writes).await,
             5 => {
                 let text = format!("set s{} {}", self.below(2), self.below(9));
-                return stays(session.say(&text).await?);
+                return require_success(session.execute(&text).await?);
             }
             6 => {
-                let name = NAMES[self.below(2) as usize];
+                let name = PREPARED_NAMES[self.below(2) as usize];
                 let kind = if writes && self.below(2) == 0 {
                     "write"
                 } else {
                     "read"
                 };
                 let text = format!("prepare {name} {kind} shape{}", self.below(3));
-                return stays(session.say(&text).await?);
+                return require_success(session.execute(&text).await?);
             }
             7 => match session.prepared.keys().next().cloned() {
                 Some(name) if self.below(3) == 0 => {
-                    return stays(session.say(&format!("forget {name}")).await?);
+                    return require_success(session.execute(&format!("forget {name}")).await?);
                 }
                 _ => return Ok(()),
             },
             _ => {
                 let text = self.read(session);
-                session.say(&text).await?
+                session.execute(&text).await?
             }
         };
         match answer.state {
@@ -349,14 +352,14 @@
                 true => self.write(session),
                 false => self.read(session),
             };
-            let answer = session.say(&text).await?;
+            let answer = session.execute(&text).await?;
             if answer.state != State::Open {
                 break;
             }
         }
         self.pause().await;
         if self.below(12) == 0 {
-            // Some leave in the midst.
+            // Some callers disconnect in the middle of a transaction.
             return Err(Closed);
         }
         let commit = self.below(4) > 0;
@@ -368,7 +371,7 @@
     }
 
     fn write(&mut self, session: &Session) -> String {
-        let (item, data) = (self.below(ITEMS), self.random.next_u64() % 100_000);
+        let (item, data) = (self.below(ITEM_COUNT), self.random.next_u64() % 100_000);
         match self.prepared(session, true) {
             Some(name) => format!("exec {name} i{item} v{data}"),
             None => format!("write i{item} v{data}"),
@@ -376,7 +379,7 @@
     }
 
     fn read(&mut self, session: &Session) -> String {
-        let item = self.below(ITEMS);
+        let item = self.below(ITEM_COUNT);
         match self.prepared(session, false) {
             Some(name) => format!("exec {name} i{item}"),
             None => format!("read i{item}"),
@@ -390,8 +393,8 @@
         (self.below(2) == 0).then_some(name)
     }
 
-    /// A VM of its failure domain that is ready, else any; now and then one that is not.
-    fn choose(&mut self) -> Option<VmId> {
+    /// Chooses a ready VM of the caller's failure domain, else any ready VM, else any that runs.
+    fn choose_vm(&mut self) -> Option<VmId> {
         let world = self.world.clone();
         let running = world.running();
         let is_near = |vm: &&VmId| world.domain_of_vm(vm) == Some(self.domain);
@@ -421,8 +424,8 @@
     format!("q{number}").into()
 }
 
-/// A caller leaves after an error in answer to a value or a prepared statement.
-fn stays(answer: Answer) -> Result<(), Closed> {
+/// Ends the session after an error in answer to a `set`, `prepare` or `forget`.
+fn require_success(answer: Answer) -> Result<(), Closed> {
     match answer.end {
         crate::direct::statement::End::Done(_) => Ok(()),
         crate::direct::statement::End::Error { .. } => Err(Closed),
--- a/src/standin/direct/check.rs
+++ b/src/standin/direct/check.rs
@@ -1,8 +1,8 @@
-//! Compares what callers were told with what really happened.
+//! Checks the answers that callers received against what the databases ran.
 
 use crate::direct::statement::Statement;
-use crate::standin::direct::journal::{Book, Run};
-use crate::standin::direct::known::{Known, Seen};
+use crate::standin::direct::journal::{Events, Run};
+use crate::standin::direct::known::{Acknowledged, Known};
 use crate::standin::direct::said::Said;
 use crate::standin::direct::wire::{self, OWN};
 use crate::standin::direct::world::World;
@@ -11,25 +11,25 @@
 use std::fmt;
 use tokio::time::Instant;
 
-/// How often callers were told what.
+/// How many statements had each result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Done.
+    /// Statements that succeeded.
     pub done: u64,
-    /// Not done, and nothing is kept.
-    pub promised: u64,
-    /// Another error.
+    /// Statements answered by an error that guarantees that they had no effect.
+    pub not_run: u64,
+    /// Statements answered by another error.
     pub failed: u64,
-    /// Nothing.
-    pub untold: u64,
+    /// Statements that got no answer.
+    pub unanswered: u64,
 }
 
-/// What the comparison gave.
+/// The result of a check.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Each rule that was broken.
+    /// A description of each violation.
     pub broken: Vec<Box<str>>,
-    /// How often callers were told what.
+    /// How many statements had each result.
     pub told: Count,
 }
 
@@ -37,13 +37,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             done,
-            promised,
+            not_run,
             failed,
-            untold,
+            unanswered,
         } = self;
         write!(
             f,
-            "{done} done, {promised} not run, {failed} failed, {untold} untold"
+            "{done} done, {not_run} not run, {failed} failed, {unanswered} untold"
         )
     }
 }
@@ -61,7 +61,7 @@
 struct Check<'a> {
     started: Instant,
     said: &'a [Said],
-    book: &'a Book,
+    events: &'a Events,
     by_id: BTreeMap<&'a str, &'a Said>,
     by_signature: BTreeMap<&'a str, &'a Run>,
     routes: &'a Routes,
@@ -69,10 +69,10 @@
     report: Report,
 }
 
-/// The routes that any configuration had, with their groups.
+/// The routes of all configurations so far, each with its group.
 pub type Routes = BTreeSet<(Box<str>, GroupId)>;
 
-/// Compares what was told in a world.
+/// Checks the statements recorded in a world against its journal.
 pub fn check(world: &World, started: Instant, said: &[Said]) -> Report {
     let configs = world.configs.borrow();
     let routes = configs.iter().flat_map(|(_, config)| &config.routes);
@@ -80,16 +80,16 @@
     compare(&world.journal.borrow(), &routes.collect(), started, said)
 }
 
-/// Compares what was told with what happened.
-pub fn compare(book: &Book, routes: &Routes, started: Instant, said: &[Said]) -> Report {
-    compare_on(&mut Known::default(), book, routes, started, said)
+/// Checks recorded statements against what happened at the databases.
+pub fn compare(events: &Events, routes: &Routes, started: Instant, said: &[Said]) -> Report {
+    compare_on(&mut Known::default(), events, routes, started, said)
 }
 
-/// Compares a part of what was told, whole operations, given what is known from the parts before
-/// it, with the part of the book that is about it.
+/// Checks one batch of recorded statements, made of whole operations, against the events of the
+/// same time. `known` carries the state from the batches before.
 pub fn compare_on(
     known: &mut Known,
-    book: &Book,
+    events: &Events,
     routes: &Routes,
     started: Instant,
     said: &[Said],
@@ -97,9 +97,13 @@
     let mut check = Check {
         started,
         said,
-        book,
+        events,
         by_id: said.iter().map(|said| (&*said.id, said)).collect(),
-        by_signature: book.runs.iter().map(|run| (&*run.signature, run)).collect(),
+        by_signature: events
+            .runs
+            .iter()
+            .map(|run| (&*run.signature, run))
+            .collect(),
         routes,
         known,
         report: Report::default(),
@@ -115,7 +119,7 @@
 }
 
 impl Check<'_> {
-    fn breaks(&mut self, rule: &str, said: &Said, run: Option<&Run>) {
+    fn report_violation(&mut self, rule: &str, said: &Said, run: Option<&Run>) {
         let at = |moment: Instant| (moment - self.started).as_millis();
         let told = said
             .told
@@ -140,16 +144,16 @@
     fn count(&mut self) {
         let told = &mut self.report.told;
         for said in self.said {
-            match (said.is_done(), said.is_promised(), said.told.is_some()) {
+            match (said.is_done(), said.is_not_run(), said.told.is_some()) {
                 (true, _, _) => told.done += 1,
-                (_, true, _) => told.promised += 1,
+                (_, true, _) => told.not_run += 1,
                 (_, _, true) => told.failed += 1,
-                _ => told.untold += 1,
+                _ => told.unanswered += 1,
             }
         }
     }
 
-    /// Each success is the whole answer of the database to this statement.
+    /// Checks that each success is the complete answer of a database to this very statement.
     fn answers(&mut self) {
         for said in self.said {
             let Some((_, answer)) = &said.told else {
@@ -161,21 +165,22 @@
             let signature = said.signature().unwrap_or_default();
             let run = self.by_signature.get(signature).copied();
             match run {
-                None => self.breaks("done without a database", said, None),
+                None => self.report_violation("done without a database", said, None),
                 Some(run) if run.id != said.id => {
-                    self.breaks("another caller's answer", said, Some(run));
+                    self.report_violation("another caller's answer", said, Some(run));
                 }
                 Some(run) if run.rows != answer.rows => {
-                    self.breaks("not the whole answer", said, Some(run));
+                    self.report_violation("not the whole answer", said, Some(run));
                 }
                 Some(_) => {}
             }
         }
     }
 
-    /// Each statement that ran was asked for as it ran, where it was allowed to.
+    /// Checks that each statement that ran was sent by a caller, with the same text, organisation,
+    /// session values and transaction, and ran in a group that its route names.
     fn runs(&mut self) {
-        for run in &self.book.runs {
+        for run in &self.events.runs {
             if &*run.id == OWN {
                 self.report
                     .broken
@@ -189,32 +194,32 @@
                 continue;
             };
             if !same_text(said, run) {
-                self.breaks("another text or shape", said, Some(run));
+                self.report_violation("another text or shape", said, Some(run));
             }
             if said.organisation != run.organisation {
-                self.breaks("on another's behalf", said, Some(run));
+                self.report_violation("on another's behalf", said, Some(run));
             }
             if said.values != run.values {
-                self.breaks("other session values", said, Some(run));
+                self.report_violation("other session values", said, Some(run));
             }
             if said.transaction != run.transaction.is_some() {
-                self.breaks("inside or outside a transaction", said, Some(run));
+                self.report_violation("inside or outside a transaction", said, Some(run));
             }
             if !self
                 .routes
                 .contains(&(said.route.clone(), run.group.clone()))
             {
-                self.breaks("a group that no route names", said, Some(run));
+                self.report_violation("a group that no route names", said, Some(run));
             }
         }
     }
 
-    /// A transaction of a caller is one transaction on one connection, and nobody else's. Its
-    /// first statement may be run again on another connection as long as nothing followed it, and
-    /// then only the last answer counts.
+    /// Checks that a caller's transaction is one transaction on one connection that no other caller
+    /// shares. Its first statement may run again on another connection as long as nothing followed
+    /// it; then only the last answer counts.
     fn transactions(&mut self) {
         let mut places: BTreeMap<u64, Place<'_>> = BTreeMap::new();
-        for run in &self.book.runs {
+        for run in &self.events.runs {
             let Some(said) = self.by_id.get(&*run.id).copied() else {
                 continue;
             };
@@ -229,12 +234,14 @@
             }
             if place.is_elsewhere(run) {
                 match place.followed {
-                    true => self.breaks("a transaction on two connections", said, Some(run)),
+                    true => {
+                        self.report_violation("a transaction on two connections", said, Some(run))
+                    }
                     false => *place = Place::of(run),
                 }
             }
             if self.known.owner(transaction, said) != said.operation {
-                self.breaks("inside another caller's transaction", said, Some(run));
+                self.report_violation("inside another caller's transaction", said, Some(run));
             }
         }
         for place in places.into_values() {
@@ -245,35 +252,36 @@
                 .signature()
                 .is_some_and(|told| told != &*place.run.signature)
             {
-                self.breaks("told of a run that was given up", said, Some(place.run));
+                self.report_violation("told of a run that was given up", said, Some(place.run));
             }
         }
     }
 
     fn writes(&mut self) {
         let mut commits: BTreeMap<&str, usize> = BTreeMap::new();
-        for write in self.book.commits.iter().flat_map(|c| &c.writes) {
+        for write in self.events.commits.iter().flat_map(|c| &c.writes) {
             *commits.entry(&write.id).or_default() += 1;
         }
-        let promised: BTreeSet<u64> = self
+        let not_run: BTreeSet<u64> = self
             .said
             .iter()
-            .filter(|said| said.is_promised())
+            .filter(|said| said.is_not_run())
             .map(|said| said.operation)
             .collect();
         for said in self.said {
             let kept = commits.get(&*said.id).copied().unwrap_or_default();
             if kept > 1 {
-                self.breaks("a write took effect twice", said, None);
+                self.report_violation("a write took effect twice", said, None);
             }
-            if kept > 0 && promised.contains(&said.operation) {
-                self.breaks("told not run, and run", said, None);
+            if kept > 0 && not_run.contains(&said.operation) {
+                self.report_violation("told not run, and run", said, None);
             }
             self.acknowledged(said);
         }
     }
 
-    /// An acknowledged write was committed, by a primary that was none the less replaced.
+    /// Checks that an acknowledged write was committed, and not by a primary that had been
+    /// replaced.
     fn acknowledged(&mut self, said: &Said) {
         let Some(run) = said.signature().and_then(|s| self.by_signature.get(s)) else {
             return;
@@ -281,21 +289,21 @@
         let run = *run;
         let Some(number) = run.commit else {
             if is_write(said) && !said.transaction {
-                self.breaks("acknowledged, and not committed", said, Some(run));
+                self.report_violation("acknowledged, and not committed", said, Some(run));
             }
             return;
         };
-        if self.book.commit(number).is_some_and(|c| c.replaced) {
-            self.breaks("acknowledged by a replaced primary", said, Some(run));
+        if self.events.commit(number).is_some_and(|c| c.replaced) {
+            self.report_violation("acknowledged by a replaced primary", said, Some(run));
         }
     }
 
-    /// A read that was answered saw what it had to.
+    /// Checks that each answered read saw every commit that its route's freshness demands.
     fn reads(&mut self) {
         for said in self.said {
             self.acknowledges(said);
         }
-        self.known.sort(self.book);
+        self.known.sort(self.events);
         for said in self.said {
             let Some(run) = said.signature().and_then(|s| self.by_signature.get(s)) else {
                 continue;
@@ -304,35 +312,35 @@
                 continue;
             }
             let run = *run;
-            if let Some(missed) = self.known.missed(self.book, said, run) {
+            if let Some(missed) = self.known.missed_commit(self.events, said, run) {
                 let age = (said.since - missed.at).as_millis();
                 let rule = format!("stale, commit {} was {age} ms old", missed.commit);
-                self.breaks(&rule, said, Some(run));
+                self.report_violation(&rule, said, Some(run));
             }
         }
     }
 
-    /// Notes the commit that a caller knows of from now on.
+    /// Records the commit that a statement's answer acknowledged.
     fn acknowledges(&mut self, said: &Said) {
         let run = said.signature().and_then(|s| self.by_signature.get(s));
         let (Some(run), Some(at)) = (run, said.acknowledged()) else {
             return;
         };
-        let commit = run.commit.and_then(|n| Some((n, self.book.commit(n)?)));
+        let commit = run.commit.and_then(|n| Some((n, self.events.commit(n)?)));
         if let Some((number, commit)) = commit {
-            let seen = Seen {
+            let commit = Acknowledged {
                 commit: number,
                 position: commit.position,
                 at,
             };
-            self.known.note(&run.group, said.session, seen);
+            self.known.acknowledge(&run.group, said.session, commit);
         }
     }
 
-    /// Fencing tokens only rise, and each is one VM's.
+    /// Checks that the fencing tokens of orders never fall, and that each token belongs to one VM.
     fn orders(&mut self) {
         let mut last = self.known.order.take();
-        for order in &self.book.orders {
+        for order in &self.events.orders {
             let wrong = match &last {
                 Some((token, holder)) if *token == order.token => *holder != order.holder,
                 Some((token, _)) => *token > order.token,
@@ -349,7 +357,7 @@
     }
 }
 
-/// Where a transaction's first statement ran.
+/// The connection and transaction in which a caller's transaction runs.
 struct Place<'a> {
     run: &'a Run,
     followed: bool,
@@ -372,7 +380,7 @@
     said.text.starts_with("write ") || (said.text.starts_with("exec ") && words(said) == 4)
 }
 
-/// Whether a statement is a single read, in a transaction or not.
+/// Whether a statement is a read, in a transaction or not.
 pub fn is_read(said: &Said) -> bool {
     said.text.starts_with("read ") || (said.text.starts_with("exec ") && words(said) == 3)
 }
@@ -381,7 +389,7 @@
     said.text.split(' ').count()
 }
 
-/// Whether only a database can answer it.
+/// Whether a statement can only be answered by a database.
 fn is_forwarded(said: &Said) -> bool {
     matches!(
         wire::statement(&said.text),
--- a/src/standin/direct/fault.rs
+++ b/src/standin/direct/fault.rs
@@ -1,4 +1,4 @@
-//! Troubles of a world, as values that can be drawn, printed and ended.
+//! Faults of a simulated world, as values that can be drawn at random, printed, begun and ended.
 
 use crate::clock::Span;
 use crate::standin::direct::database::Database;
@@ -13,90 +13,90 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long a VM that was stopped in turn takes to start again.
+/// How long a VM takes to start again after its stop in a rolling restart.
 const RESTART: Duration = Duration::from_millis(500);
 
-/// A trouble.
+/// A fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// A database crashes; at the end it comes back.
+    /// A database crashes; when the fault ends, it restarts with its log.
     Crash(DatabaseId),
-    /// A database crashes; at the end it starts again under its id, with nothing of before.
+    /// A database crashes; when the fault ends, it restarts under the same id without its data.
     Reborn(DatabaseId),
-    /// A machine is cut from all others.
+    /// A node is partitioned from all others.
     Dark(Node),
-    /// Two machines are cut from each other.
+    /// Two nodes are partitioned from each other.
     Cut(Node, Node),
-    /// A database is about to end, and is replaced after the span.
+    /// A database is decommissioned, and replaced by a new one after the span.
     Leave(DatabaseId, Span),
-    /// A database receives nothing.
+    /// A database receives no log entries.
     Deaf(DatabaseId),
-    /// A database applies this much later.
+    /// A replica applies entries this much later.
     Lag(DatabaseId, Span),
-    /// A database takes this much longer for a statement.
+    /// Each statement of a database takes this much longer.
     Slow(DatabaseId, Span),
-    /// So many answers of a database are lost after their effect.
+    /// This many answers of a database are lost after the statements took effect.
     LoseAnswers(DatabaseId, u32),
-    /// So many statements of a database fail after they ran.
+    /// This many statements of a database fail after they ran.
     Fail(DatabaseId, u32),
-    /// A VM is killed; at the end it is started.
+    /// A VM is killed, and started when the fault ends.
     Kill(VmId),
-    /// A VM is asked to stop; at the end it is started.
+    /// A VM is asked to stop within the span, and started when the fault ends.
     Stop(VmId, Span),
-    /// A VM is frozen.
+    /// A VM's process is suspended.
     Freeze(VmId),
-    /// A VM's clock goes on by this much that its timers don't count.
+    /// A VM's clock jumps forward by this much, which its timers don't count.
     Jump(VmId, Span),
-    /// The store does not serve some VMs, or none.
+    /// The store does not serve the named VMs; without names, it serves none.
     Store(store::Health, Option<BTreeSet<VmId>>),
-    /// The store is slow.
+    /// Each call of the store takes this much longer.
     StoreSlow(Span),
     /// The store loses the answers of writes.
     StoreLosing(Losing),
-    /// The store forgets its history.
+    /// The store discards its history of changes.
     Forget,
-    /// The store is away, and comes back from a copy that is so old; what the operator and the databases wrote is
-    /// written again after so long.
+    /// The store is unavailable and is then restored from a backup as old as the first span. What
+    /// the operator and the databases wrote since is written again after the second span.
     Restore(Span, Span),
-    /// Orders are not taken as they should be.
+    /// The platform refuses orders, or loses their answers.
     Orders(orders::Health),
-    /// The configuration gains a route and loses the one that it gained before.
+    /// The configuration gains a route and loses the one that an earlier such fault added.
     Configure,
-    /// All open connections of VMs break.
+    /// All open connections of VMs are reset.
     Reset,
-    /// All open connections of VMs go silent for good; new ones work.
+    /// All open connections of VMs stop carrying data for good; new ones work.
     Silence,
-    /// The connections between VMs go silent for good; new ones work.
+    /// All open connections between VMs stop carrying data for good; new ones work.
     SilencePeers,
-    /// So many of a hundred statements of a database fail, while it is well otherwise.
+    /// This many of a hundred statements of a database fail, while it is healthy otherwise.
     Grey(DatabaseId, u32),
-    /// A database crashes and comes back by turns of this length.
+    /// A database crashes and restarts alternately, once per span.
     Flap(DatabaseId, Span),
-    /// A machine is cut from several others.
+    /// A node is partitioned from several others.
     Sever(Node, Vec<Node>),
-    /// Bytes from and to a machine take this much longer.
+    /// Bytes from and to a node take this much longer.
     SlowLink(Node, Span),
-    /// A VM gets no processor time for a while, by turns.
+    /// A VM is suspended and resumed in turns.
     Starve(VmId, Turns),
-    /// VMs are killed at once; at the end they are started.
+    /// VMs are killed at the same time, and started when the fault ends.
     KillAll(Vec<VmId>),
-    /// VMs are stopped and started one after the other: how long they may take, and how long
-    /// after one the next is stopped.
+    /// VMs are restarted one after the other. The first span is the grace of each stop, the second
+    /// the interval between stops.
     Roll(Vec<VmId>, Span, Span),
-    /// A VM is removed for good, and a new one comes at another address.
+    /// A VM is removed for good and replaced by a new one at another address.
     Replace(VmId),
-    /// So many configurations, one after the other after this long.
+    /// This many new configurations come into force, this long after each other.
     Storm(u32, Span),
 }
 
 impl Fault {
-    /// Begins it.
+    /// Starts the fault.
     pub fn begin(&self, world: &Rc<World>) {
         match self {
-            Self::Crash(id) | Self::Reborn(id) => with(world, id, Group::crash),
-            Self::Dark(node) => world.network.darken(node, true),
+            Self::Crash(id) | Self::Reborn(id) => with_database(world, id, Group::crash),
+            Self::Dark(node) => world.network.set_isolated(node, true),
             Self::Cut(a, b) => world.network.cut(a, b),
-            Self::Leave(id, drain) => with(world, id, |group, database| {
+            Self::Leave(id, drain) => with_database(world, id, |group, database| {
                 if database.life().is_some() {
                     group.leave(database, *drain);
                 }
@@ -118,22 +118,22 @@
         }
     }
 
-    /// Ends it.
+    /// Ends the fault, where it has an end.
     pub fn end(&self, world: &Rc<World>) {
         match self {
-            Self::Crash(id) => with(world, id, |group, database| {
+            Self::Crash(id) => with_database(world, id, |group, database| {
                 if database.life().is_none() {
                     group.restart(database);
                 }
             }),
-            Self::Reborn(id) => with(world, id, |group, database| {
+            Self::Reborn(id) => with_database(world, id, |group, database| {
                 if database.life().is_none() {
-                    group.rebear(database);
+                    group.restart_empty(database);
                 }
             }),
-            Self::Dark(node) => world.network.darken(node, false),
-            Self::Cut(a, b) => world.network.mend(a, b),
-            Self::Kill(vm) | Self::Stop(vm, _) => start(world, vm),
+            Self::Dark(node) => world.network.set_isolated(node, false),
+            Self::Cut(a, b) => world.network.end_cut(a, b),
+            Self::Kill(vm) | Self::Stop(vm, _) => restart_vm(world, vm),
             Self::Freeze(vm) => world.freeze_vm(vm, false),
             Self::Store(..) => world.store.set_health(store::Health::Well, None),
             Self::Restore(age, rewrites) => {
@@ -153,8 +153,8 @@
         let is_vm = |node: &Node| matches!(node, Node::Vm(_));
         match self {
             Self::SilencePeers => world.network.silence(|a, b| is_vm(a) && is_vm(b)),
-            Self::Flap(id, turn) => with(world, id, |group, database| {
-                database.trouble.flapping.set(true);
+            Self::Flap(id, turn) => with_database(world, id, |group, database| {
+                database.faults.flapping.set(true);
                 let flap = flap(group.clone(), database.clone(), *turn);
                 world.network.spawn(flap);
             }),
@@ -163,7 +163,7 @@
                     world.network.cut(node, other);
                 }
             }
-            Self::SlowLink(node, more) => world.network.slow(node, (*more).into()),
+            Self::SlowLink(node, more) => world.network.set_extra_delay(node, (*more).into()),
             Self::Starve(vm, turns) => world.starve_vm(vm, Some(*turns)),
             Self::KillAll(vms) => vms.iter().for_each(|vm| world.kill_vm(vm)),
             Self::Roll(vms, grace, gap) => {
@@ -171,75 +171,77 @@
                 world.network.spawn(roll);
             }
             Self::Replace(vm) => {
-                // The name of a new VM is valid like the first ones'.
+                // The generated name of a new VM is always valid.
                 let _ = world.replace_vm(vm);
             }
             Self::Storm(count, gap) => {
                 let storm = storm(world.clone(), *count, *gap);
                 world.network.spawn(storm);
             }
-            _ => self.trouble(world, true),
+            _ => self.set_database_fault(world, true),
         }
     }
 
     fn end_more(&self, world: &Rc<World>) {
         match self {
-            Self::Flap(id, _) => with(world, id, |group, database| {
-                database.trouble.flapping.set(false);
+            Self::Flap(id, _) => with_database(world, id, |group, database| {
+                database.faults.flapping.set(false);
                 if database.life().is_none() {
                     group.restart(database);
                 }
             }),
             Self::Sever(node, others) => {
                 for other in others {
-                    world.network.mend(node, other);
+                    world.network.end_cut(node, other);
                 }
             }
-            Self::SlowLink(node, _) => world.network.slow(node, Duration::ZERO),
+            Self::SlowLink(node, _) => world.network.set_extra_delay(node, Duration::ZERO),
             Self::Starve(vm, _) => world.starve_vm(vm, None),
-            Self::KillAll(vms) => vms.iter().for_each(|vm| start(world, vm)),
+            Self::KillAll(vms) => vms.iter().for_each(|vm| restart_vm(world, vm)),
             Self::SilencePeers | Self::Roll(..) | Self::Replace(_) | Self::Storm(..) => {}
-            _ => self.trouble(world, false),
+            _ => self.set_database_fault(world, false),
         }
     }
 
-    fn trouble(&self, world: &Rc<World>, begins: bool) {
+    fn set_database_fault(&self, world: &Rc<World>, begins: bool) {
         let span = |span: &Span| match begins {
             true => Duration::from(*span),
             false => Duration::ZERO,
         };
         let count = |count: &u32| if begins { *count } else { 0 };
         match self {
-            Self::Deaf(id) => with(world, id, |_, database| {
-                database.trouble.deaf.set(begins);
+            Self::Deaf(id) => with_database(world, id, |_, database| {
+                database.faults.deaf.set(begins);
                 database.changed.notify_waiters();
             }),
-            Self::Lag(id, lag) => with(world, id, |_, d| d.trouble.lag.set(span(lag))),
-            Self::Slow(id, slow) => with(world, id, |_, d| d.trouble.slow.set(span(slow))),
-            Self::LoseAnswers(id, n) => with(world, id, |_, d| d.trouble.losing.set(count(n))),
-            Self::Grey(id, n) => with(world, id, |_, d| d.trouble.grey.set(count(n))),
-            Self::Fail(id, n) => with(world, id, |_, d| d.trouble.failing.set(count(n))),
+            Self::Lag(id, lag) => with_database(world, id, |_, d| d.faults.lag.set(span(lag))),
+            Self::Slow(id, slow) => with_database(world, id, |_, d| d.faults.slow.set(span(slow))),
+            Self::LoseAnswers(id, n) => {
+                with_database(world, id, |_, d| d.faults.losing.set(count(n)))
+            }
+            Self::Grey(id, n) => with_database(world, id, |_, d| d.faults.grey.set(count(n))),
+            Self::Fail(id, n) => with_database(world, id, |_, d| d.faults.failing.set(count(n))),
             _ => {}
         }
     }
 }
 
-fn with(world: &World, id: &DatabaseId, what: impl FnOnce(&Rc<Group>, &Rc<Database>)) {
+fn with_database(world: &World, id: &DatabaseId, what: impl FnOnce(&Rc<Group>, &Rc<Database>)) {
     if let Some((group, database)) = world.database(id) {
         what(&group, &database);
     }
 }
 
-fn start(world: &Rc<World>, vm: &VmId) {
+fn restart_vm(world: &Rc<World>, vm: &VmId) {
     world.kill_vm(vm);
     if let Some(number) = World::number_of(vm) {
-        // A VM's name that was valid once stays so.
+        // The name was valid when the VM was first started.
         let _ = world.start_vm(number);
     }
 }
 
 async fn flap(group: Rc<Group>, database: Rc<Database>, turn: Span) {
-    while database.trouble.flapping.get() {
+    while database.faults.flapping.get() {
         match database.life() {
             Some(_) => group.crash(&database),
             None => group.restart(&database),
@@ -254,7 +256,7 @@
         let world = world.clone();
         world.clone().network.spawn(async move {
             sleep(Duration::from(grace) + RESTART).await;
-            start(&world, &vm);
+            restart_vm(&world, &vm);
         });
         sleep(gap.into()).await;
     }
--- a/src/standin/direct/group.rs
+++ b/src/standin/direct/group.rs
@@ -4,7 +4,7 @@
 use crate::direct::adapter::Promoted;
 use crate::direct::table::RowId;
 use crate::standin::direct::database::Database;
-use crate::standin::direct::journal::{Commit, Journal, Reign, Write};
+use crate::standin::direct::journal::{Commit, Failover, Journal, Write};
 use crate::standin::direct::network::{Network, Node};
 use crate::standin::direct::store::Store;
 use crate::types::{DatabaseId, GroupId};
@@ -16,35 +16,35 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// The table in which databases register.
+/// The store's table in which databases register.
 pub const REGISTER: &str = "databases";
 
-/// How long a database takes to tell the store of a change.
-const REPORT: Duration = Duration::from_millis(20);
+/// How long a database takes to report a change to the store.
+const REPORT_DELAY: Duration = Duration::from_millis(20);
 
-/// After how long of silence an entry of the register goes.
-const EXPIRY: Duration = Duration::from_millis(3_600);
+/// How long after a database's crash its entry is removed from the register.
+const ENTRY_EXPIRY: Duration = Duration::from_millis(3_600);
 
-/// How long an old primary goes on after it reaches the new one.
-const HANGING_ON: Duration = Duration::from_secs(1);
+/// How long a replaced primary goes on as primary after its successor reaches it.
+const STEP_DOWN_DELAY: Duration = Duration::from_secs(1);
 
-/// A group.
+/// A group of databases that replicate one log.
 pub struct Group {
-    /// Its id.
+    /// The group's id.
     pub id: GroupId,
-    /// Whether a commit waits until a replica has it.
+    /// Whether a commit waits until a replica has received it.
     pub durable: bool,
     /// How long a promotion takes.
     pub promotion: Duration,
     network: Rc<Network>,
     store: Rc<Store>,
-    /// What happens.
+    /// The events of all databases.
     pub journal: Journal,
     members: RefCell<Vec<Rc<Database>>>,
     leader: RefCell<DatabaseId>,
     promoting: RefCell<Option<DatabaseId>>,
     received: Notify,
-    replaced: Cell<u32>,
+    replacements: Cell<u32>,
 }
 
 impl fmt::Debug for Group {
@@ -56,7 +56,7 @@
 }
 
 impl Group {
-    /// A group whose first member leads, registered.
+    /// Creates a group whose first member is the primary, and registers its members.
     pub fn new(
         id: GroupId,
         promotion: Duration,
@@ -65,7 +65,7 @@
         journal: Journal,
         members: Vec<Rc<Database>>,
     ) -> Rc<Self> {
-        let leader = members[0].make.id.clone();
+        let leader = members[0].spec.id.clone();
         let group = Rc::new(Self {
             id,
             durable: false,
@@ -77,7 +77,7 @@
             leader: RefCell::new(leader),
             promoting: RefCell::default(),
             received: Notify::new(),
-            replaced: Cell::new(0),
+            replacements: Cell::new(0),
         });
         for member in group.members() {
             group.write_entry(&member);
@@ -85,23 +85,24 @@
         group
     }
 
-    /// Its databases, those that are down as well.
+    /// Its databases, including those that are down.
     pub fn members(&self) -> Vec<Rc<Database>> {
         self.members.borrow().clone()
     }
 
-    /// One of them.
+    /// A member by its id.
     pub fn member(&self, id: &DatabaseId) -> Option<Rc<Database>> {
         let members = self.members.borrow();
-        members.iter().find(|m| m.make.id == *id).cloned()
+        members.iter().find(|m| m.spec.id == *id).cloned()
     }
 
-    /// Who really leads.
+    /// The database that was promoted last, whatever others consider themselves.
     pub fn leader(&self) -> DatabaseId {
         self.leader.borrow().clone()
     }
 
-    /// A commit at a database, told to its replicas. Nothing if it does not lead any more.
+    /// Commits writes at a database and replicates them. Returns the commit's number, or `None` if
+    /// the database is not primary any more.
     pub async fn commit(
         self: &Rc<Self>,
         database: &Rc<Database>,
@@ -110,60 +111,60 @@
         if !database.state.borrow().primary {
             return None;
         }
-        let replaced = self.leader() != database.make.id;
+        let replaced = self.leader() != database.spec.id;
         let now = Instant::now();
         let before = database.received();
         let commit = Commit {
             group: self.id.clone(),
-            database: database.make.id.clone(),
+            database: database.spec.id.clone(),
             position: database.append(),
             writes,
             at: now,
             replaced,
             lost: replaced.then_some(now),
         };
-        let number = self.journal.borrow_mut().committed(commit, before);
+        let number = self.journal.borrow_mut().record_commit(commit, before);
         let received = self.received.notified();
-        self.ship_all(database);
+        self.replicate_to_all(database);
         if self.durable {
             received.await;
         }
         Some(number)
     }
 
-    /// Tells all others what a database has.
-    fn ship_all(self: &Rc<Self>, from: &Rc<Database>) {
+    /// Replicates the log of a database to all other members.
+    fn replicate_to_all(self: &Rc<Self>, from: &Rc<Database>) {
         for to in self.members() {
-            if to.make.id != from.make.id {
-                self.ship(from, &to);
+            if to.spec.id != from.spec.id {
+                self.start_replication(from, &to);
             }
         }
     }
 
-    fn ship(self: &Rc<Self>, from: &Rc<Database>, to: &Rc<Database>) {
-        // A leader that comes back has all that it could tell itself.
+    fn start_replication(self: &Rc<Self>, from: &Rc<Database>, to: &Rc<Database>) {
+        // A primary that restarts has nothing to receive from itself.
         if Rc::ptr_eq(from, to) {
             return;
         }
         let (group, from, to) = (self.clone(), from.clone(), to.clone());
         self.network.spawn(async move {
-            group.shipping(&from, &to).await;
+            group.replicate(&from, &to).await;
         });
     }
 
-    async fn shipping(self: &Rc<Self>, from: &Rc<Database>, to: &Rc<Database>) {
+    async fn replicate(self: &Rc<Self>, from: &Rc<Database>, to: &Rc<Database>) {
         let life = from.life();
         let (term, count) = {
             let state = from.state.borrow();
             (state.term, state.log.len())
         };
         sleep(self.network.delay(&from.node(), &to.node())).await;
-        if !self.flows(from, to) {
-            self.until_flows(from, to).await;
+        if !self.can_replicate(from, to) {
+            self.wait_until_replicating(from, to).await;
         }
         if to.state.borrow().primary && to.state.borrow().term < term {
-            sleep(HANGING_ON).await;
-            self.until_flows(from, to).await;
+            sleep(STEP_DOWN_DELAY).await;
+            self.wait_until_replicating(from, to).await;
         }
         let demoted = {
             let state = from.state.borrow();
@@ -176,20 +177,20 @@
             self.report(to);
         }
         self.received.notify_waiters();
-        sleep(to.make.lag + to.trouble.lag.get()).await;
+        sleep(to.spec.lag + to.faults.lag.get()).await;
         to.apply(term, count);
     }
 
-    fn flows(&self, from: &Database, to: &Database) -> bool {
+    fn can_replicate(&self, from: &Database, to: &Database) -> bool {
         let reaches = self.network.reaches(&from.node(), &to.node());
-        reaches && to.life().is_some() && !to.trouble.deaf.get()
+        reaches && to.life().is_some() && !to.faults.deaf.get()
     }
 
-    async fn until_flows(&self, from: &Database, to: &Database) {
+    async fn wait_until_replicating(&self, from: &Database, to: &Database) {
         loop {
             let changed = to.changed.notified();
             let network = self.network.change();
-            if self.flows(from, to) {
+            if self.can_replicate(from, to) {
                 return;
             }
             tokio::select! {
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Takes an order to promote a database.
+    /// Executes an order to promote a database.
     pub fn promote(self: &Rc<Self>, id: &DatabaseId) -> Promoted {
         let Some(database) = self.member(id) else {
             return Promoted::NotRunning;
@@ -209,7 +210,8 @@
         if life.is_none() || !self.network.reaches(&Node::Orders, &database.node()) {
             return Promoted::NotRunning;
         }
-        // As the platform says: whoever leads now need not be made to, whatever is on its way.
+        // As the platform defines: promoting the current primary succeeds, even during another
+        // promotion.
         if self.leader() == *id {
             return Promoted::Done;
         }
@@ -236,7 +238,7 @@
         let terms = members.iter().map(|m| m.state.borrow().term);
         let term = terms.max().unwrap_or(0) + 1;
         database.lead(term);
-        *self.leader.borrow_mut() = database.make.id.clone();
+        *self.leader.borrow_mut() = database.spec.id.clone();
         let now = Instant::now();
         let mut journal = self.journal.borrow_mut();
         let mut commits = std::mem::take(&mut journal.commits);
@@ -246,97 +248,97 @@
             }
         }
         journal.commits = commits;
-        journal.reigns.push(Reign {
+        journal.failovers.push(Failover {
             group: self.id.clone(),
-            database: database.make.id.clone(),
+            database: database.spec.id.clone(),
             at: now,
         });
         drop(journal);
         self.report(database);
-        self.ship_all(database);
+        self.replicate_to_all(database);
     }
 
-    /// A database crashes; its entry goes after a while.
+    /// Crashes a database. Its entry is removed from the register later, unless it is back by then.
     pub fn crash(self: &Rc<Self>, database: &Rc<Database>) {
-        database.set_up(false);
+        database.set_running(false);
         let node = database.node();
         self.network.reset(|_, to| *to == node);
         let (group, database) = (self.clone(), database.clone());
         self.network.spawn(async move {
-            sleep(EXPIRY).await;
+            sleep(ENTRY_EXPIRY).await;
             if database.life().is_none() {
                 group.remove_entry(&database);
             }
         });
     }
 
-    /// A crashed database comes back with its log: as a replica if another leads.
+    /// Restarts a crashed database with its log, as a replica if another leads.
     pub fn restart(self: &Rc<Self>, database: &Rc<Database>) {
-        database.set_up(true);
-        if self.leader() != database.make.id {
+        database.set_running(true);
+        if self.leader() != database.spec.id {
             database.state.borrow_mut().primary = false;
         }
         self.report(database);
         if let Some(leader) = self.member(&self.leader()) {
-            self.ship(&leader, database);
+            self.start_replication(&leader, database);
         }
-        self.ship_all_if_primary(database);
+        self.replicate_to_all_if_primary(database);
     }
 
-    /// A crashed database starts again under its id and holds nothing of before.
-    pub fn rebear(self: &Rc<Self>, database: &Rc<Database>) {
+    /// Restarts a crashed database under the same id without its data.
+    pub fn restart_empty(self: &Rc<Self>, database: &Rc<Database>) {
         database.forget();
         self.restart(database);
     }
 
-    fn ship_all_if_primary(self: &Rc<Self>, database: &Rc<Database>) {
+    fn replicate_to_all_if_primary(self: &Rc<Self>, database: &Rc<Database>) {
         if database.state.borrow().primary {
-            self.ship_all(database);
+            self.replicate_to_all(database);
         }
     }
 
-    /// A database is about to end, and is replaced by a new one at its address.
+    /// Decommissions a database and replaces it by a new one at its address.
     pub fn leave(self: &Rc<Self>, database: &Rc<Database>, drain: Span) {
         database.state.borrow_mut().leaving = true;
         self.report(database);
         let (group, database) = (self.clone(), database.clone());
         self.network.spawn(async move {
-            sleep(Duration::from(drain) + REPORT).await;
-            group.succeed(&database);
+            sleep(Duration::from(drain) + REPORT_DELAY).await;
+            group.replace(&database);
         });
     }
 
-    fn succeed(self: &Rc<Self>, old: &Rc<Database>) {
-        old.set_up(false);
+    fn replace(self: &Rc<Self>, old: &Rc<Database>) {
+        old.set_running(false);
         let node = old.node();
         self.network.reset(|_, to| *to == node);
         self.remove_entry(old);
-        self.replaced.set(self.replaced.get() + 1);
-        let mut make = old.make.clone();
-        let id = format!("{}.{}", make.id, self.replaced.get());
+        self.replacements.set(self.replacements.get() + 1);
+        let mut spec = old.spec.clone();
+        let id = format!("{}.{}", spec.id, self.replacements.get());
         let Ok(id) = id.parse() else { return };
-        make.id = id;
+        spec.id = id;
         let (term, log) = {
             let state = old.state.borrow();
             (state.term, state.log.clone())
         };
-        let new = Database::new(make, false, term, log);
+        let new = Database::new(spec, false, term, log);
         self.network.place_like(&new.node(), &old.node());
         let mut members = self.members.borrow_mut();
-        members.retain(|member| member.make.id != old.make.id);
+        members.retain(|member| member.spec.id != old.spec.id);
         members.push(new.clone());
         drop(members);
         self.report(&new);
         if let Some(leader) = self.member(&self.leader()) {
-            self.ship(&leader, &new);
+            self.start_replication(&leader, &new);
         }
     }
 
-    /// A database tells the store how it stands, as soon as it reaches it.
+    /// Writes a database's entry to the store, as soon as it reaches it.
     pub fn report(self: &Rc<Self>, database: &Rc<Database>) {
         let (group, database) = (self.clone(), database.clone());
         self.network.spawn(async move {
-            sleep(REPORT).await;
+            sleep(REPORT_DELAY).await;
             group.network.reach(&database.node(), &Node::Store).await;
             if database.life().is_some() {
                 group.write_entry(&database);
@@ -345,7 +347,7 @@
     }
 
     fn row(database: &Database) -> RowId {
-        RowId::new(REGISTER, database.make.id.as_str())
+        RowId::new(REGISTER, database.spec.id.as_str())
     }
 
     fn write_entry(&self, database: &Database) {
--- a/src/standin/direct/known.rs
+++ b/src/standin/direct/known.rs
@@ -1,122 +1,126 @@
-//! What the checker keeps from one part of what was told for the parts that follow.
+//! State that the checker carries from one batch of recorded statements to the next.
 
 use crate::direct::config::Kind;
-use crate::standin::direct::journal::{Book, Run};
+use crate::standin::direct::journal::{Events, Run};
 use crate::standin::direct::said::Said;
 use crate::types::{GroupId, Position, VmId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a session lasts at most after its last write: some operations with their pauses.
-const SESSION: Duration = Duration::from_secs(180);
+/// The longest that a session lasts after its last write: a few operations with their pauses.
+const MAX_SESSION: Duration = Duration::from_secs(180);
 
-/// A commit that a caller knows of.
+/// A commit that was acknowledged to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
-    /// Its number.
+pub struct Acknowledged {
+    /// The commit's number.
     pub commit: u64,
-    /// Where it is.
+    /// Its log position.
     pub position: Position,
-    /// Since when it is known.
+    /// When it was acknowledged.
     pub at: Instant,
 }
 
-/// What is kept.
+/// State of the checker across batches.
 #[derive(Debug, Default)]
 pub struct Known {
-    /// The last order's token and holder.
+    /// The token and holder of the last order.
     pub order: Option<(u64, VmId)>,
-    /// The operation of each transaction, and when its first statement was sent.
+    /// The operation that each transaction belongs to, and when its first statement was sent.
     owners: BTreeMap<u64, (u64, Instant)>,
-    groups: BTreeMap<GroupId, Line>,
-    sessions: BTreeMap<(u64, GroupId), Line>,
+    groups: BTreeMap<GroupId, Commits>,
+    sessions: BTreeMap<(u64, GroupId), Commits>,
 }
 
-/// Commits that were not lost, by when they were known, each with the furthest up to then. They
-/// are on one log, so whoever has the furthest has all.
+/// Commits that were not lost, ordered by when they were acknowledged, and for each the furthest
+/// one so far. They are all on one log, so a log that contains the furthest contains them all.
 #[derive(Debug, Default)]
-struct Line {
-    seen: Vec<Seen>,
-    furthest: Vec<Seen>,
+struct Commits {
+    list: Vec<Acknowledged>,
+    furthest: Vec<Acknowledged>,
 }
 
-impl Line {
-    fn sort(&mut self, book: &Book) {
-        self.seen
-            .retain(|seen| book.commit(seen.commit).is_none_or(|c| c.lost.is_none()));
-        self.seen.sort_by_key(|seen| seen.at);
+impl Commits {
+    fn sort(&mut self, events: &Events) {
+        self.list.retain(|commit| {
+            events
+                .commit(commit.commit)
+                .is_none_or(|c| c.lost.is_none())
+        });
+        self.list.sort_by_key(|commit| commit.at);
         self.furthest.clear();
-        for seen in &self.seen {
-            let last = self.furthest.last().copied().unwrap_or(*seen);
-            let further = seen.position > last.position;
-            self.furthest.push(if further { *seen } else { last });
+        for commit in &self.list {
+            let last = self.furthest.last().copied().unwrap_or(*commit);
+            let further = commit.position > last.position;
+            self.furthest.push(if further { *commit } else { last });
         }
     }
 
-    /// The furthest that was known before a moment.
-    fn before(&self, moment: Instant) -> Option<Seen> {
-        let count = self.seen.partition_point(|seen| seen.at < moment);
+    /// The furthest commit acknowledged before a moment.
+    fn before(&self, moment: Instant) -> Option<Acknowledged> {
+        let count = self.list.partition_point(|commit| commit.at < moment);
         self.furthest.get(count.checked_sub(1)?).copied()
     }
 
-    /// Keeps only the furthest of those that were known before a moment.
+    /// Keeps only the furthest of the commits acknowledged before a moment.
     fn forget(&mut self, before: Instant) {
         if let Some(furthest) = self.before(before) {
-            self.seen.retain(|seen| seen.at >= before);
-            self.seen.insert(0, furthest);
+            self.list.retain(|commit| commit.at >= before);
+            self.list.insert(0, furthest);
         }
     }
 }
 
 impl Known {
-    /// Notes a commit that a session was told of.
-    pub fn note(&mut self, group: &GroupId, session: u64, seen: Seen) {
-        let line = self.groups.entry(group.clone()).or_default();
-        line.seen.push(seen);
+    /// Records a commit that was acknowledged to a session.
+    pub fn acknowledge(&mut self, group: &GroupId, session: u64, commit: Acknowledged) {
+        let commits = self.groups.entry(group.clone()).or_default();
+        commits.list.push(commit);
         let own = self.sessions.entry((session, group.clone()));
-        own.or_default().seen.push(seen);
+        own.or_default().list.push(commit);
     }
 
-    /// Leaves out what was lost, and puts the rest in order.
-    pub fn sort(&mut self, book: &Book) {
-        let lines = self.groups.values_mut().chain(self.sessions.values_mut());
-        lines.for_each(|line| line.sort(book));
+    /// Removes lost commits and orders the rest by time.
+    pub fn sort(&mut self, events: &Events) {
+        let all = self.groups.values_mut().chain(self.sessions.values_mut());
+        all.for_each(|commits| commits.sort(events));
     }
 
-    /// A commit that a read had to see and did not.
-    pub fn missed(&self, book: &Book, said: &Said, run: &Run) -> Option<Seen> {
+    /// Returns a commit that a read had to see and did not.
+    pub fn missed_commit(&self, events: &Events, said: &Said, run: &Run) -> Option<Acknowledged> {
         let (age, own) = match said.kind {
             Kind::Primary => (Duration::ZERO, false),
             Kind::Bounded(span) => (span.into(), false),
             Kind::Session(span) => (span.into(), true),
         };
-        let has = |seen: &Seen| book.contains(&run.group, run.saw, seen.position);
+        let has = |commit: &Acknowledged| events.contains(&run.group, run.saw, commit.position);
         let old = said.since.checked_sub(age);
-        let line = self.groups.get(&run.group);
-        let all = line.and_then(|line| line.before(old?));
+        let commits = self.groups.get(&run.group);
+        let all = commits.and_then(|commits| commits.before(old?));
         let session = (said.session, run.group.clone());
-        let line = own.then(|| self.sessions.get(&session)).flatten();
-        let own = line.and_then(|line| line.before(said.since));
-        all.into_iter().chain(own).find(|seen| !has(seen))
+        let commits = own.then(|| self.sessions.get(&session)).flatten();
+        let own = commits.and_then(|commits| commits.before(said.since));
+        all.into_iter().chain(own).find(|commit| !has(commit))
     }
 
-    /// The operation that a transaction belongs to: the first that is met in it.
+    /// The operation that a transaction belongs to: that of the first statement found in it.
     pub fn owner(&mut self, transaction: u64, said: &Said) -> u64 {
         let new = (said.operation, said.sent);
         self.owners.entry(transaction).or_insert(new).0
     }
 
-    /// Forgets what is of no more use for operations that began after a moment.
+    /// Discards state that is not needed to check operations that begin after a moment.
     pub fn forget(&mut self, before: Instant) {
         self.owners.retain(|_, (_, sent)| *sent >= before);
         self.groups
             .values_mut()
-            .for_each(|line| line.forget(before));
-        self.sessions.retain(|_, line| {
-            line.seen
+            .for_each(|commits| commits.forget(before));
+        self.sessions.retain(|_, commits| {
+            commits
+                .list
                 .last()
-                .is_some_and(|seen| seen.at + SESSION >= before)
+                .is_some_and(|commit| commit.at + MAX_SESSION >= before)
         });
     }
 }
--- a/src/standin/direct/orders.rs
+++ b/src/standin/direct/orders.rs
@@ -1,4 +1,4 @@
-//! The platform's end that takes orders to promote.
+//! The platform's endpoint that takes orders to promote.
 
 use crate::clock::Time;
 use crate::direct::adapter::{Clock, Promote, Promoted, Promotion};
@@ -13,19 +13,19 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout};
 
-/// How orders are taken.
+/// How the endpoint handles orders.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Health {
-    /// As they should be.
+    /// It executes and answers them.
     #[default]
     Well,
-    /// Turned away.
+    /// It refuses them.
     Refusing,
-    /// Done, and the answer is lost.
+    /// It executes them, and the answers are lost.
     Losing,
 }
 
-/// Takes orders.
+/// The endpoint that takes orders to promote.
 pub struct Orders {
     network: Rc<Network>,
     groups: BTreeMap<GroupId, Rc<Group>>,
@@ -40,7 +40,7 @@
 }
 
 impl Orders {
-    /// Takes orders for some groups.
+    /// Creates an endpoint for some groups.
     pub fn new(network: Rc<Network>, groups: &[Rc<Group>], journal: Journal) -> Rc<Self> {
         let groups = groups.iter().map(|group| (group.id.clone(), group.clone()));
         Rc::new(Self {
@@ -51,22 +51,22 @@
         })
     }
 
-    /// How orders are taken from now on.
+    /// Sets how orders are handled from now on.
     pub fn set_health(&self, health: Health) {
         self.health.set(health);
     }
 
-    /// The way by which a VM gives orders. An order leaves as soon as it is given, and is on its
-    /// way until its deadline resets the connection; a VM that is frozen resets nothing.
-    pub fn way(self: &Rc<Self>, clock: Clock) -> Promote {
+    /// Returns the function with which a VM gives orders. An order is sent at once and stays in
+    /// transit until its deadline resets the connection; a VM that is frozen resets nothing.
+    pub fn promoter(self: &Rc<Self>, clock: Clock) -> Promote {
         let orders = self.clone();
         Rc::new(move |promotion| {
             let (orders, clock) = (orders.clone(), clock.clone());
-            Box::pin(async move { orders.give(promotion, clock()).await })
+            Box::pin(async move { orders.send(promotion, clock()).await })
         })
     }
 
-    async fn give(self: Rc<Self>, promotion: Promotion, now: Time) -> Promoted {
+    async fn send(self: Rc<Self>, promotion: Promotion, now: Time) -> Promoted {
         if now >= promotion.deadline {
             return Promoted::Refused;
         }
@@ -74,7 +74,7 @@
         let (answer, answered) = oneshot::channel();
         let (sender, hold) = Sender::new();
         let network = self.network.clone();
-        network.spawn(async move { self.arrive(promotion, sender, answer).await });
+        network.spawn(async move { self.receive(promotion, sender, answer).await });
         let result = timeout(left.into(), answered).await;
         drop(hold);
         match result {
@@ -83,29 +83,29 @@
         }
     }
 
-    async fn arrive(
+    async fn receive(
         self: Rc<Self>,
         promotion: Promotion,
         sender: Sender,
         answer: oneshot::Sender<Promoted>,
     ) {
         let from = Node::Vm(promotion.holder.clone());
-        if !self.network.travel(&from, &Node::Orders, &sender).await {
+        if !self.network.deliver(&from, &Node::Orders, &sender).await {
             return;
         }
         let promoted = match self.health.get() {
             Health::Refusing => Promoted::Refused,
-            _ => self.take(&promotion),
+            _ => self.execute(&promotion),
         };
         if self.health.get() == Health::Losing {
             return;
         }
-        if self.network.travel(&Node::Orders, &from, &sender).await {
+        if self.network.deliver(&Node::Orders, &from, &sender).await {
             let _ = answer.send(promoted);
         }
     }
 
-    fn take(&self, promotion: &Promotion) -> Promoted {
+    fn execute(&self, promotion: &Promotion) -> Promoted {
         self.journal.borrow_mut().orders.push(Ordered {
             holder: promotion.holder.clone(),
             token: promotion.token,
--- a/src/standin/direct/program.rs
+++ b/src/standin/direct/program.rs
@@ -1,4 +1,4 @@
-//! What runs on each VM: the front and the control path, as the real process puts them together.
+//! The program of each VM: the front and the control path, assembled as in the real process.
 
 use crate::clock::Span;
 use crate::direct::adapter::LocalFuture;
@@ -11,13 +11,13 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How often the balancer asks whether the VM is ready.
-const BALANCER: Duration = Duration::from_secs(1);
+/// How often the load balancer checks whether the VM is ready.
+const READY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is left of the grace when the process ends.
-const LEFT_OVER: Span = Span::from_millis(500);
+/// How much of the grace period is left when the process ends.
+const RESERVED_GRACE: Span = Span::from_millis(500);
 
-/// The program.
+/// Returns the program.
 pub fn program() -> Program {
     Rc::new(|machine| Box::pin(run(machine)) as LocalFuture<()>)
 }
@@ -36,12 +36,12 @@
         relay: Some(machine.relay),
         seeds: machine.seeds,
     });
-    let place = Location {
+    let location = Location {
         domain: machine.domain,
         relay: Some(machine.relay),
         regions: machine.regions,
     };
-    let front = Front::new(machine.adapter, shared.clone(), place);
+    let front = Front::new(machine.adapter, shared.clone(), location);
     let (asked, mut questions) = (control.clone(), machine.questions);
     actix_rt::spawn(async move {
         while let Some((question, reply)) = questions.recv().await {
@@ -66,18 +66,18 @@
     actix_rt::spawn(async move {
         loop {
             ready.set(asked.is_ready());
-            sleep(BALANCER).await;
+            sleep(READY_INTERVAL).await;
         }
     });
     let Ok(grace) = machine.stop.await else {
         return;
     };
     shared.modify(|view| view.stopping = true);
-    let grace = Span(grace.0.saturating_sub(LEFT_OVER.0));
+    let grace = Span(grace.0.saturating_sub(RESERVED_GRACE.0));
     let served = async {
         tokio::join!(front.stop(grace), relay.stop(grace));
     };
     let all = control.stop(served);
-    // Whatever is still open then would be cut by the kill that follows.
+    // Connections that are still open after the grace are closed by the kill that follows.
     let _ = timeout(grace.into(), all).await;
 }
--- a/src/standin/direct/store.rs
+++ b/src/standin/direct/store.rs
@@ -1,5 +1,5 @@
-//! The platform's store: rows by table and key with one version that rises, read, followed and
-//! written as [`crate::direct::table`] says, and its troubles.
+//! The platform's store: rows by table and key under one rising version, read, followed and written
+//! as [`crate::direct::table`] defines, with faults that can be injected.
 
 use crate::clock::Span;
 use crate::direct::adapter::{CallStore, LocalFuture};
@@ -15,42 +15,42 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
-/// How long an answer that has begun to come may bring nothing more.
-const STALL: Duration = Duration::from_millis(800);
+/// How long an answer that has begun to arrive may pause.
+const STALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long a call takes of itself.
-const WORK: Duration = Duration::from_millis(4);
+/// The time that each call takes in the store.
+const CALL_TIME: Duration = Duration::from_millis(4);
 
-/// How the store takes a call.
+/// How the store handles a call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Health {
-    /// As it should.
+    /// It executes and answers it.
     #[default]
     Well,
-    /// It turns the call away: nothing was done.
+    /// It refuses the call without executing it.
     Refusing,
-    /// It says nothing.
+    /// It does not answer and does not execute the call.
     Silent,
-    /// It breaks the connection; nothing was done, which the caller can't know.
+    /// It resets the connection without executing the call, which the caller can't know.
     Reset,
 }
 
-/// What becomes of writes whose answers are lost.
+/// What happens to writes whose answers are lost.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Losing {
     /// No answer is lost.
     #[default]
     None,
-    /// They are done at once.
+    /// They are executed at once.
     Now,
-    /// They are done after this long, if their condition still holds.
+    /// They are executed after this long, if their condition still holds.
     Later(Span),
 }
 
-/// How long what a row held before is kept, to go back to it.
-const UNDO: Duration = Duration::from_secs(30);
+/// How long earlier values of rows are kept for a restore.
+const UNDO_RETENTION: Duration = Duration::from_secs(30);
 
-/// What a row held before a change.
+/// The value of a row before a change.
 #[derive(Debug)]
 struct Undo {
     at: Instant,
@@ -58,40 +58,40 @@
     by_platform: bool,
     id: RowId,
     before: Option<(Bytes, u64)>,
-    /// The store's counter before.
+    /// The store's version number before the change.
     number: u64,
 }
 
-/// A row that was written, for whoever looks at what happened.
+/// A record of one write, for inspection by checks and tests.
 #[derive(Debug, Clone)]
 pub struct Written {
-    /// When.
+    /// When it was written.
     pub at: Instant,
-    /// By which VM; none for the platform's own.
+    /// The VM that wrote; `None` for the operator and databases.
     pub by: Option<VmId>,
-    /// The rows, with what they hold now.
+    /// The changed rows with their new values.
     pub rows: Vec<Row>,
 }
 
-/// The store.
+/// The simulated store.
 pub struct Store {
     network: Rc<Network>,
     rows: RefCell<BTreeMap<RowId, (Bytes, u64)>>,
     /// Changes, oldest first.
     history: RefCell<Vec<Row>>,
-    /// Which copy it runs on.
+    /// The era: rises with each restore from a backup.
     era: Cell<Era>,
     number: Cell<u64>,
-    /// Up to which number the history is gone.
+    /// The version number up to which the history was discarded.
     forgotten: Cell<u64>,
     undo: RefCell<VecDeque<Undo>>,
     health: Cell<Health>,
     only: RefCell<Option<BTreeSet<VmId>>>,
     slow: Cell<Span>,
-    /// How long a change takes, one after another.
-    pace: Cell<Span>,
-    /// When the changes end that wait.
-    taken: Cell<Option<Instant>>,
+    /// How long each change takes; changes are executed one after another.
+    change_time: Cell<Span>,
+    /// When the last of the queued changes ends.
+    queue_end: Cell<Option<Instant>>,
     losing: Cell<Losing>,
     changed: Notify,
     log: RefCell<Vec<Written>>,
@@ -109,7 +109,7 @@
 }
 
 impl Store {
-    /// An empty store in an era.
+    /// Creates an empty store in an era.
     pub fn new(network: Rc<Network>, era: Era) -> Rc<Self> {
         Rc::new(Self {
             network,
@@ -122,8 +122,8 @@
             health: Cell::default(),
             only: RefCell::default(),
             slow: Cell::default(),
-            pace: Cell::default(),
-            taken: Cell::default(),
+            change_time: Cell::default(),
+            queue_end: Cell::default(),
             losing: Cell::default(),
             changed: Notify::new(),
             log: RefCell::default(),
@@ -132,29 +132,29 @@
         })
     }
 
-    /// How it takes calls from now on: of all VMs, or of some only.
+    /// Sets how calls are handled from now on, for all VMs or only for some.
     pub fn set_health(&self, health: Health, only: Option<BTreeSet<VmId>>) {
         self.health.set(health);
         *self.only.borrow_mut() = only;
         self.changed.notify_waiters();
     }
 
-    /// How much longer each call takes from now on.
+    /// Sets how much longer each call takes from now on.
     pub fn set_slow(&self, slow: Span) {
         self.slow.set(slow);
     }
 
-    /// How long each change takes from now on, one after another.
-    pub fn set_pace(&self, pace: Span) {
-        self.pace.set(pace);
+    /// Sets how long each change takes from now on; changes are executed one after another.
+    pub fn set_change_time(&self, change_time: Span) {
+        self.change_time.set(change_time);
     }
 
-    /// What becomes of writes from now on.
+    /// Sets what happens to writes and their answers from now on.
     pub fn set_losing(&self, losing: Losing) {
         self.losing.set(losing);
     }
 
-    /// Forgets its history.
+    /// Discards its history of changes.
     pub fn forget(&self) {
         self.forgotten.set(self.number.get());
         self.history.borrow_mut().clear();
@@ -166,11 +166,11 @@
         Version::new(self.era.get(), self.number.get())
     }
 
-    /// Comes back from a copy as old as `age`, in the next era. What the operator and the databases wrote since is
-    /// written again after `rewrites`, unless they have written there meanwhile.
+    /// Restores a backup as old as `age`, in the next era. What the operator and the databases
+    /// wrote since is written again after `rewrites`, except for rows that were written meanwhile.
     pub fn restore(self: &Rc<Self>, age: Span, rewrites: Span) {
         let copied = Instant::now() - Duration::from(age);
-        let lost = self.go_back(copied);
+        let lost = self.undo_since(copied);
         let number = self.number.get();
         self.era.set(Era(self.era.get().0 + 1));
         self.history
@@ -190,8 +190,9 @@
         });
     }
 
-    /// Undoes what was written after a moment; returns what the platform had written there last.
-    fn go_back(&self, copied: Instant) -> BTreeMap<RowId, Option<Bytes>> {
+    /// Undoes all writes after a moment. Returns the last values of the undone rows that the
+    /// operator or databases had written.
+    fn undo_since(&self, copied: Instant) -> BTreeMap<RowId, Option<Bytes>> {
         let mut rows = self.rows.borrow_mut();
         let mut undo = self.undo.borrow_mut();
         let mut lost = BTreeMap::new();
@@ -220,30 +221,30 @@
         self.read.borrow().get(table).cloned().unwrap_or_default()
     }
 
-    /// Counts what is read anew.
+    /// Resets the counts of bytes read.
     pub fn forget_reads(&self) {
         self.read.borrow_mut().clear();
     }
 
-    /// All that was written.
+    /// All recorded writes.
     pub fn log(&self) -> Vec<Written> {
         self.log.borrow().clone()
     }
 
-    /// What was written since a moment.
+    /// The recorded writes since a moment.
     pub fn since(&self, moment: Instant) -> Vec<Written> {
         let log = self.log.borrow();
         let first = log.partition_point(|written| written.at < moment);
         log[first..].to_vec()
     }
 
-    /// The VM that last wrote.
+    /// The VM of the last write by a VM.
     pub fn last_writer(&self) -> Option<VmId> {
         let log = self.log.borrow();
         log.iter().rev().find_map(|written| written.by.clone())
     }
 
-    /// Forgets what was written before a moment, in the history as well.
+    /// Discards the record and the history of writes before a moment.
     pub fn forget_before(&self, before: Instant) {
         let mut log = self.log.borrow_mut();
         let gone = log.partition_point(|written| written.at < before);
@@ -262,7 +263,7 @@
         self.rows.borrow().get(id).map(|(value, _)| value.clone())
     }
 
-    /// The platform writes a row, in any state of the store.
+    /// Writes a row as the operator or a database, whatever the store's health. `None` removes it.
     pub fn put(&self, id: RowId, value: Option<Bytes>) -> Version {
         let mut change = Change::default();
         match value {
@@ -273,24 +274,25 @@
         self.version()
     }
 
-    /// The calls of a VM, which run on outside it.
+    /// Returns the function with which a VM calls the store. Calls continue when the VM is frozen
+    /// or killed.
     pub fn calls_of(self: &Rc<Self>, vm: &VmId) -> CallStore {
         let (store, vm) = (self.clone(), vm.clone());
-        Rc::new(move |ask, span| store.call(vm.clone(), ask, span))
+        Rc::new(move |command, span| store.call(vm.clone(), command, span))
     }
 
     fn call(
         self: &Rc<Self>,
         vm: VmId,
-        ask: Command,
+        command: Command,
         span: Span,
     ) -> LocalFuture<Result<Response, Fault>> {
         let (store, network) = (self.clone(), self.network.clone());
         Box::pin(async move {
             let (answer, answered) = oneshot::channel();
             let (sender, hold) = Sender::new();
-            network.spawn(async move { store.serve(vm, ask, sender, answer).await });
-            let result = while_it_comes(answered, &hold, span).await;
+            network.spawn(async move { store.serve(vm, command, sender, answer).await });
+            let result = await_answer(answered, &hold, span).await;
             drop::<Hold>(hold);
             match result {
                 Some(Ok(result)) => result,
@@ -303,41 +305,44 @@
     async fn serve(
         self: Rc<Self>,
         vm: VmId,
-        ask: Command,
+        command: Command,
         sender: Sender,
         answer: oneshot::Sender<Result<Response, Fault>>,
     ) {
         let from = Node::Vm(vm.clone());
-        if !self.network.travel(&from, &Node::Store, &sender).await {
+        if !self.network.deliver(&from, &Node::Store, &sender).await {
             return;
         }
         self.calls.set(self.calls.get() + 1);
-        tokio::time::sleep(WORK + self.slow.get().into()).await;
-        if matches!(ask, Command::Write(_)) {
-            self.wait_in_line().await;
+        tokio::time::sleep(CALL_TIME + self.slow.get().into()).await;
+        if matches!(command, Command::Write(_)) {
+            self.wait_for_queue().await;
         }
-        let told = match self.health_for(&vm) {
-            Health::Well => self.run(&vm, ask).await,
+        let response = match self.health_for(&vm) {
+            Health::Well => self.run(&vm, command).await,
             Health::Refusing => Some(Err(Fault::Refused("down".into()))),
             Health::Reset => None,
-            Health::Silent => return hang(answer).await,
+            Health::Silent => return hold_open(answer).await,
         };
-        let Some(told) = told else {
+        let Some(response) = response else {
             return;
         };
-        let bytes = told.as_ref().map_or(0, length);
-        let way = (&Node::Store, &from);
-        if self.network.carry(way, bytes, &sender, true).await {
-            let _ = answer.send(told);
+        let bytes = response.as_ref().map_or(0, length);
+        let route = (&Node::Store, &from);
+        if self.network.transmit(route, bytes, &sender, true).await {
+            let _ = answer.send(response);
         }
     }
 
-    /// Waits until the changes before this one are done, and this one is.
-    async fn wait_in_line(&self) {
+    /// Waits until all earlier changes and this one have been executed.
+    async fn wait_for_queue(&self) {
         let now = Instant::now();
-        let begins = self.taken.get().map_or(now, |taken| taken.max(now));
-        let ends = begins + self.pace.get().into();
-        self.taken.set(Some(ends));
+        let begins = self
+            .queue_end
+            .get()
+            .map_or(now, |queue_end| queue_end.max(now));
+        let ends = begins + self.change_time.get().into();
+        self.queue_end.set(Some(ends));
         tokio::time::sleep_until(ends).await;
     }
 
@@ -349,14 +354,12 @@
         }
     }
 
-    async fn run(self: &Rc<Self>, vm: &VmId, ask: Command) -> Option<Result<Response, Fault>> {
-        match ask {
+    async fn run(self: &Rc<Self>, vm: &VmId, command: Command) -> Option<Result<Response, Fault>> {
+        match command {
             Command::Read(table) => Some(Ok(self.read(vm, &table, "", usize::MAX))),
-            Command::Range {
-                table,
-                from,
-                limit: most,
-            } => Some(Ok(self.read(vm, &table, &from, most as usize))),
+            Command::Range { table, from, limit } => {
+                Some(Ok(self.read(vm, &table, &from, limit as usize)))
+            }
             Command::Follow { table, after, wait } => self.follow(vm, &table, after, wait).await,
             Command::Write(change) => match self.losing.get() {
                 Losing::None => Some(Ok(self.write(Some(vm), &change))),
@@ -376,16 +379,16 @@
         }
     }
 
-    /// The rows of a table from a key on, `most` of them at most.
-    fn read(&self, vm: &VmId, table: &str, from: &str, most: usize) -> Response {
+    /// Reads the rows of a table from the key `from` on, at most `limit` of them.
+    fn read(&self, vm: &VmId, table: &str, from: &str, limit: usize) -> Response {
         let rows = self.rows.borrow();
         let first = RowId::new(table, from);
         let rows = rows.range(first..);
-        let rows = rows.take_while(|(id, _)| &*id.table == table).take(most);
+        let rows = rows.take_while(|(id, _)| &*id.table == table).take(limit);
         let rows = rows.map(|(id, (value, version))| Row {
             id: id.clone(),
             value: Some(value.clone()),
-            version: self.tagged(*version),
+            version: self.version_of(*version),
         });
         let rows: Vec<Row> = rows.collect();
         let bytes = rows.iter().map(Row::size).sum::<usize>() as u64;
@@ -423,8 +426,8 @@
         }
     }
 
-    /// A number as it is told in this era.
-    fn tagged(&self, number: u64) -> Version {
+    /// A version of the current era from a number.
+    fn version_of(&self, number: u64) -> Version {
         Version::new(self.era.get(), number)
     }
 
@@ -432,11 +435,11 @@
         let history = self.history.borrow();
         let rows = history.iter();
         let rows = rows.filter(|row| row.version.number > after && &*row.id.table == table);
-        let told = rows.cloned().map(|row| Row {
-            version: self.tagged(row.version.number),
+        let rows = rows.cloned().map(|row| Row {
+            version: self.version_of(row.version.number),
             ..row
         });
-        told.collect()
+        rows.collect()
     }
 
     fn write(&self, by: Option<&VmId>, change: &Change) -> Response {
@@ -451,7 +454,7 @@
                 Some(Row {
                     id: id.clone(),
                     value: Some(value.clone()),
-                    version: self.tagged(*version),
+                    version: self.version_of(*version),
                 })
             });
             return Response::Conflict(now.collect());
@@ -460,7 +463,7 @@
         let number = before + 1;
         self.number.set(number);
         let version = self.version();
-        self.note_undo(by.is_none(), &rows, change, before);
+        self.record_undo(by.is_none(), &rows, change, before);
         let mut changed = Vec::new();
         for (id, value) in &change.writes {
             rows.insert(id.clone(), (value.clone(), number));
@@ -486,16 +489,16 @@
     }
 }
 
-/// How many bytes an answer is, with values in base64.
-fn length(told: &Response) -> u64 {
-    let (Response::Rows { rows, .. } | Response::Conflict(rows)) = told else {
+/// The size of an answer in bytes, with values in base64.
+fn length(response: &Response) -> u64 {
+    let (Response::Rows { rows, .. } | Response::Conflict(rows)) = response else {
         return 0;
     };
     rows.iter().map(|row| row.size() as u64 * 4 / 3).sum()
 }
 
 impl Store {
-    fn note_undo(
+    fn record_undo(
         &self,
         by_platform: bool,
         rows: &BTreeMap<RowId, (Bytes, u64)>,
@@ -512,29 +515,26 @@
             before: rows.get(id).cloned(),
             number,
         }));
-        let gone = undo.partition_point(|undo| undo.at + UNDO < at);
+        let gone = undo.partition_point(|undo| undo.at + UNDO_RETENTION < at);
         undo.drain(..gone);
     }
 }
 
-/// Waits for an answer that begins to come within a span, as long as it goes on to come.
-async fn while_it_comes<T>(
-    answered: impl Future<Output = T>,
-    hold: &Hold,
-    span: Span,
-) -> Option<T> {
+/// Waits for an answer that has to begin to arrive within `span` and then must not pause for longer
+/// than `STALL`.
+async fn await_answer<T>(answered: impl Future<Output = T>, hold: &Hold, span: Span) -> Option<T> {
     let mut answered = std::pin::pin!(answered);
     let mut due = Instant::now() + span.into();
     loop {
         if let Ok(answer) = tokio::time::timeout_at(due, &mut answered).await {
             return Some(answer);
         }
-        let moved = hold.moved().map(|moved| moved + STALL);
-        due = moved.filter(|moved| *moved > due)?;
+        let stalled_at = hold.last_arrival().map(|arrival| arrival + STALL_TIMEOUT);
+        due = stalled_at.filter(|stalled_at| *stalled_at > due)?;
     }
 }
 
-/// Keeps a call open without an answer until nobody waits for it.
-async fn hang(mut answer: oneshot::Sender<Result<Response, Fault>>) {
+/// Keeps a call open without an answer until the caller stops waiting.
+async fn hold_open(mut answer: oneshot::Sender<Result<Response, Fault>>) {
     answer.closed().await;
 }
--- a/tests/direct_keys.rs
+++ b/tests/direct_keys.rs
@@ -59,8 +59,8 @@
         let said = scene.said(0, 30_000);
         let refused: Vec<_> = said.iter().filter(|said| !said.is_done()).collect();
         assert!(refused.is_empty(), "{report} {refused:#?}");
-        let book = scene.book();
-        assert!(book.runs.iter().any(|run| &*run.organisation == "org2"));
+        let events = scene.events();
+        assert!(events.runs.iter().any(|run| &*run.organisation == "org2"));
     });
 }
 
@@ -85,20 +85,20 @@
         let vm = vm("vm1");
         let mut idle = scene.session("primary0", &vm, "key0").await;
         let mut open = scene.session("primary0", &vm, "key0").await;
-        assert_eq!(code(&idle.say("write i1 a").await.unwrap()), None);
+        assert_eq!(code(&idle.execute("write i1 a").await.unwrap()), None);
         open.begin(false).await.unwrap();
-        assert_eq!(code(&open.say("write i2 b").await.unwrap()), None);
+        assert_eq!(code(&open.execute("write i2 b").await.unwrap()), None);
         let only = Some([vm.clone()].into());
         Fault::Store(Health::Refusing, only).begin(&scene.world);
         set_keys(&scene, &[]);
         sleep(Duration::from_secs(1)).await;
-        assert!(idle.say("read i1").await.is_err());
-        let answer = open.say("write i3 c").await.unwrap();
+        assert!(idle.execute("read i1").await.is_err());
+        let answer = open.execute("write i3 c").await.unwrap();
         assert_eq!(code(&answer), Some(Code::NoKey));
-        assert!(open.say("commit").await.is_err());
+        assert!(open.execute("commit").await.is_err());
         scene.check().await;
         let writes = scene
-            .book()
+            .events()
             .runs
             .iter()
             .filter(|run| &*run.text == "write i3 c")
@@ -150,17 +150,20 @@
         let said = scene.said(2_000, 17_000);
         let slow = said.iter().filter(|said| {
             let took = said.told.as_ref().map(|(at, _)| *at - said.sent);
-            said.is_promised()
+            said.is_not_run()
                 && &*said.organisation == "org0"
                 && took > Some(Duration::from_millis(200))
         });
         assert_eq!(slow.count(), 0);
         let refused = said
             .iter()
-            .filter(|said| &*said.organisation != "org0" && said.is_promised());
+            .filter(|said| &*said.organisation != "org0" && said.is_not_run());
         assert_eq!(refused.count(), 0);
-        let book = scene.book();
-        let runs = book.runs.iter().filter(|run| &*run.organisation == "org0");
+        let events = scene.events();
+        let runs = events
+            .runs
+            .iter()
+            .filter(|run| &*run.organisation == "org0");
         let at: Vec<_> = runs.map(|run| run.at).collect();
         let window = Duration::from_secs(5);
         let most = at.iter().map(|from| {
@@ -175,5 +178,5 @@
 
 /// Sends reads, each as soon as the previous one is answered.
 async fn read_repeatedly(mut session: Session) {
-    while session.say("read i1").await.is_ok() {}
+    while session.execute("read i1").await.is_ok() {}
 }
--- a/tests/direct_standin.rs
+++ b/tests/direct_standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of direct access by themselves.
+//! Tests of the simulated platform of direct access by itself.
 
 use bytes::{Bytes, BytesMut};
 use lentilspoke::clock::Span;
@@ -6,7 +6,7 @@
 use lentilspoke::direct::statement::{Answer, Code, End, Order, State};
 use lentilspoke::direct::table::{Change, Command, Era, Fault, Response, RowId, Version};
 use lentilspoke::standin::direct::fault;
-use lentilspoke::standin::direct::host::{self, play};
+use lentilspoke::standin::direct::host::{self, simulate};
 use lentilspoke::standin::direct::log::Log;
 use lentilspoke::standin::direct::machine::Machine;
 use lentilspoke::standin::direct::network::Node;
@@ -23,7 +23,7 @@
 
 const SECOND: Span = Span::from_secs(1);
 
-/// A world whose VMs hand their machines over and do nothing.
+/// A world with one VM, whose program only passes its `Machine` to the test.
 async fn idle_world() -> (Rc<World>, Machine) {
     let (machines, mut machine) = mpsc::unbounded_channel();
     let setup = Setup {
@@ -47,7 +47,7 @@
     })
 }
 
-/// A session at a database.
+/// A session with a database, opened from a VM.
 struct Session {
     stream: Box<dyn lentilspoke::direct::adapter::Stream>,
     machine: Rc<Machine>,
@@ -59,7 +59,7 @@
         let id: DatabaseId = id.parse().unwrap();
         let (group, database) = world.database(&id).unwrap();
         let connect = &machine.adapter.connect;
-        let stream = connect(database.make.address, SECOND).await.unwrap();
+        let stream = connect(database.spec.address, SECOND).await.unwrap();
         let mut session = Self {
             stream,
             machine: machine.clone(),
@@ -107,7 +107,7 @@
 
 #[test]
 fn store_changes_rows_under_conditions() {
-    play(async {
+    simulate(async {
         let (world, machine) = idle_world().await;
         let store = &machine.adapter.store;
         let Ok(Response::Written(version)) = store(write("a", "1", 0), SECOND).await else {
@@ -139,7 +139,7 @@
 
 #[test]
 fn store_fails_in_each_way() {
-    play(async {
+    simulate(async {
         let (world, machine) = idle_world().await;
         let store = &machine.adapter.store;
         for (health, refused) in [
@@ -165,8 +165,8 @@
 }
 
 #[test]
-fn database_tells_what_it_cannot_do() {
-    play(async {
+fn database_refuses_what_it_cannot_do() {
+    simulate(async {
         let (world, machine) = idle_world().await;
         let machine = Rc::new(machine);
         let (mut primary, answer) = Session::open(&world, &machine, "db0a").await;
@@ -194,22 +194,23 @@
     .unwrap();
 }
 
-/// The old primary answers on after another was promoted, and what it takes is lost.
+/// A replaced primary goes on answering for a while. A promotion keeps what the new primary had
+/// received; what the old one commits later is lost.
 #[test]
 fn promotion_takes_what_was_received() {
-    play(async {
+    simulate(async {
         let (world, machine) = idle_world().await;
         let machine = Rc::new(machine);
         let (mut old, _) = Session::open(&world, &machine, "db0a").await;
         assert_eq!(code(&old.ask("begin").await), None);
         let (group, replica) = world.database(&"db0b".parse().unwrap()).unwrap();
-        replica.trouble.deaf.set(true);
+        replica.faults.deaf.set(true);
         old.ask("write i1 v1").await;
         old.ask("commit").await;
         let now = (machine.adapter.clock)();
         let promoted = (machine.adapter.promote)(Promotion {
             group: group.id.clone(),
-            database: replica.make.id.clone(),
+            database: replica.spec.id.clone(),
             holder: machine.vm.clone(),
             token: 1,
             deadline: now + SECOND,
@@ -232,8 +233,8 @@
 }
 
 #[test]
-fn frozen_vm_does_nothing_and_dead_one_never() {
-    play(async {
+fn frozen_vm_pauses_and_killed_vm_ends() {
+    simulate(async {
         let ticks = Rc::new(RefCell::new(0));
         let counted = ticks.clone();
         let program = move |_: Machine| {
@@ -266,14 +267,14 @@
     .unwrap();
 }
 
-/// Plays a fault on an idle world for as long as `during` looks at it. No task may panic meanwhile,
-/// which would end it without a word.
-fn under<F: Future<Output = ()>>(
+/// Applies a fault to an idle world while `during` runs, then ends it. No task may panic meanwhile:
+/// a panic would end the task without failing the test.
+fn run_under<F: Future<Output = ()>>(
     fault: fault::Fault,
     during: impl FnOnce(Rc<World>, Rc<Machine>) -> F,
 ) -> Rc<World> {
     let panics = host::panics();
-    let world = play(async {
+    let world = simulate(async {
         let (world, machine) = idle_world().await;
         fault.begin(&world);
         during(world.clone(), Rc::new(machine)).await;
@@ -291,7 +292,7 @@
 
 #[test]
 fn grey_database_fails_its_share_of_statements() {
-    under(
+    run_under(
         fault::Fault::Grey(id("db0a"), 40),
         |world, machine| async move {
             let (mut session, _) = Session::open(&world, &machine, "db0a").await;
@@ -308,7 +309,7 @@
 
 #[test]
 fn flapping_database_goes_down_and_up_and_ends_up() {
-    let world = under(
+    let world = run_under(
         fault::Fault::Flap(id("db0a"), SECOND),
         |world, _| async move {
             let mut ups = Vec::new();
@@ -329,7 +330,7 @@
     let primary = Node::Database(id("db0a"));
     let fault = fault::Fault::Sever(primary.clone(), replicas.to_vec());
     let cut = (primary.clone(), replicas.clone());
-    let world = under(fault, |world, machine| async move {
+    let world = run_under(fault, |world, machine| async move {
         let (primary, replicas) = cut;
         assert!(
             replicas
@@ -352,7 +353,7 @@
     let fault = fault::Fault::SlowLink(node.clone(), Span::from_millis(300));
     let before = Rc::new(RefCell::new(None));
     let noted = before.clone();
-    let world = under(fault, |world, machine| async move {
+    let world = run_under(fault, |world, machine| async move {
         let begun = tokio::time::Instant::now();
         let (mut session, _) = Session::open(&world, &machine, "db0a").await;
         session.ask("read i1").await;
@@ -367,11 +368,11 @@
     assert_eq!(before.borrow().unwrap(), now + Duration::from_millis(300));
 }
 
-/// A VM is removed for good. Another name and address come in its failure domain, and whoever asks
-/// at the old address is told nothing.
+/// A VM that is removed for good is replaced by one with another name and address in the same
+/// failure domain. Questions to the old address get no answer.
 #[test]
 fn replaced_vm_comes_at_another_address() {
-    play(async {
+    simulate(async {
         let (machines, mut machine) = mpsc::unbounded_channel();
         let program = move |machine| {
             let _ = machines.send(machine);
@@ -400,10 +401,10 @@
     .unwrap();
 }
 
-/// A VM that gets no processor time by turns does as much less.
+/// A VM that is suspended in turns does proportionally less work.
 #[test]
 fn starved_vm_runs_by_turns() {
-    play(async {
+    simulate(async {
         let ticks = Rc::new(RefCell::new(0));
         let counted = ticks.clone();
         let program = move |_: Machine| {
@@ -436,7 +437,8 @@
     .unwrap();
 }
 
-/// Logs are kept as terms and their ends, and behave like lists of their entries' terms.
+/// Logs are stored as terms and the offsets at which they end, and behave like lists of their
+/// entries' terms.
 #[test]
 fn logs_are_like_lists() {
     fn same(ours: Vec<u8>, theirs: Vec<u8>, count: usize) -> bool {
@@ -471,7 +473,7 @@
 #[test]
 fn panicking_task_is_counted() {
     let before = host::panics();
-    play(async {
+    simulate(async {
         let task = tokio::task::spawn_local(async { panic!("on purpose") });
         assert!(task.await.is_err());
     })
--- a/tests/direct_tenure.rs
+++ b/tests/direct_tenure.rs
@@ -48,13 +48,13 @@
 async fn saturate(scene: &Scene, vm: &VmId) {
     for number in 0..ORGANISATIONS {
         let mut session = scene.session("bounded0", vm, &format!("key{number}")).await;
-        tokio::task::spawn_local(async move { while session.say("read i1").await.is_ok() {} });
+        tokio::task::spawn_local(async move { while session.execute("read i1").await.is_ok() {} });
     }
 }
 
 /// The most operations of one organisation that ran within [`WINDOW`], and when that window began.
 fn busiest_window(scene: &Scene) -> (usize, Duration) {
-    let book = scene.book();
+    let book = scene.events();
     let mut ran = BTreeMap::<&str, Vec<Instant>>::new();
     for run in &book.runs {
         ran.entry(&run.organisation).or_default().push(run.at);
