--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time as the core sees it: handed in by whoever drives it, never read.
+//! Times and durations. The core reads no clock: its driver passes the time in.
 
 use crate::types::Invalid;
 use serde::de::{Error, Visitor};
@@ -10,30 +10,30 @@
 
 /// A moment on one process's own monotonic clock, in microseconds since it started.
 ///
-/// Moments of two processes are not comparable; what crosses the network is a [`Span`].
+/// Times of two processes are not comparable; only a [`Span`] is sent over the network.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Time(pub u64);
 
-/// A length of time in microseconds, as settings state it. State holds deadlines instead.
+/// A duration in microseconds, as settings give it. State holds deadlines instead.
 ///
-/// It reads as text such as `250ms` in files, and travels as a number between proxies.
+/// It is text such as `250ms` in files, and a number in messages between proxies.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span(pub u64);
 
 const MICROS_PER_MILLI: u64 = 1_000;
 
 impl Time {
-    /// How long ago `earlier` was; zero if it lies ahead.
+    /// The time since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// A span of zero.
     pub const ZERO: Span = Span(0);
 
     /// A span of whole milliseconds.
@@ -130,7 +130,7 @@
     }
 }
 
-/// Reads a span from text, and tells a bare number what is missing.
+/// Parses a span from text; the error for a bare number names the missing unit.
 struct SpanText;
 
 impl Visitor<'_> for SpanText {
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke apply`: puts a configuration file in force, whole or not at all.
+//! `lentilspoke apply`: applies a configuration file, whole or not at all.
 
 use crate::cmd::check::read;
 use crate::cmd::{Error, parse, single, value};
@@ -26,7 +26,7 @@
     -h, --help            print this text
 ";
 
-/// Where an operator's commands go.
+/// The process that receives an operator's command.
 pub(super) enum Target {
     /// A proxy's admin address.
     Proxy(SocketAddr),
@@ -60,10 +60,10 @@
 }
 
 impl Args {
-    fn parse(words: &[String]) -> Result<Self, Error> {
+    fn parse(arguments: &[String]) -> Result<Self, Error> {
         let mut options = Target::options();
         options.optopt("", "base", "", "VERSION");
-        let matches = parse(&mut options, USAGE, words)?;
+        let matches = parse(&mut options, USAGE, arguments)?;
         Ok(Self {
             file: single(&matches, "FILE")?,
             target: Target::parse(&matches)?,
@@ -73,17 +73,17 @@
 }
 
 /// Runs the subcommand.
-pub fn run(words: &[String]) -> Result<(), Error> {
-    let args = Args::parse(words)?;
+pub fn run(arguments: &[String]) -> Result<(), Error> {
+    let args = Args::parse(arguments)?;
     let file = read(&args.file)?;
     let base = match (args.base, file.base) {
-        (Some(stated), Some(noted)) if stated != noted => {
+        (Some(from_option), Some(from_file)) if from_option != from_file => {
             return Err(Error::usage(format!(
-                "--base {stated} clashes with `base` {noted} in {}: leave one out",
+                "--base {from_option} clashes with `base` {from_file} in {}: leave one out",
                 args.file
             )));
         }
-        (stated, noted) => stated.or(noted),
+        (from_option, from_file) => from_option.or(from_file),
     };
     let base = base.ok_or_else(|| {
         Error::usage("the version that the file was based on is missing: see `lentilspoke show`, and give --base VERSION, 0 for the first document")
@@ -115,7 +115,7 @@
             println!("accepted: version {version} is in force");
             Ok(())
         }
-        Verdict::Outrun(outrun) => Err(Error::failed(lost(outrun, base))),
+        Verdict::Outrun(outrun) => Err(Error::failed(describe_outrun(outrun, base))),
         Verdict::Refused(fault) => Err(Error::failed(format!("not applied: {fault}"))),
         Verdict::NotApplied(cause) => Err(Error::failed(format!("not applied: {cause}"))),
         Verdict::Unsettled => Err(Error::failed(
@@ -125,7 +125,7 @@
     }
 }
 
-fn lost(outrun: &Outrun, base: Version) -> String {
+fn describe_outrun(outrun: &Outrun, base: Version) -> String {
     let mut text = format!(
         "not applied: version {} is in force, and the file was based on {base}; take these \
          changes in and apply it with base {}",
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -19,16 +19,16 @@
 }
 
 impl Args {
-    fn parse(words: &[String]) -> Result<Self, Error> {
-        let matches = parse(&mut getopts::Options::new(), USAGE, words)?;
+    fn parse(arguments: &[String]) -> Result<Self, Error> {
+        let matches = parse(&mut getopts::Options::new(), USAGE, arguments)?;
         let file = single(&matches, "FILE")?;
         Ok(Self { file })
     }
 }
 
 /// Runs the subcommand.
-pub fn run(words: &[String]) -> Result<(), Error> {
-    let args = Args::parse(words)?;
+pub fn run(arguments: &[String]) -> Result<(), Error> {
+    let args = Args::parse(arguments)?;
     let document = read(&args.file)?.into_document();
     println!(
         "{}: ok: groups {}, databases {}, pools {}",
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke demo`: stand-in databases and a few proxies in one process.
+//! `lentilspoke demo`: runs simulated databases and a few proxies in one process.
 
 use crate::cmd::{Error, parse, value};
 use crate::standin::demo::{self, Plan};
@@ -27,13 +27,13 @@
 const DEFAULT_PROXIES: u8 = 2;
 const MAX_PROXIES: u8 = 16;
 
-fn plan(words: &[String]) -> Result<Plan, Error> {
+fn plan(arguments: &[String]) -> Result<Plan, Error> {
     let mut options = Options::new();
     options.optopt("", "listen", "", "IP:PORT");
     options.optopt("", "proxies", "", "N");
     options.optopt("", "deployment", "", "NAME");
     options.optopt("", "kill-primary-after", "", "S");
-    let matches = parse(&mut options, USAGE, words)?;
+    let matches = parse(&mut options, USAGE, arguments)?;
     if let Some(word) = matches.free.first() {
         return Err(Error::usage(format!("`{word}` is one word too many")));
     }
@@ -53,8 +53,8 @@
 }
 
 /// Runs the subcommand.
-pub fn run(words: &[String]) -> Result<(), Error> {
-    let plan = plan(words)?;
+pub fn run(arguments: &[String]) -> Result<(), Error> {
+    let plan = plan(arguments)?;
     crate::util::log(log::LevelFilter::Warn);
     actix_rt::System::new().block_on(async {
         let demo = demo::start(&plan).await.map_err(Error::failed)?;
--- a/src/cmd/dump.rs
+++ b/src/cmd/dump.rs
@@ -21,8 +21,8 @@
 }
 
 impl Args {
-    fn parse(words: &[String]) -> Result<Self, Error> {
-        let matches = parse(&mut getopts::Options::new(), USAGE, words)?;
+    fn parse(arguments: &[String]) -> Result<Self, Error> {
+        let matches = parse(&mut getopts::Options::new(), USAGE, arguments)?;
         let address = single(&matches, "ADDRESS")?;
         let parsed = address.parse();
         let address = parsed
@@ -32,8 +32,8 @@
 }
 
 /// Runs the subcommand.
-pub fn run(words: &[String]) -> Result<(), Error> {
-    let args = Args::parse(words)?;
+pub fn run(arguments: &[String]) -> Result<(), Error> {
+    let args = Args::parse(arguments)?;
     let reply = actix_rt::System::new()
         .block_on(http::get(args.address, "/dump"))
         .map_err(Error::failed)?;
--- a/src/cmd/experiment.rs
+++ b/src/cmd/experiment.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke experiment`: what callers get under patterns of load, beside the naive rules.
+//! `lentilspoke experiment`: measures what callers get under patterns of load, compared with naive rules.
 
 use crate::clock::Span;
 use crate::experiment::aim::{Findings, Setting};
@@ -34,7 +34,7 @@
 const DEFAULT_SEED: u64 = 1;
 const DEFAULT_LENGTH: Span = Span::from_secs(20);
 
-/// The command did not run.
+/// Why the command did not complete.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The command line is wrong.
@@ -45,7 +45,7 @@
     Output(#[from] io::Error),
 }
 
-/// What the command line asks for.
+/// The parsed command line.
 #[derive(Debug)]
 struct Args {
     help: bool,
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke explain`: one request's story out of the logs of many VMs.
+//! `lentilspoke explain`: shows what happened to one request, from the logs of many VMs.
 
 use crate::cmd::{Error, parse};
 use crate::explain::line::{Reader, seconds};
@@ -24,45 +24,47 @@
     -h, --help    print this text
 ";
 
-/// What to tell of.
-enum About {
+/// What to explain: a request, or a moment on a VM.
+enum Subject {
     Request(Box<str>),
     Moment { vm: Box<str>, at_ms: i64 },
 }
 
 struct Args {
-    about: About,
+    subject: Subject,
     files: Vec<Box<str>>,
 }
 
 impl Args {
-    fn parse(words: &[String]) -> Result<Self, Error> {
+    fn parse(arguments: &[String]) -> Result<Self, Error> {
         let mut options = getopts::Options::new();
         options.optopt("", "vm", "", "").optopt("", "at", "", "");
-        let matches = parse(&mut options, USAGE, words)?;
-        let mut words = matches
+        let matches = parse(&mut options, USAGE, arguments)?;
+        let mut arguments = matches
             .free
             .iter()
             .map(|word| Box::<str>::from(word.as_str()));
-        let about = match (matches.opt_str("vm"), matches.opt_str("at")) {
-            (None, None) => About::Request(words.next().ok_or(Error::usage("ID is missing"))?),
-            (Some(vm), Some(at)) => About::Moment {
+        let subject = match (matches.opt_str("vm"), matches.opt_str("at")) {
+            (None, None) => {
+                Subject::Request(arguments.next().ok_or(Error::usage("ID is missing"))?)
+            }
+            (Some(vm), Some(at)) => Subject::Moment {
                 vm: vm.into(),
                 at_ms: seconds(&at).ok_or(Error::usage("SECONDS is not a number"))?,
             },
             _ => return Err(Error::usage("--vm and --at go together")),
         };
-        let files: Vec<Box<str>> = words.collect();
+        let files: Vec<Box<str>> = arguments.collect();
         match files.is_empty() {
             true => Err(Error::usage("FILE is missing: name the logs of all VMs")),
-            false => Ok(Self { about, files }),
+            false => Ok(Self { subject, files }),
         }
     }
 }
 
 /// Runs the subcommand, and writes to `out`.
-pub fn run(words: &[String], out: &mut impl std::io::Write) -> Result<(), Error> {
-    let args = Args::parse(words)?;
+pub fn run(arguments: &[String], out: &mut impl std::io::Write) -> Result<(), Error> {
+    let args = Args::parse(arguments)?;
     let mut reader = Reader::default();
     for file in &args.files {
         let text = read(file).map_err(|error| Error::failed(format!("{file}: {error}")))?;
@@ -70,9 +72,9 @@
         reader.read(&name.to_string_lossy(), &text);
     }
     let lines = reader.lines();
-    let id = match &args.about {
-        About::Request(id) => id,
-        About::Moment { vm, at_ms } => {
+    let id = match &args.subject {
+        Subject::Request(id) => id,
+        Subject::Moment { vm, at_ms } => {
             let moment = moment(&lines, vm, *at_ms);
             return write!(out, "{moment}").map_err(Error::failed);
         }
@@ -90,7 +92,7 @@
 }
 
 fn read(file: &str) -> std::io::Result<String> {
-    // What a process was writing when it was killed may end in the middle of a letter.
+    // The log of a killed process may end in the middle of a UTF-8 sequence.
     let bytes = match file {
         "-" => {
             let mut bytes = Vec::new();
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke load`: puts load on proxies and checks what callers are told.
+//! `lentilspoke load`: puts load on proxies and checks the answers that callers get.
 
 use crate::clock::Span;
 use crate::cmd::{Error, parse, value};
@@ -38,7 +38,7 @@
 }
 
 impl Args {
-    fn parse(words: &[String]) -> Result<Self, Error> {
+    fn parse(arguments: &[String]) -> Result<Self, Error> {
         let mut options = getopts::Options::new();
         let valued = [
             "callers", "duration", "rate", "mix", "max-age", "roam", "groups", "admin", "timeout",
@@ -48,7 +48,7 @@
             options.optopt("", name, "", "VALUE");
         }
         options.optflag("", "json", "");
-        let matches = parse(&mut options, USAGE, words)?;
+        let matches = parse(&mut options, USAGE, arguments)?;
         let plan = Plan {
             addresses: list(&matches.free.join(","), "ADDRESS")?,
             admins: list(&matches.opt_str("admin").unwrap_or_default(), "--admin")?,
@@ -121,7 +121,7 @@
     }
 }
 
-/// Why a text is no mix.
+/// The text is not three percentages that sum to 100.
 #[derive(Debug, thiserror::Error)]
 #[error("write three percentages that make 100, such as 20/30/50")]
 pub struct InvalidMix;
@@ -147,8 +147,8 @@
 }
 
 /// Runs the subcommand.
-pub fn run(words: &[String]) -> Result<(), Error> {
-    let args = Args::parse(words)?;
+pub fn run(arguments: &[String]) -> Result<(), Error> {
+    let args = Args::parse(arguments)?;
     let progress = |line: &str| eprintln!("{line}");
     let report = actix_rt::System::new().block_on(async {
         let end = tokio::time::sleep(args.duration.into());
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each subcommand, and the error at the command line's edge.
+//! One module for each subcommand, with their common error type and argument parsing.
 
 pub mod apply;
 pub mod check;
@@ -14,10 +14,10 @@
 pub mod slopes;
 pub mod soak;
 
-/// How a command ends if it does not end well.
+/// Why a command ends before it has succeeded.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The words of the command line are wrong; exit code 2.
+    /// The command line is wrong; exit code 2.
     #[error("{0}")]
     Usage(Box<str>),
     /// The command was understood and failed; exit code 1.
@@ -29,12 +29,12 @@
 }
 
 impl Error {
-    /// A failure told by `error`.
+    /// A failure with the text of `error`.
     pub fn failed(error: impl std::fmt::Display) -> Self {
         Self::Failed(error.to_string().into())
     }
 
-    /// A wrong use told by `error`.
+    /// A usage error with the text of `error`.
     pub fn usage(error: impl std::fmt::Display) -> Self {
         Self::Usage(error.to_string().into())
     }
@@ -49,21 +49,21 @@
     }
 }
 
-/// Parses `words` by `options`, which gain `--help`.
+/// Parses `arguments` according to `options`, to which it adds `--help`.
 pub fn parse(
     options: &mut getopts::Options,
     usage: &'static str,
-    words: &[String],
+    arguments: &[String],
 ) -> Result<getopts::Matches, Error> {
     options.optflag("h", "help", "");
-    let matches = options.parse(words).map_err(Error::usage)?;
+    let matches = options.parse(arguments).map_err(Error::usage)?;
     if matches.opt_present("help") {
         return Err(Error::Help(usage));
     }
     Ok(matches)
 }
 
-/// The one free word of `matches`, which the usage calls `name`.
+/// The only positional argument of `matches`, which the usage calls `name`.
 pub fn single(matches: &getopts::Matches, name: &str) -> Result<Box<str>, Error> {
     match matches.free.as_slice() {
         [word] => Ok(word.as_str().into()),
@@ -74,7 +74,7 @@
     }
 }
 
-/// The value of option `name`, read as `T`, if it is given.
+/// The value of option `name`, parsed as `T`, if it is given.
 pub fn value<T>(matches: &getopts::Matches, name: &str) -> Result<Option<T>, Error>
 where
     T: std::str::FromStr,
--- a/src/cmd/model.rs
+++ b/src/cmd/model.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke model`: the exhaustive search of the core protocol.
+//! `lentilspoke model`: exhaustive search of the core protocol's states.
 
 use crate::cmd::{Error, parse, value};
 use crate::model::suite::{self, Case};
@@ -26,12 +26,12 @@
 }
 
 impl Args {
-    fn parse(words: &[String]) -> Result<Self, Error> {
+    fn parse(arguments: &[String]) -> Result<Self, Error> {
         let mut options = getopts::Options::new();
         options.optopt("", "depth", "", "N");
         options.optflag("", "sound", "");
         options.optopt("", "only", "", "TEXT");
-        let matches = parse(&mut options, USAGE, words)?;
+        let matches = parse(&mut options, USAGE, arguments)?;
         Ok(Self {
             depth: value(&matches, "depth")?,
             sound: matches.opt_present("sound"),
@@ -41,54 +41,56 @@
 }
 
 /// Runs the subcommand.
-pub fn run(words: &[String]) -> Result<(), Error> {
-    let args = Args::parse(words)?;
-    let wanted = |case: &Case| case.name.starts_with(&*args.only);
-    let mut wrong = 0;
+pub fn run(arguments: &[String]) -> Result<(), Error> {
+    let args = Args::parse(arguments)?;
+    let is_selected = |case: &Case| case.name.starts_with(&*args.only);
+    let mut unexpected = 0;
     for case in suite::sound()
         .map_err(Error::failed)?
         .into_iter()
-        .filter(wanted)
+        .filter(is_selected)
     {
-        wrong += u32::from(search(&case, args.depth));
+        unexpected += u32::from(search(&case, args.depth));
     }
     for case in suite::reachable()
         .map_err(Error::failed)?
         .into_iter()
-        .filter(wanted)
+        .filter(is_selected)
     {
-        wrong += u32::from(!search(&case, None));
+        unexpected += u32::from(!search(&case, None));
     }
     if !args.sound {
         for case in suite::unsound()
             .map_err(Error::failed)?
             .into_iter()
-            .filter(wanted)
+            .filter(is_selected)
         {
-            wrong += u32::from(!search(&case, None));
+            unexpected += u32::from(!search(&case, None));
         }
     }
-    match wrong {
+    match unexpected {
         0 => Ok(()),
-        _ => Err(Error::failed(format!("{wrong} searches ended wrongly"))),
+        _ => Err(Error::failed(format!(
+            "{unexpected} searches ended wrongly"
+        ))),
     }
 }
 
-/// Searches one case and prints what came of it; whether a property broke.
+/// Searches one case, prints the result and returns whether a property broke.
 fn search(case: &Case, depth: Option<usize>) -> bool {
-    let begun = Instant::now();
+    let started = Instant::now();
     let report = case.search(depth.unwrap_or(case.bound));
-    let end = match (&report.trace, report.complete) {
+    let outcome = match (&report.trace, report.complete) {
         (Some(_), _) => "BROKEN",
         (None, true) => "complete",
         (None, false) => "to this depth",
     };
     println!(
-        "{}: {} states, depth {}, {end}, {:.1} s",
+        "{}: {} states, depth {}, {outcome}, {:.1} s",
         case.name,
         report.states,
         report.depth,
-        begun.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     );
     if let Some(trace) = &report.trace {
         println!("{trace}\n");
--- a/src/cmd/schedules.rs
+++ b/src/cmd/schedules.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke schedules`: random faults over small fakes, from seeds.
+//! `lentilspoke schedules`: plays random faults against simulated systems, one schedule for each seed.
 
 use crate::cmd::{Error, parse, value};
 use crate::schedule;
@@ -34,7 +34,7 @@
 }
 
 impl Args {
-    fn parse(words: &[String]) -> Result<Self, Error> {
+    fn parse(arguments: &[String]) -> Result<Self, Error> {
         let mut options = getopts::Options::new();
         options.optopt("", "seeds", "", "FIRST..LAST");
         options.optflag("", "script", "");
@@ -43,17 +43,17 @@
         options.optflag("", "reborn", "");
         options.optflag("", "fleet", "");
         options.optflag("", "drill", "");
-        let matches = parse(&mut options, USAGE, words)?;
+        let matches = parse(&mut options, USAGE, arguments)?;
         let text: Option<String> = value(&matches, "seeds")?;
         let text = text.unwrap_or_else(|| DEFAULT_SEEDS.into());
-        let wrong = || {
+        let invalid_range = || {
             Error::usage(format!(
                 "--seeds {text}: write FIRST..LAST, such as 1..5000"
             ))
         };
-        let (first, last) = text.split_once("..").ok_or_else(wrong)?;
-        let first = first.parse().map_err(|_| wrong())?;
-        let last = last.parse().map_err(|_| wrong())?;
+        let (first, last) = text.split_once("..").ok_or_else(invalid_range)?;
+        let first = first.parse().map_err(|_| invalid_range())?;
+        let last = last.parse().map_err(|_| invalid_range())?;
         Ok(Self {
             seeds: first..=last,
             script: matches.opt_present("script"),
@@ -69,12 +69,12 @@
 }
 
 /// Runs the subcommand.
-pub fn run(words: &[String]) -> Result<(), Error> {
-    let args = Args::parse(words)?;
+pub fn run(arguments: &[String]) -> Result<(), Error> {
+    let args = Args::parse(arguments)?;
     if args.direct {
         return direct(args);
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     let (mut played, mut failed, mut told) = (0, 0, schedule::Told::default());
     for seed in args.seeds {
         let report = schedule::play(seed).map_err(Error::failed)?;
@@ -96,15 +96,15 @@
     println!(
         "{played} seeds, {failed} failed; requests: {done} done, {not_run} not run, \
          {unknown} unknown; {:.1} s",
-        begun.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     );
     verdict(failed)
 }
 
-/// Plays worlds of direct access.
+/// Plays schedules against simulated deployments with direct access.
 fn direct(args: Args) -> Result<(), Error> {
     util::log_after(log::LevelFilter::Off, host::log_prefix);
-    let begun = Instant::now();
+    let started = Instant::now();
     let (mut played, mut failed, mut done) = (0, 0, 0);
     for seed in args.seeds {
         let report = schedule::direct::play(seed, args.variant).map_err(Error::failed)?;
@@ -118,12 +118,12 @@
     }
     println!(
         "{played} seeds, {failed} failed; statements: {done} done; {:.1} s",
-        begun.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     );
     verdict(failed)
 }
 
-/// Prints a seed's report, and what was played.
+/// Prints a seed's report and its script.
 fn show(report: &impl std::fmt::Display, script: &[Box<str>]) {
     println!("{report}");
     for line in script {
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke serve`: one proxy.
+//! `lentilspoke serve`: runs one proxy.
 
 use crate::cmd::{Error, parse, single};
 use crate::core::member::Identity;
@@ -32,16 +32,16 @@
     -h, --help    print this text
 ";
 
-/// How long the end of a process waits for its last lines to be read.
-const LAST_LINES: Duration = Duration::from_millis(200);
+/// How long the process waits at its end until its last log lines are read.
+const LOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
 struct Args {
     path: Box<str>,
 }
 
 impl Args {
-    fn parse(words: &[String], variable: &str) -> Result<Self, Error> {
-        let matches = parse(&mut getopts::Options::new(), USAGE, words)?;
+    fn parse(arguments: &[String], variable: &str) -> Result<Self, Error> {
+        let matches = parse(&mut getopts::Options::new(), USAGE, arguments)?;
         if matches.free.is_empty()
             && let Ok(path) = std::env::var(variable)
         {
@@ -53,10 +53,10 @@
     }
 }
 
-/// Runs the subcommand. Without a path among `words`, `variable` of the environment holds it;
-/// `build` makes the platform's adapter where the settings ask for direct access.
-pub fn run(words: &[String], variable: &str, build: Build) -> Result<(), Error> {
-    let args = Args::parse(words, variable)?;
+/// Runs the subcommand. If `arguments` name no path, the environment variable `variable` holds it.
+/// `build` makes the platform's adapter if the settings ask for direct access.
+pub fn run(arguments: &[String], variable: &str, build: Build) -> Result<(), Error> {
+    let args = Args::parse(arguments, variable)?;
     let settings = read(&args.path).map_err(Error::failed)?;
     let system = actix_rt::System::new();
     let Some(direct) = settings.direct.clone() else {
@@ -64,14 +64,14 @@
         return system.block_on(serve(settings));
     };
     let lines = logs::install(settings.log.into(), system::since_now()).map_err(Error::failed)?;
-    let place = Place {
+    let startup = Place {
         settings,
         direct,
         read: Box::new(move || read(&args.path)),
     };
-    let ended = system.block_on(direct::run(place, build));
-    lines.drain(LAST_LINES);
-    ended.map_err(Error::failed)
+    let result = system.block_on(direct::run(startup, build));
+    lines.drain(LOG_DRAIN_TIMEOUT);
+    result.map_err(Error::failed)
 }
 
 fn read(path: &str) -> Result<Settings, Box<str>> {
--- a/src/cmd/show.rs
+++ b/src/cmd/show.rs
@@ -21,8 +21,8 @@
 ";
 
 /// Runs the subcommand.
-pub fn run(words: &[String]) -> Result<(), Error> {
-    let matches = parse(&mut Target::options(), USAGE, words)?;
+pub fn run(arguments: &[String]) -> Result<(), Error> {
+    let matches = parse(&mut Target::options(), USAGE, arguments)?;
     if let Some(extra) = matches.free.first() {
         return Err(Error::usage(format!("`{extra}` is one word too many")));
     }
--- a/src/cmd/slopes.rs
+++ b/src/cmd/slopes.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke slopes`: what control, statements and state cost.
+//! `lentilspoke slopes`: measures what control messages, statements and state cost.
 
 mod callers;
 mod control;
@@ -22,8 +22,8 @@
 ";
 
 /// Runs the subcommand.
-pub fn run(words: &[String]) -> Result<(), Error> {
-    let Some((measurement, rest)) = words.split_first() else {
+pub fn run(arguments: &[String]) -> Result<(), Error> {
+    let Some((measurement, rest)) = arguments.split_first() else {
         return Err(Error::Usage(USAGE.into()));
     };
     match measurement.as_str() {
--- a/src/cmd/slopes/callers.rs
+++ b/src/cmd/slopes/callers.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke slopes callers`: what memory connections and state take.
+//! `lentilspoke slopes callers`: memory used by connections and state.
 
 use crate::clock::Span;
 use crate::cmd::{Error, parse, value};
@@ -25,7 +25,7 @@
 ";
 
 /// Runs the subcommand.
-pub(super) fn run(words: &[String]) -> Result<(), Error> {
+pub(super) fn run(arguments: &[String]) -> Result<(), Error> {
     let mut options = Options::new();
     for (name, hint) in [
         ("connections", "N,..."),
@@ -36,7 +36,7 @@
     ] {
         options.optopt("", name, "", hint);
     }
-    let matches = parse(&mut options, USAGE, words)?;
+    let matches = parse(&mut options, USAGE, arguments)?;
     let counts = |name: &str, standard: &[usize]| match matches.opt_str(name) {
         Some(text) => list(name, &text),
         None => Ok(standard.to_vec()),
@@ -51,14 +51,14 @@
     crate::util::log(log::LevelFilter::Warn);
     let print = |row| println!("{row}");
     let mut state = Ok(());
-    let then = || state = cores(&sessions, &vms, &groups);
+    let then = || state = measure_cores(&sessions, &vms, &groups);
     let measured = actix_rt::System::new().block_on(callers::run(&plan, print, then));
     measured.map_err(Error::failed)?;
     state.map_err(Error::failed)
 }
 
-/// Measures cores alone, and keeps each until all are measured.
-fn cores(sessions: &[usize], vms: &[usize], groups: &[usize]) -> Result<(), Invalid> {
+/// Measures cores without connections, and keeps each one in memory until all are measured.
+fn measure_cores(sessions: &[usize], vms: &[usize], groups: &[usize]) -> Result<(), Invalid> {
     let print = |row| println!("{row}");
     let sessions = state::sessions(sessions)?;
     show("sessions", &sessions.levels, &print);
--- a/src/cmd/slopes/control.rs
+++ b/src/cmd/slopes/control.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke slopes control`: what control costs as nodes and databases grow.
+//! `lentilspoke slopes control`: the cost of control messages by the number of nodes and databases.
 
 use crate::clock::Span;
 use crate::cmd::{Error, parse, value};
@@ -29,9 +29,9 @@
 ";
 
 const SIZES: &str = "8/3,36/25,72/50,145/100,290/200,580/400";
-const RACK: usize = 10;
+const RACK_SIZE: usize = 10;
 const LIST_LAG: Span = Span::from_secs(5);
-const LIMIT: Span = Span::from_secs(60);
+const MAX_WAIT: Span = Span::from_secs(60);
 
 struct Args {
     sizes: Vec<Size>,
@@ -40,12 +40,12 @@
 }
 
 impl Args {
-    fn parse(words: &[String]) -> Result<Self, Error> {
+    fn parse(arguments: &[String]) -> Result<Self, Error> {
         let mut options = Options::new();
         options.optopt("", "sizes", "", "N/G,...");
         options.optopt("", "settle", "", "SPAN");
         options.optopt("", "length", "", "SPAN");
-        let matches = parse(&mut options, USAGE, words)?;
+        let matches = parse(&mut options, USAGE, arguments)?;
         let sizes = matches.opt_str("sizes").unwrap_or_else(|| SIZES.into());
         Ok(Self {
             sizes: sizes.split(',').map(size).collect::<Result<_, _>>()?,
@@ -66,8 +66,8 @@
 }
 
 /// Runs the subcommand.
-pub fn run(words: &[String]) -> Result<(), Error> {
-    let args = Args::parse(words)?;
+pub fn run(arguments: &[String]) -> Result<(), Error> {
+    let args = Args::parse(arguments)?;
     println!(
         "nodes groups | messages/s  bytes/s  most bytes/s |  cpu us/s   most us/s | KiB/node streams | spread B in force  vm lost  rack lost  domain lost"
     );
@@ -92,17 +92,17 @@
         .unwrap_or_default()
         .saturating_sub(before)
         / size.nodes as u64;
-    let (sent, began) = (fleet.bytes(), fleet.now());
+    let (sent, start) = (fleet.bytes(), fleet.now());
     fleet.apply(Version(2));
-    let in_force = told(fleet.run_until(LIMIT, |fleet| fleet.in_force(Version(2))));
+    let in_force = format_span(fleet.run_until(MAX_WAIT, |fleet| fleet.in_force(Version(2))));
     fleet.run(LIST_LAG);
-    let usual = cost.bytes * fleet.now().since(began).0 as f64 / 1e6;
-    let spread = (fleet.bytes() - sent) as f64 / size.nodes as f64 - usual;
-    let vm = lost(&mut fleet, |seat| seat == 1);
-    let rack = lost(&mut fleet, |seat| {
-        seat % DOMAINS == 2 && seat / DOMAINS < RACK
+    let background = cost.bytes * fleet.now().since(start).0 as f64 / 1e6;
+    let spread = (fleet.bytes() - sent) as f64 / size.nodes as f64 - background;
+    let vm = measure_loss(&mut fleet, |node| node == 1);
+    let rack = measure_loss(&mut fleet, |node| {
+        node % DOMAINS == 2 && node / DOMAINS < RACK_SIZE
     });
-    let domain = lost(&mut fleet, |seat| seat % DOMAINS == 3);
+    let domain = measure_loss(&mut fleet, |node| node % DOMAINS == 3);
     Ok(format!(
         "{:5} {:6} | {:10.1} {:8.0} {:13.0} | {:9.0} {:11.0} | {:8} {:7.1} | {spread:8.0} {in_force:>8}  {vm}  {rack}  {domain}",
         size.nodes,
@@ -117,15 +117,15 @@
     ))
 }
 
-fn lost(fleet: &mut Fleet, which: impl Fn(usize) -> bool) -> String {
+fn measure_loss(fleet: &mut Fleet, which: impl Fn(usize) -> bool) -> String {
     let moved = fleet.lose(which, LIST_LAG);
-    // A VM that leads nothing leaves every group served.
-    let took = told(fleet.run_until(LIMIT, Fleet::served));
+    // If the lost VM leads no group, every group is still served.
+    let took = format_span(fleet.run_until(MAX_WAIT, Fleet::served));
     fleet.run(LIST_LAG + LIST_LAG);
     format!("{took} ({moved})")
 }
 
-fn told(span: Option<Span>) -> String {
+fn format_span(span: Option<Span>) -> String {
     span.map_or_else(
         || "never".into(),
         |span| format!("{:.2}s", span.0 as f64 / 1e6),
--- a/src/cmd/slopes/path.rs
+++ b/src/cmd/slopes/path.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke slopes path`: what a statement costs beside a direct connection.
+//! `lentilspoke slopes path`: time of a statement through a proxy, compared with a direct connection.
 
 use crate::cmd::{Error, parse, value};
 use crate::slopes::path::{self, Plan};
@@ -21,12 +21,12 @@
 ";
 
 /// Runs the subcommand.
-pub(super) fn run(words: &[String]) -> Result<(), Error> {
+pub(super) fn run(arguments: &[String]) -> Result<(), Error> {
     let mut options = Options::new();
     options.optopt("", "statements", "", "N");
     options.optopt("", "callers", "", "N");
     options.optopt("", "length", "", "SPAN");
-    let matches = parse(&mut options, USAGE, words)?;
+    let matches = parse(&mut options, USAGE, arguments)?;
     let plan = Plan {
         statements: value(&matches, "statements")?.unwrap_or(2_000),
         callers: value(&matches, "callers")?.unwrap_or(32),
--- a/src/cmd/slopes/streams.rs
+++ b/src/cmd/slopes/streams.rs
@@ -18,10 +18,10 @@
 const STREAMS: &str = "100,200,400,579";
 
 /// Runs the measurement.
-pub fn run(words: &[String]) -> Result<(), Error> {
+pub fn run(arguments: &[String]) -> Result<(), Error> {
     let mut options = Options::new();
     options.optopt("", "streams", "", "N,N,...");
-    let matches = parse(&mut options, USAGE, words)?;
+    let matches = parse(&mut options, USAGE, arguments)?;
     let text = matches.opt_str("streams").unwrap_or_else(|| STREAMS.into());
     let counts: Result<Vec<usize>, _> = text.split(',').map(str::parse).collect();
     let counts = counts.map_err(|_| {
--- a/src/cmd/soak.rs
+++ b/src/cmd/soak.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke soak`: a long-lived world in which all kinds of trouble come and go.
+//! `lentilspoke soak`: plays one long simulation in which faults of all kinds begin and end.
 
 use crate::clock::Span;
 use crate::cmd::{Error, parse, value};
@@ -37,7 +37,7 @@
 }
 
 impl Args {
-    fn parse(words: &[String]) -> Result<Self, Error> {
+    fn parse(arguments: &[String]) -> Result<Self, Error> {
         let mut options = getopts::Options::new();
         for name in [
             "length", "seed", "calm", "kinds", "vms", "groups", "callers", "rate",
@@ -46,7 +46,7 @@
         }
         options.optflag("", "json", "");
         options.optflag("", "list", "");
-        let matches = parse(&mut options, USAGE, words)?;
+        let matches = parse(&mut options, USAGE, arguments)?;
         let name = match matches.free.as_slice() {
             [] => NAMED[0].0,
             [name] => name,
@@ -92,29 +92,29 @@
     profile.map_err(|error| Error::usage(format!("{name}:{error}")))
 }
 
-/// All kinds of trouble.
-fn all() -> impl Iterator<Item = &'static str> {
+/// All kinds of faults.
+fn all_kinds() -> impl Iterator<Item = &'static str> {
     KINDS.into_iter().chain(CONNECTIONS)
 }
 
 fn kinds(names: Option<String>) -> Result<Vec<Box<str>>, Error> {
     let Some(names) = names else {
-        return Ok(all().map(Box::from).collect());
+        return Ok(all_kinds().map(Box::from).collect());
     };
-    let known = |name: &str| match all().any(|known| known == name) {
+    let check = |name: &str| match all_kinds().any(|kind| kind == name) {
         true => Ok(name.into()),
         false => Err(Error::usage(format!(
             "--kinds {name}: no such kind: see lentilspoke soak --list"
         ))),
     };
-    names.split(',').map(known).collect()
+    names.split(',').map(check).collect()
 }
 
 /// Runs the subcommand.
-pub fn run(words: &[String]) -> Result<(), Error> {
-    let args = Args::parse(words)?;
+pub fn run(arguments: &[String]) -> Result<(), Error> {
+    let args = Args::parse(arguments)?;
     if args.list {
-        all().for_each(|kind| println!("{kind}"));
+        all_kinds().for_each(|kind| println!("{kind}"));
         return Ok(());
     }
     util::log_after(log::LevelFilter::Off, host::log_prefix);
