--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -2,7 +2,7 @@
 
 use crate::cmd::{Error, parse};
 use crate::explain::line::{Reader, seconds};
-use crate::explain::{moment, story};
+use crate::explain::{moment, report};
 use std::path::Path;
 
 const USAGE: &str = "\
@@ -79,7 +79,7 @@
             return write!(out, "{moment}").map_err(Error::failed);
         }
     };
-    let Some(story) = story(&lines, id) else {
+    let Some(report) = report(&lines, id) else {
         return Err(Error::failed(format!(
             "none of {} lines names request {}: it was served, another VM took it, or its line \
              was dropped (look for `lines dropped`); with its VM and time, `explain --vm VM --at \
@@ -88,7 +88,7 @@
             id
         )));
     };
-    write!(out, "{story}").map_err(Error::failed)
+    write!(out, "{report}").map_err(Error::failed)
 }
 
 fn read(file: &str) -> std::io::Result<String> {
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration document that operators write: groups, databases, pools and timing.
 //!
-//! A document is checked whole and is in force whole. Its text is JSON with comments.
+//! A document is checked and put in force as a whole. Its text is JSON with comments.
 
 mod check;
 pub mod diff;
@@ -32,7 +32,7 @@
 }
 
 impl Document {
-    /// Checks what its shape alone does not show: clashing and impossible values.
+    /// Checks what deserialization does not: conflicting and impossible values.
     pub fn check(&self) -> Result<(), Fault> {
         check::document(self)
     }
@@ -66,9 +66,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Accepted {
-    /// Counted up by one with each accepted document.
+    /// Increases by one with each accepted document.
     pub version: Version,
-    /// What is in force.
+    /// The document itself.
     pub document: Document,
 }
 
@@ -80,19 +80,19 @@
     pub databases: BTreeMap<DatabaseId, Database>,
 }
 
-/// One database and what it can bear.
+/// One database and its capacity.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Database {
-    /// Where it listens, by IP number.
+    /// Its listening address; host names are not accepted.
     pub address: SocketAddr,
     /// The failure domain it runs in.
     pub domain: Domain,
-    /// How many statements it runs at once.
+    /// How many statements it may run at once.
     pub slots: u32,
-    /// How many connections it accepts.
+    /// How many connections it accepts; at least `slots`.
     pub connections: u32,
-    /// Set by the operator before it is taken away: it gets no new work.
+    /// Set by the operator before the database is removed: it gets no new work.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -106,16 +106,16 @@
     /// The callers it serves; the one pool of a group without this list serves the rest.
     #[serde(default)]
     pub callers: Vec<CallerId>,
-    /// When a write counts as done.
+    /// When a write is acknowledged.
     #[serde(default)]
     pub durability: Durability,
-    /// How old a read may be, where the caller does not say. Absent: as new as the session's writes.
+    /// How old a read may be unless the caller sets it. Absent: as new as the session's writes.
     #[serde(default)]
     pub max_age: Option<Span>,
-    /// How long a request may take in all before its caller has no more use for it.
+    /// The timeout of a request in all, after which its caller no longer needs the answer.
     #[serde(default = "default_patience")]
     pub patience: Span,
-    /// Whether its work runs long, such as a reconciliation at night.
+    /// Whether its statements run long, such as a reconciliation at night.
     #[serde(default)]
     pub long: bool,
 }
@@ -127,7 +127,7 @@
     /// Once a majority of the group's databases has it in its log.
     #[default]
     Majority,
-    /// Once the primary has it. A failover may lose it, and then says so.
+    /// Once the primary has it. A failover may lose it, and then the session gets an error.
     Primary,
 }
 
@@ -135,19 +135,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// Between two probes of a database.
+    /// The interval between two probes of a database.
     pub probe: Span,
-    /// The acknowledgement window W: how long a confirmation of a term counts, from its probe's start.
+    /// The acknowledgement window W: how long a confirmed term is valid, from its probe's start.
     pub window: Span,
-    /// How long a primary or a steward is silent before it is suspected.
+    /// How long a primary or a steward may be silent before it is suspected to have failed.
     pub suspicion: Span,
     /// The least time between two promotions of a group.
     pub damping: Span,
-    /// How long a replica that lags behind a read's floor is waited for.
+    /// How long a read waits for a replica that is behind its floor.
     pub catch_up: Span,
-    /// How long one statement may be silent on a connection before the connection is given up.
+    /// How long a statement may stay without an answer before its connection is closed.
     pub answer: Span,
-    /// How long a transaction may sit idle before it is rolled back.
+    /// How long a transaction may be idle before it is rolled back.
     pub idle_transaction: Span,
 }
 
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,4 +1,4 @@
-//! What a document has to satisfy beyond its shape, and what may follow what.
+//! Checks of a document's values, and of the step from one document to the next.
 
 use super::{Document, Group, Pool, Timing};
 use crate::clock::Span;
@@ -6,13 +6,13 @@
 use crate::types::{DatabaseId, GroupId, PoolId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Probes that a window has to span, so that one lost probe does not stop acknowledgements.
-const PROBES: u64 = 2;
+/// The fewest probes in a window, so that one lost probe does not stop acknowledgements.
+const MIN_PROBES: u64 = 2;
 
-/// The most that a change of primary may take; half of it is left to raising and opening.
+/// The longest change of primary; half of it is reserved to raise the term and open the new primary.
 const FAILOVER_LIMIT: Span = Span::from_secs(10);
 
-/// Checks a whole document; the first fault found is told.
+/// Checks a whole document and returns the first fault found.
 pub(super) fn document(document: &Document) -> Result<(), Fault> {
     if document.groups.is_empty() {
         return Err(Fault::new(
@@ -23,11 +23,11 @@
     for (id, one) in &document.groups {
         group(id, one)?;
     }
-    databases_differ(document)?;
+    unique_databases(document)?;
     for (id, one) in &document.pools {
         pool(id, one, document)?;
     }
-    pools_fit(document)?;
+    pool_assignment(document)?;
     timing(&document.timing)
 }
 
@@ -59,8 +59,8 @@
     Ok(())
 }
 
-/// A database's name and address stand for one database in the whole document.
-fn databases_differ(document: &Document) -> Result<(), Fault> {
+/// Checks that each name and address belongs to only one database of the document.
+fn unique_databases(document: &Document) -> Result<(), Fault> {
     let mut names = BTreeMap::new();
     let mut addresses = BTreeMap::new();
     for (group, id, database) in document.databases() {
@@ -120,8 +120,8 @@
     Ok(())
 }
 
-/// Each caller of a group has one pool, and each group has a pool.
-fn pools_fit(document: &Document) -> Result<(), Fault> {
+/// Checks that each caller of a group has one pool, and each group at least one.
+fn pool_assignment(document: &Document) -> Result<(), Fault> {
     let mut taken = BTreeMap::new();
     let mut catch_all = BTreeMap::new();
     for (id, pool) in &document.pools {
@@ -170,12 +170,12 @@
             return fault(key, "has to be longer than zero: raise it".into());
         }
     }
-    let least = Span(timing.probe.0.saturating_mul(PROBES));
+    let least = Span(timing.probe.0.saturating_mul(MIN_PROBES));
     for (key, span) in [("window", timing.window), ("suspicion", timing.suspicion)] {
         if span < least {
             return fault(
                 key,
-                format!("shorter than {PROBES} probes ({least}): raise {key} or lower probe"),
+                format!("shorter than {MIN_PROBES} probes ({least}): raise {key} or lower probe"),
             );
         }
     }
@@ -201,15 +201,15 @@
 
 /// Checks that `after` may follow `before` in one step.
 ///
-/// Failure: a group's members change by two at once. Symptom: a majority of the old members and
-/// one of the new have no database in common, and two primaries acknowledge. Enough, because
-/// majorities of two sets that differ by one database always meet.
+/// A group's members may change by one database at a time. If two changed at once, a majority of
+/// the old members and one of the new might share no database, and two primaries could acknowledge
+/// writes. Majorities of two sets that differ by one database always share a member.
 pub(super) fn step(before: &Document, after: &Document) -> Result<(), Fault> {
     for (id, group) in &after.groups {
         let Some(former) = before.groups.get(id) else {
             continue;
         };
-        let changed = changed(former, group);
+        let changed = changed_databases(former, group);
         if changed.len() > 1 {
             let names: Vec<&str> = changed.iter().map(|id| id.as_str()).collect();
             let message = format!(
@@ -224,8 +224,8 @@
     Ok(())
 }
 
-/// The databases that only one of the two has, or that moved to another address.
-fn changed<'a>(before: &'a Group, after: &'a Group) -> Vec<&'a DatabaseId> {
+/// The databases that are in only one of the two groups, or have another address in each.
+fn changed_databases<'a>(before: &'a Group, after: &'a Group) -> Vec<&'a DatabaseId> {
     let names: BTreeSet<&DatabaseId> = before
         .databases
         .keys()
--- a/src/config/diff.rs
+++ b/src/config/diff.rs
@@ -1,9 +1,9 @@
-//! What changed between two documents, for the operator who lost a race.
+//! The differences of two documents, for an operator whose document was based on an older version.
 
 use super::Document;
 use serde_json::Value;
 
-/// One line a changed value: its path, what it was and what it is.
+/// One line for each changed value: its path, old value and new value.
 pub fn changes(before: &Document, after: &Document) -> Vec<Box<str>> {
     let mut lines = Vec::new();
     let value = |document| serde_json::to_value(document).unwrap_or_default();
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -35,7 +35,7 @@
 }
 
 impl From<Accepted> for File {
-    /// What is in force, as a file to edit and apply.
+    /// The configuration in force, as a file to edit and apply.
     fn from(accepted: Accepted) -> Self {
         Self {
             base: Some(accepted.version),
--- a/src/config/pack.rs
+++ b/src/config/pack.rs
@@ -1,4 +1,4 @@
-//! The form in which a document is stored and travels: compressed JSON.
+//! The form in which a document is stored and sent: compressed JSON.
 
 use super::Accepted;
 use crate::jsonc;
@@ -8,16 +8,16 @@
 use flate2::write::GzEncoder;
 use std::io::{Read, Write};
 
-/// The largest document taken, unpacked, in bytes: some 60 times one of 1,200 databases.
+/// The largest accepted document, unpacked, in bytes: about 60 times one of 1,200 databases.
 pub const SIZE_LIMIT: u64 = 16 << 20;
 
 /// Why stored bytes are not a document.
 #[derive(Debug, thiserror::Error)]
 pub enum Damaged {
-    /// They can't be unpacked.
+    /// The bytes can't be unpacked.
     #[error("the configuration can't be unpacked ({0}): apply it again")]
     Packing(std::io::Error),
-    /// Unpacked, they are no valid document.
+    /// The unpacked text is not a valid document.
     #[error("the configuration is not valid here ({0}): run the same version on all VMs")]
     Document(jsonc::Error),
 }
@@ -32,7 +32,7 @@
         encoder.finish().unwrap_or_default().into()
     }
 
-    /// Reads the packed form, and checks the document as if it came from an operator.
+    /// Parses the packed form, with the same checks as for a document from an operator.
     pub fn unpack(bytes: &[u8]) -> Result<Self, Damaged> {
         let mut json = String::new();
         GzDecoder::new(bytes)
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,4 +1,4 @@
-//! One request's story out of the logs of many VMs: what it was told, and what its VM believed then.
+//! What happened to one request, from the logs of many VMs: its outcome, and what its VM knew then.
 
 pub mod cause;
 pub mod line;
@@ -8,135 +8,136 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How long before a request's first line a change of belief still matters: longer than a lease on
-/// a group's primary and a replacement together.
+/// How long before a request's start a line about a VM's state is still relevant: longer than a
+/// lease on a group's primary and a replacement together.
 const BEFORE_MS: i64 = 12_000;
 
-/// How long after its last line: a belief that comes too late explains as much.
+/// How long after a request's last line such a line is relevant: late information may be the cause.
 const AFTER_MS: i64 = 2_000;
 
-/// Keys by whose values a line says something else than another with the same message.
-const SAME: [&str; 10] = [
+/// Keys whose values distinguish lines with the same message.
+const DISTINGUISHING_KEYS: [&str; 10] = [
     "group", "database", "primary", "epoch", "changing", "version", "outcome", "cause", "how", "vm",
 ];
 
-/// What a VM says of a new configuration, which is compared between VMs.
+/// The message of a VM with a new configuration. These lines are compared between VMs.
 const CONFIGURED: &str = "a configuration is in force";
 
-/// The key under which a line names its request.
+/// The key that holds the id of a line's request.
 const REQUEST: &str = "request";
 
-/// The key under which it names the first request of its operation.
+/// The key that holds the id of the first request of its operation.
 const OPERATION: &str = "operation";
 
-/// A request's story, or that of a moment on a VM.
+/// The lines that explain a request, or a moment on a VM.
 #[derive(Debug)]
-pub struct Story<'a> {
+pub struct Report<'a> {
     title: String,
     cause: Option<String>,
     request: Option<&'a str>,
-    /// What was known before, the newest line of each kind.
+    /// The newest earlier line of each kind.
     known: Vec<&'a Line>,
-    /// What happened, in order.
-    lines: Vec<Told<'a>>,
+    /// The lines of the time around it, in order.
+    lines: Vec<Merged<'a>>,
 }
 
-/// A line, and those that say the same.
+/// A line and its repetitions.
 #[derive(Debug)]
-struct Told<'a> {
+struct Merged<'a> {
     line: &'a Line,
     times: usize,
     vms: BTreeSet<&'a str>,
     last_ms: i64,
 }
 
-/// Tells the story of request `id`; none if no line names it.
-pub fn story<'a>(lines: &'a [Line], id: &'a str) -> Option<Story<'a>> {
+/// Explains request `id`; `None` if no line names it.
+pub fn report<'a>(lines: &'a [Line], id: &'a str) -> Option<Report<'a>> {
     let mut own: Vec<&Line> = lines.iter().filter(|line| is_of(line, id)).collect();
     own.sort_by_key(|line| line.at_ms);
     let begin = own.iter().map(|line| line.began_ms()).min()?;
     let end = own.iter().map(|line| line.at_ms).max()?;
-    let scene = Scene {
+    let scope = Scope {
         vms: own.iter().map(|line| &*line.vm).collect(),
         groups: values(&own, &["group"]),
         databases: values(&own, &["database", "primary"]),
     };
-    let mut beliefs: Vec<&Line> = lines.iter().filter(|l| scene.concerns(l)).collect();
-    beliefs.sort_by_key(|line| line.at_ms);
+    let mut context: Vec<&Line> = lines.iter().filter(|l| scope.concerns(l)).collect();
+    context.sort_by_key(|line| line.at_ms);
     let case = Case {
         own: &own,
-        beliefs: &beliefs,
+        context: &context,
     };
-    let vms: Vec<&str> = scene.vms.iter().copied().collect();
-    Some(Story {
+    let vms: Vec<&str> = scope.vms.iter().copied().collect();
+    Some(Report {
         title: format!("request {id} on {}", vms.join(", ")),
         cause: Some(cause::likely(&case)),
-        ..tell(&scene, beliefs.into_iter().chain(own), begin, end, Some(id))
+        ..build(&scope, context.into_iter().chain(own), begin, end, Some(id))
     })
 }
 
-/// Tells what `vm` believed, and whom it refused, around a moment: for a request that has no line, as
+/// Shows the state of `vm` and its refusals around a moment: for a request that has no line, such as
 /// one that never arrived, or whose VM was killed.
-pub fn moment<'a>(lines: &'a [Line], vm: &'a str, at_ms: i64) -> Story<'a> {
-    let scene = Scene {
+pub fn moment<'a>(lines: &'a [Line], vm: &'a str, at_ms: i64) -> Report<'a> {
+    let scope = Scope {
         vms: [vm].into(),
         groups: BTreeSet::new(),
         databases: BTreeSet::new(),
     };
     let of_vm = lines.iter().filter(|line| &*line.vm == vm);
-    Story {
+    Report {
         title: format!("{vm} at {}", Seconds(at_ms)),
-        ..tell(&scene, of_vm, at_ms, at_ms, None)
+        ..build(&scope, of_vm, at_ms, at_ms, None)
     }
 }
 
-fn tell<'a>(
-    scene: &Scene<'_>,
+fn build<'a>(
+    scope: &Scope<'_>,
     lines: impl Iterator<Item = &'a Line>,
     begin: i64,
     end: i64,
     request: Option<&'a str>,
-) -> Story<'a> {
+) -> Report<'a> {
     let mut related: Vec<&Line> = lines.collect();
     related.sort_by_key(|line| line.at_ms);
     let (early, rest): (Vec<_>, Vec<_>) = related
         .into_iter()
         .partition(|line| line.at_ms < begin - BEFORE_MS);
     let near = rest.into_iter().filter(|line| line.at_ms <= end + AFTER_MS);
-    Story {
+    Report {
         title: String::new(),
         cause: None,
         request,
-        known: newest(&early, &scene.vms),
-        lines: fold(near, scene),
+        known: newest(&early, &scope.vms),
+        lines: merge(near, scope),
     }
 }
 
-/// What makes two lines say the same: on the request's VM all but ages, elsewhere also the VM may
-/// differ, so that 74 VMs that learn of one thing are one line.
-fn fold<'a>(lines: impl Iterator<Item = &'a Line>, scene: &Scene<'_>) -> Vec<Told<'a>> {
-    let mut told: Vec<Told<'_>> = Vec::new();
-    let mut places = BTreeMap::new();
+/// Merges repeated lines. On the request's VMs, lines may differ only in values that are not among
+/// [`DISTINGUISHING_KEYS`], such as ages. On other VMs the VM may differ too, so that 74 VMs that
+/// receive the same update take one line.
+fn merge<'a>(lines: impl Iterator<Item = &'a Line>, scope: &Scope<'_>) -> Vec<Merged<'a>> {
+    let mut merged: Vec<Merged<'_>> = Vec::new();
+    let mut indexes = BTreeMap::new();
     for line in lines {
-        let vm = scene.vms.contains(&*line.vm).then_some(&*line.vm);
-        let same = SAME.map(|key| line.value(key));
-        let place = *places
-            .entry((vm, &*line.message, same))
-            .or_insert(told.len());
-        if place == told.len() {
-            told.push(Told {
+        let vm = scope.vms.contains(&*line.vm).then_some(&*line.vm);
+        let values = DISTINGUISHING_KEYS.map(|key| line.value(key));
+        let index = *indexes
+            .entry((vm, &*line.message, values))
+            .or_insert(merged.len());
+        if index == merged.len() {
+            merged.push(Merged {
                 line,
                 times: 0,
                 vms: BTreeSet::new(),
                 last_ms: line.at_ms,
             });
         }
-        let told = &mut told[place];
-        told.times += 1;
-        told.vms.insert(&line.vm);
-        told.last_ms = line.at_ms;
+        let merged = &mut merged[index];
+        merged.times += 1;
+        merged.vms.insert(&line.vm);
+        merged.last_ms = line.at_ms;
     }
-    told
+    merged
 }
 
 /// Whether a line is of request `id`, or of the transaction that began with it.
@@ -152,15 +153,15 @@
     found.filter(|value| *value != "-").collect()
 }
 
-/// What a request has to do with.
-struct Scene<'a> {
+/// The VMs, groups and databases that a request involved.
+struct Scope<'a> {
     vms: BTreeSet<&'a str>,
     groups: BTreeSet<&'a str>,
     databases: BTreeSet<&'a str>,
 }
 
-impl Scene<'_> {
-    /// Whether a line that names no request tells of a belief that matters to this one.
+impl Scope<'_> {
+    /// Whether a line names no request and is about state that is relevant to this one.
     fn concerns(&self, line: &Line) -> bool {
         if line.value(REQUEST).is_some() {
             return false;
@@ -176,13 +177,13 @@
         }
         match line.value("group") {
             Some(group) => self.groups.contains(group),
-            // What has no group is of the whole VM: the store, the configuration, the steward.
+            // A line without a group is about the whole VM: its store, configuration or steward.
             None => database.is_none() && self.vms.contains(&*line.vm),
         }
     }
 }
 
-/// The newest line of each kind, of the request's own VMs.
+/// The newest line of each kind that the request's own VMs wrote.
 fn newest<'a>(early: &[&'a Line], vms: &BTreeSet<&str>) -> Vec<&'a Line> {
     let mut seen = BTreeSet::new();
     let own = early.iter().rev().filter(|line| vms.contains(&*line.vm));
@@ -194,7 +195,7 @@
     known
 }
 
-impl fmt::Display for Told<'_> {
+impl fmt::Display for Merged<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.line)?;
         if self.times == 1 {
@@ -208,7 +209,7 @@
     }
 }
 
-impl fmt::Display for Story<'_> {
+impl fmt::Display for Report<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}", self.title)?;
         if let Some(cause) = &self.cause {
@@ -224,9 +225,9 @@
             Some(_) => writeln!(f, "\nwhat happened (> is the request itself)")?,
             None => writeln!(f, "\nwhat happened")?,
         }
-        for told in &self.lines {
-            let own = self.request.is_some_and(|id| is_of(told.line, id));
-            write!(f, "{} {told}", if own { '>' } else { ' ' })?;
+        for merged in &self.lines {
+            let own = self.request.is_some_and(|id| is_of(merged.line, id));
+            write!(f, "{} {merged}", if own { '>' } else { ' ' })?;
         }
         Ok(())
     }
--- a/src/explain/cause.rs
+++ b/src/explain/cause.rs
@@ -1,36 +1,36 @@
-//! The likely cause of what a request was told, in plain words.
+//! The likely cause of a request's outcome, as a sentence.
 //!
-//! The rules look at the request's last line that tells an outcome, and then for the change of
-//! belief near it that explains it. They name what the lines show and no more: where nothing near
-//! explains an outcome, they say so.
+//! The rules take the request's last line with an outcome, and look for a line about a VM's state
+//! near it that explains the outcome. They report only what the lines show: if no line near it
+//! explains the outcome, the sentence says so.
 
 use super::line::{Line, Seconds};
 use super::{BEFORE_MS, CONFIGURED};
 
-/// A request's own lines and the beliefs around them, both in order of time.
+/// A request's own lines and those about the state of VMs around them, both in order of time.
 #[derive(Debug, Clone, Copy)]
 pub struct Case<'a> {
     /// Its own lines.
     pub own: &'a [&'a Line],
-    /// All lines of VMs that say what they believe, some of which matter.
-    pub beliefs: &'a [&'a Line],
+    /// The lines about the state of VMs, of which only some explain the outcome.
+    pub context: &'a [&'a Line],
 }
 
-/// Tells the likely cause.
+/// Returns the likely cause.
 pub fn likely(case: &Case<'_>) -> String {
-    let told = case.own.iter().rev().find(|l| l.value("outcome").is_some());
-    let Some(line) = told.or(case.own.last()) else {
+    let outcome = case.own.iter().rev().find(|l| l.value("outcome").is_some());
+    let Some(line) = outcome.or(case.own.last()) else {
         return "no line tells what became of it".into();
     };
     match line.value("outcome") {
         Some("Busy") => busy(case, line),
         Some("Unknown") => unknown(case, line),
         Some("Late") => {
-            let told = format!(
+            let text = format!(
                 "its outcome is unknown because {} did not answer before the route's timeout",
                 database(line)
             );
-            beside(case, line, told)
+            with_replacement(case, line, text)
         }
         Some("RolledBack") => rolled_back(case, line),
         Some("NoDatabase") => no_route(case, line),
@@ -59,19 +59,19 @@
     line.value(key).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-/// What was told, and the replacement of the primary near it, which may lie behind it.
-fn beside(case: &Case<'_>, line: &Line, told: String) -> String {
+/// Adds the replacement of the primary near the request, if any, as the possible reason.
+fn with_replacement(case: &Case<'_>, line: &Line, outcome: String) -> String {
     match replacement(case, line) {
-        Some(reason) => format!("{told}; {reason}"),
-        None => told,
+        Some(reason) => format!("{outcome}; {reason}"),
+        None => outcome,
     }
 }
 
 fn busy(case: &Case<'_>, line: &Line) -> String {
     let name = database(line);
     if let Some("allowance" | "unkept") = line.value("last") {
-        let (told, _) = line.message.split_once(';').unwrap_or((&line.message, ""));
-        return format!("it was refused because {told}");
+        let (reason, _) = line.message.split_once(';').unwrap_or((&line.message, ""));
+        return format!("it was refused because {reason}");
     }
     let full = match line.value("last") {
         Some("queue") => Some(format!(
@@ -90,7 +90,7 @@
         _ => None,
     };
     if let Some(full) = full {
-        return beside(case, line, full);
+        return with_replacement(case, line, full);
     }
     let without = "it was refused because no primary could be used";
     match without_primary(case, line) {
@@ -119,19 +119,19 @@
     ))
 }
 
-/// The replacement of the group's primary that was under way while the request ran, or began
-/// so soon after it that the loss was not known yet.
+/// The replacement of the group's primary that was in progress while the request ran, or began so
+/// soon after it that the loss had not been detected yet.
 fn replacement(case: &Case<'_>, line: &Line) -> Option<String> {
     let group = line.value("group")?;
     let of_group = |l: &Line| l.value("group") == Some(group);
-    let begin = case.beliefs.iter().rev().find(|l| {
-        let near = l.at_ms > line.began_ms() - BEFORE_MS && l.at_ms <= line.at_ms + SOON_MS;
+    let begin = case.context.iter().rev().find(|l| {
+        let near = l.at_ms > line.began_ms() - BEFORE_MS && l.at_ms <= line.at_ms + UPDATE_DELAY_MS;
         near && of_group(l) && &*l.message == "the primary is to be replaced"
     })?;
-    let mut later = case.beliefs.iter().filter(|l| l.at_ms >= begin.at_ms);
+    let mut later = case.context.iter().filter(|l| l.at_ms >= begin.at_ms);
     let end = later.find(|l| of_group(l) && &*l.message == "the primary is replaced");
-    // A VM learns of a new primary some time after it is written.
-    if end.is_some_and(|end| end.at_ms + SOON_MS < line.began_ms()) {
+    // A VM receives a new primary some time after the steward wrote it.
+    if end.is_some_and(|end| end.at_ms + UPDATE_DELAY_MS < line.began_ms()) {
         return None;
     }
     let until = match end {
@@ -146,13 +146,13 @@
     ))
 }
 
-/// How long after a request a replacement is still told of as its cause, and how long the news of
-/// its end may take.
-const SOON_MS: i64 = 2_000;
+/// How long after a request a replacement may start and still be its cause, and how long the update
+/// about the replacement's end may take.
+const UPDATE_DELAY_MS: i64 = 2_000;
 
 fn newest<'a>(case: &Case<'a>, line: &Line, of: impl Fn(&Line) -> bool) -> Option<&'a Line> {
     let near = |l: &&&Line| l.at_ms <= line.at_ms && l.at_ms > line.at_ms - BEFORE_MS;
-    let found = case.beliefs.iter().rev().filter(near).find(|l| of(l));
+    let found = case.context.iter().rev().filter(near).find(|l| of(l));
     found.copied()
 }
 
@@ -160,7 +160,7 @@
     let name = database(line);
     if line.message.starts_with("the answer was lost") {
         let lost = format!("its outcome is unknown because the answer of {name} was lost");
-        return beside(case, line, lost);
+        return with_replacement(case, line, lost);
     }
     let ended = format!(
         "its outcome is unknown because this VM's lease on {name} ended before the answer was read"
@@ -200,24 +200,24 @@
 
 fn no_route(case: &Case<'_>, line: &Line) -> String {
     let version = line.value("version").unwrap_or("-");
-    let told = match version {
+    let text = match version {
         "-" => "it was refused because its VM knew no configuration yet".into(),
         version => format!(
             "it was refused because configuration version {version}, in force here, has no such route"
         ),
     };
-    let other = case.beliefs.iter().find(|l| {
+    let other = case.context.iter().find(|l| {
         let newer = number(l, "version") > version.parse().unwrap_or(0);
-        newer && &*l.message == CONFIGURED && l.at_ms <= line.at_ms + SOON_MS
+        newer && &*l.message == CONFIGURED && l.at_ms <= line.at_ms + UPDATE_DELAY_MS
     });
     match other {
         Some(other) => format!(
-            "{told}; version {} was in force on {} at {}",
+            "{text}; version {} was in force on {} at {}",
             number(other, "version"),
             other.vm,
             Seconds(other.at_ms)
         ),
-        None => told,
+        None => text,
     }
 }
 
--- a/src/explain/line.rs
+++ b/src/explain/line.rs
@@ -1,26 +1,26 @@
-//! A log line as it is read back, in the form of `crate::logs`, or with a time and a VM before it.
+//! Parses log lines in the format of `crate::logs`, or with a time and a VM in front.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 const LEVELS: [&str; 5] = ["TRACE", "DEBUG", "INFO", "WARN", "ERROR"];
 
-/// The line with which a process starts, and its key for the time of day.
+/// The message of a process's first line, and its key for the time of day.
 const STARTED: &str = "started";
 const UNIX: &str = "unix_ms";
 
 type Pairs = Vec<(Box<str>, Box<str>)>;
 
-/// One line.
+/// One log line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line {
-    /// When, in milliseconds, on a time that all lines share.
+    /// When it was written, in milliseconds, on a time axis common to all lines.
     pub at_ms: i64,
     /// The VM that wrote it.
     pub vm: Box<str>,
     /// Its level.
     pub level: Box<str>,
-    /// What it says.
+    /// Its message.
     pub message: Box<str>,
     pairs: Pairs,
 }
@@ -32,7 +32,7 @@
         found.map(|(_, value)| &**value)
     }
 
-    /// When what it tells of began.
+    /// When the operation that it reports began: its time less `took_ms`.
     pub fn began_ms(&self) -> i64 {
         let took = self.value("took_ms").and_then(|took| took.parse().ok());
         self.at_ms - took.unwrap_or(0)
@@ -61,7 +61,7 @@
     }
 }
 
-/// The lines of some files, which share a time. In a file whose lines name no VM, `name` does.
+/// The lines of several files, on a common time axis.
 #[derive(Debug, Default)]
 pub struct Reader {
     lines: Vec<Line>,
@@ -70,9 +70,10 @@
 }
 
 impl Reader {
-    /// Reads a file's text. Lines of another form are passed over.
+    /// Reads a file's text. Lines in another format are skipped. `name` is the VM of lines that name
+    /// none.
     pub fn read(&mut self, name: &str, text: &str) {
-        // A process's own times count from its start; the file may hold several lives.
+        // A process's times count from its start, and a file may hold several runs of it.
         let mut started = 0;
         for line in text.lines() {
             let Some(Raw { prefix, body }) = split(line) else {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Where a process's time zero lies, counted from that of the first process read.
+    /// The start of a process, relative to that of the first process read.
     fn offset(&mut self, pairs: &Pairs, time: &str) -> i64 {
         let pairs: BTreeMap<&str, &str> = pairs.iter().map(|(k, v)| (&**k, &**v)).collect();
         let unix = pairs.get(UNIX).and_then(|unix| unix.parse::<i64>().ok());
@@ -127,7 +128,7 @@
     rest: &'a str,
 }
 
-/// What stands before the level, and after the target.
+/// Splits a line into the words before the level, the level, and the text after the target.
 fn split(line: &str) -> Option<Raw<'_>> {
     let mut prefix = Vec::new();
     let mut rest = line.trim_start();
@@ -153,7 +154,7 @@
     Some((seconds * 1_000.0).round() as i64)
 }
 
-/// The message and the pairs after it.
+/// Splits a text into the message and the pairs after it.
 fn fields(rest: &str) -> (&str, Pairs) {
     let mut at = 0;
     for word in rest.split(' ') {
@@ -182,7 +183,7 @@
     pairs
 }
 
-/// Where a value ends: at a blank, or at the quote that closes it.
+/// The index at which a value ends: at a space, or after the closing quote.
 fn value_end(text: &str) -> usize {
     if !text.starts_with('"') {
         return text.find(' ').unwrap_or(text.len());
--- a/src/jsonc.rs
+++ b/src/jsonc.rs
@@ -1,7 +1,7 @@
-//! JSON with comments, read strictly, with the place of each fault.
+//! A strict parser of JSON with comments that reports the location of each fault.
 //!
-//! Comments are `//`, `#` and `/* */`. A key that stands twice is refused: the parser would
-//! keep the last one without a word.
+//! Comments are `//`, `#` and `/* */`. Duplicate keys are refused, because the JSON library would
+//! silently keep the last one.
 
 use json_comments::StripComments;
 use serde::de::{
@@ -11,7 +11,7 @@
 use std::fmt;
 use std::io::Read;
 
-/// A place in a text, counted from 1.
+/// A location in a text; line and column count from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place {
     /// The line.
@@ -30,13 +30,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {message}")]
 pub struct Error {
-    /// Where the fault is, or where reading stopped.
+    /// Where the fault is, or where parsing stopped.
     pub place: Place,
     /// What is wrong and what to write instead.
     pub message: Box<str>,
 }
 
-/// Why a value is refused that was read well: it clashes with another one.
+/// Why a value that parsed is refused, such as a conflict with another one.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{}: {message}", path.join("."))]
 pub struct Fault {
@@ -59,13 +59,13 @@
     }
 }
 
-/// Reads `text`, then checks what was read; a fault found by `check` is given its place.
+/// Parses `text` and checks the value; a fault that `check` returns gets its location in `text`.
 pub fn read<T: DeserializeOwned>(
     text: &str,
     check: impl FnOnce(&T) -> Result<(), Fault>,
 ) -> Result<T, Error> {
     let plain = strip(text)?;
-    parse(&plain, Unique)?;
+    parse(&plain, UniqueKeys)?;
     let value: T = serde_json::from_str(&plain).map_err(|error| convert(&error))?;
     check(&value).map_err(|fault| Error {
         place: locate(&plain, &fault.path),
@@ -74,7 +74,7 @@
     Ok(value)
 }
 
-/// Blanks the comments out, which leaves every other character at its place.
+/// Replaces comments by spaces, so that all other characters keep their location.
 fn strip(text: &str) -> Result<String, Error> {
     let mut bytes = Vec::with_capacity(text.len());
     let stripped = StripComments::new(text.as_bytes()).read_to_end(&mut bytes);
@@ -84,7 +84,7 @@
             message: "a string or a comment does not end: close it".into(),
         });
     }
-    // The library blanks the line ends inside of block comments too.
+    // The library replaces the line ends inside of block comments too; they are restored here.
     for (byte, original) in bytes.iter_mut().zip(text.bytes()) {
         if original == b'\n' {
             *byte = original;
@@ -144,7 +144,7 @@
     }
 }
 
-/// What helps against the parser's own errors, by how they start.
+/// The remedy for each error of the JSON library, by the start of its message.
 const REMEDIES: [(&str, &str); 7] = [
     ("missing field", "add it"),
     ("unknown field", "correct or remove it"),
@@ -179,7 +179,7 @@
 
     fn deserialize<D: serde::Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
         if self.0.is_empty() {
-            IgnoredScalar::stop(deserializer)
+            StopAtValue::stop(deserializer)
         } else {
             deserializer.deserialize_any(self)
         }
@@ -221,16 +221,17 @@
     }
 }
 
-/// Fails at the start of an object or list, or at the end of any other value.
-struct IgnoredScalar;
+/// Fails at the start of an object or list, or at the end of any other value, so that the error's
+/// location is that of the value.
+struct StopAtValue;
 
-impl IgnoredScalar {
+impl StopAtValue {
     fn stop<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<(), D::Error> {
         deserializer.deserialize_any(Self)
     }
 }
 
-impl Visitor<'_> for IgnoredScalar {
+impl Visitor<'_> for StopAtValue {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -238,11 +239,11 @@
     }
 }
 
-/// Refuses a key that stands twice in one object.
+/// Refuses an object in which a key occurs twice.
 #[derive(Clone, Copy)]
-struct Unique;
+struct UniqueKeys;
 
-impl<'de> DeserializeSeed<'de> for Unique {
+impl<'de> DeserializeSeed<'de> for UniqueKeys {
     type Value = ();
 
     fn deserialize<D: serde::Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -258,7 +259,7 @@
     };
 }
 
-impl<'de> Visitor<'de> for Unique {
+impl<'de> Visitor<'de> for UniqueKeys {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/tests/explain_cause.rs
+++ b/tests/explain_cause.rs
@@ -1,7 +1,7 @@
 //! The sentence with which a story begins: each rule on lines as VMs write them.
 
 use lentilspoke::explain::line::Reader;
-use lentilspoke::explain::{moment, story};
+use lentilspoke::explain::{moment, report};
 
 const ID: &str = "5c0e7a21d94b36f8";
 
@@ -10,8 +10,8 @@
     let mut reader = Reader::default();
     reader.read("unused", text);
     let lines = reader.lines();
-    let story = story(&lines, ID).unwrap().to_string();
-    let cause = story.lines().nth(1).unwrap();
+    let report = report(&lines, ID).unwrap().to_string();
+    let cause = report.lines().nth(1).unwrap();
     cause.strip_prefix("likely cause: ").unwrap().to_owned()
 }
 
@@ -144,7 +144,7 @@
     let mut reader = Reader::default();
     reader.read("unused", &text);
     let lines = reader.lines();
-    insta::assert_snapshot!(story(&lines, ID).unwrap());
+    insta::assert_snapshot!(report(&lines, ID).unwrap());
 }
 
 /// A VM lost power while it ran a request, which has no line: what it wrote around that moment.
