--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! lentilspoke: a database proxy with session consistency for groups of lagging replicas.
 //!
-//! `core` decides without I/O; `net` connects it to sockets and timers; `standin` plays the
-//! outside systems for tests and the demo; `cmd` holds a module for each subcommand.
+//! `core` makes decisions without I/O; `net` connects it to sockets and timers; `standin` simulates
+//! the external systems for tests and the demo; `cmd` has a module for each subcommand.
 
 pub mod clock;
 pub mod cmd;
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,9 +1,9 @@
-//! Log lines on standard output, for a process that must never wait for whoever reads them.
+//! Log lines on standard output, written without blocking the process.
 //!
-//! **Failure answered.** Standard output is a pipe that nobody reads, or reads slowly.
-//! **Symptom without it.** The write blocks, and with it the one thread that serves all callers.
-//! **Why it suffices.** Lines go into a queue of bounded size ([`queue`]); a thread of its own does
-//! the writes, and may block for ever. What does not fit is dropped, counted, and said in a line.
+//! Standard output may be a pipe that nobody reads, or that is read slowly. A blocking write would
+//! stop the one thread that serves all callers. Lines therefore go into a bounded queue ([`queue`]),
+//! and a separate thread writes them and may block for ever. Lines that don't fit are dropped and
+//! counted, and a log line reports their number.
 //!
 //! A line is `MILLISECONDS LEVEL TARGET MESSAGE KEY=VALUE...`, the time counted from the start of
 //! the process. The first line of a process gives the time of day as `unix_ms`, so that the lines of
@@ -21,26 +21,27 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::SystemTime;
 
-/// Lines a second of one target: more than a VM refused in the worst second of a bad day on the
-/// users' sites (254, when 8 VMs came back at once), and few enough that a storm leaves the
-/// processor to the requests.
+/// The most lines a second of one target. This is more than the 254 requests that a VM refused in
+/// the worst second of a bad day at the users' sites, when 8 VMs came back at once, and few enough
+/// that a flood of lines leaves the processor to the requests.
 pub const RATE: u32 = 400;
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Sends logs to standard output from now on, with the time read from `clock`, which shows zero
-/// when the process starts. The environment variable `RUST_LOG` goes before `level`.
+/// Sends logs to standard output, with the time of `clock`, which starts at zero with the process.
+/// The environment variable `RUST_LOG` overrides `level`.
 ///
-/// The queue that comes back is for [`Queue::drain`] at the end of the process.
+/// Call [`Queue::drain`] on the returned queue at the end of the process. Fails if the thread of the
+/// queue can't be started.
 pub fn install(
     level: log::LevelFilter,
     clock: impl Fn() -> Time + Copy + Send + Sync + 'static,
 ) -> std::io::Result<Queue> {
-    let say = move |dropped| {
+    let report_dropped = move |dropped| {
         DROPPED.fetch_add(dropped, Ordering::Relaxed);
         dropped_line(clock(), "unread", dropped)
     };
-    let queue = Queue::start(Output, queue::LIMIT, say)?;
+    let queue = Queue::start(Output, queue::LIMIT, report_dropped)?;
     let budget = Mutex::new(Budget::new(RATE));
     let mut builder = env_logger::Builder::new();
     builder
@@ -55,7 +56,7 @@
             };
             std::io::Write::write_all(out, text(verdict, now, record).as_bytes())
         });
-    // A second call, by a test in the same process, changes nothing.
+    // A second call, by another test in the same process, has no effect.
     let _ = builder.try_init();
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let unix = unix.map_or(Span::ZERO, Span::from);
@@ -63,8 +64,8 @@
     Ok(queue)
 }
 
-/// Standard output without the lock and the buffer of `std::io::stdout`: whoever holds that lock
-/// may block. The descriptor is the process's own, as some supervisors follow only that one.
+/// Standard output without the lock and the buffer of `std::io::stdout`, as a thread that holds the
+/// lock may block. It uses the process's own descriptor, the only one that some supervisors read.
 struct Output;
 
 impl std::io::Write for Output {
@@ -77,7 +78,7 @@
     }
 }
 
-/// What is written in place of `record`: nothing, its line, or its line after the number dropped.
+/// The text to write for `record`: none, its line, or the number of dropped lines and its line.
 fn text(verdict: Verdict, now: Time, record: &log::Record<'_>) -> String {
     match verdict {
         Verdict::Drop => {
@@ -98,7 +99,7 @@
     )
 }
 
-/// Lines that found no room since the process started, or not enough of the rate.
+/// Lines dropped since the process started, because the queue was full or the rate was exceeded.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
@@ -107,7 +108,7 @@
     now.since(Time::default()).0 / 1_000
 }
 
-/// The line of `record`, with its end.
+/// The line of `record`, with the line feed.
 pub fn line(now: Time, record: &log::Record<'_>) -> String {
     let target = record.target();
     let target = target.strip_prefix("lentilspoke::").unwrap_or(target);
@@ -115,14 +116,14 @@
     format!("{} {level} {target} {}\n", millis(now), body(record))
 }
 
-/// The message of `record` and its key-values, on one line whatever is in them.
+/// The message of `record` and its key-values, on one line whatever characters they hold.
 pub fn body(record: &log::Record<'_>) -> String {
     let message = record.args().to_string();
     let shown = message
         .chars()
         .map(|c| if c.is_control() { ' ' } else { c });
     let mut body: String = shown.collect();
-    // A key-value that can't be shown must not cost the line.
+    // If a key-value can't be formatted, the rest of the line is still written.
     let _ = record.key_values().visit(&mut Pairs(&mut body));
     body
 }
@@ -136,9 +137,9 @@
         value: log::kv::Value<'kvs>,
     ) -> Result<(), log::kv::Error> {
         let value = value.to_string();
-        // Callers choose some values; none of them can make a pair or a line of its own.
-        let plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '"' && c != '=';
-        let written = match !value.is_empty() && value.chars().all(plain) {
+        // Callers choose some values. Quotes keep a value from adding a pair or a line.
+        let is_plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '"' && c != '=';
+        let written = match !value.is_empty() && value.chars().all(is_plain) {
             true => write!(self.0, " {key}={value}"),
             false => write!(self.0, " {key}={value:?}"),
         };
--- a/src/logs/budget.rs
+++ b/src/logs/budget.rs
@@ -1,24 +1,23 @@
-//! How many lines a second are let through.
+//! A rate limit for log lines.
 //!
-//! **Load pattern.** Overload, or a lost dependency: each request of thousands a second fails for
-//! one reason, and each has a line.
-//! **Without it.** The lines take the processor time that the requests lack, and what matters is
-//! lost among them, or dropped from a full queue together with them.
-//! **Thresholds.** Each target has its own allowance, so that a storm of refusals leaves the lines
-//! on changes of belief alone. Every line up to the rate is let through.
+//! Under overload, or when a dependency is lost, thousands of requests a second may fail for one
+//! reason, each with a line. Without a limit, these lines take processor time that the requests need,
+//! and important lines are lost among them or dropped with them from a full queue. Each log target
+//! has its own limit, so that a flood of refusals does not affect the lines on changes of state. All
+//! lines up to the rate are written.
 
 use crate::clock::{Span, Time};
 use std::collections::BTreeMap;
 
-/// The allowance starts anew each second.
+/// The interval in which the lines of a target are counted.
 const WINDOW: Span = Span::from_secs(1);
 
-/// What becomes of a line.
+/// What to do with a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It is written.
     Admit,
-    /// It is written after a line that says how many of its target were dropped.
+    /// It is written after a line with the number of dropped lines of its target.
     AdmitAfter(u64),
     /// It is dropped and counted.
     Drop,
@@ -31,7 +30,7 @@
     dropped: u64,
 }
 
-/// Lines let through, by target.
+/// The lines admitted in the current window, by log target.
 #[derive(Debug, Clone)]
 pub struct Budget {
     rate: u32,
@@ -39,7 +38,7 @@
 }
 
 impl Budget {
-    /// Lets `rate` lines a second through, of each target.
+    /// Admits `rate` lines a second of each target.
     pub fn new(rate: u32) -> Self {
         Self {
             rate,
@@ -47,7 +46,7 @@
         }
     }
 
-    /// Decides on a line of `target`. Targets are modules, so their number is bounded.
+    /// Decides on a line of `target`. Targets are modules, so there is a bounded number of them.
     pub fn admit(&mut self, target: &str, now: Time) -> Verdict {
         let Some(used) = self.used.get_mut(target) else {
             let used = Used {
--- a/src/logs/queue.rs
+++ b/src/logs/queue.rs
@@ -1,27 +1,27 @@
-//! Lines on their way to a file that may block.
+//! A bounded queue of lines for an output that may block.
 
 use std::io::Write;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Bytes that may wait: over a second of lines at the highest rate, and a thousandth of a VM's
-/// memory.
+/// The most bytes in the queue: over a second of lines at the highest rate, and a thousandth of a
+/// VM's memory.
 pub const LIMIT: usize = 256 * 1024;
 
-/// Writes are this far apart at least, so that a burst of lines costs 50 wake-ups a second at
-/// most. A line that comes alone is written at once.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The shortest interval between writes, so that a burst of lines causes at most 50 wake-ups a
+/// second. A single line is written at once.
+const WRITE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Bytes of one write at most, unless one line is longer: as many as a pipe takes whole or not at
-/// all. A reader that takes 8 KiB of a longer write and leaves the rest cuts lines in two.
-const PIECE: usize = 4096;
+/// The most bytes in one write, unless one line is longer: a pipe accepts this many atomically. A
+/// reader that reads only 8 KiB of a longer write would cut a line in two.
+const MAX_WRITE_BYTES: usize = 4096;
 
 #[derive(Debug, Default)]
 struct State {
     waiting: Vec<u8>,
     writing: bool,
-    unsaid: u64,
+    unreported: u64,
     dropped: u64,
 }
 
@@ -31,7 +31,7 @@
     changed: Condvar,
 }
 
-/// A bounded queue of lines, and the thread that writes them. Clones share it.
+/// A bounded queue of lines and the thread that writes them. Clones share both.
 #[derive(Debug, Clone)]
 pub struct Queue {
     inner: Arc<Inner>,
@@ -39,12 +39,12 @@
 }
 
 impl Queue {
-    /// Starts the thread that writes to `out`; up to `limit` bytes wait. `say` makes the line that
-    /// tells how many were dropped.
+    /// Starts the thread that writes to `out`. The queue holds up to `limit` bytes. `dropped_line`
+    /// formats the line that reports a number of dropped lines. Fails if the thread can't be started.
     pub fn start(
         out: impl Write + Send + 'static,
         limit: usize,
-        say: impl Fn(u64) -> String + Send + 'static,
+        dropped_line: impl Fn(u64) -> String + Send + 'static,
     ) -> std::io::Result<Self> {
         let inner = Arc::<Inner>::default();
         let queue = Self {
@@ -53,22 +53,22 @@
         };
         thread::Builder::new()
             .name("logs".into())
-            .spawn(move || inner.run(out, say))?;
+            .spawn(move || inner.run(out, dropped_line))?;
         Ok(queue)
     }
 
-    /// Adds whole lines, or counts them as dropped if there is no room.
+    /// Adds whole lines; if they don't fit, they are dropped and counted as one.
     pub fn push(&self, lines: &[u8]) {
         if lines.is_empty() {
             return;
         }
         let mut state = self.inner.lock();
         if state.waiting.len() + lines.len() > self.limit {
-            state.unsaid += 1;
+            state.unreported += 1;
             state.dropped += 1;
             return;
         }
-        // The writer waits only for an empty queue to fill; later lines need no call.
+        // The writer waits only while the queue is empty, so later lines need no notification.
         let idle = state.waiting.is_empty() && !state.writing;
         state.waiting.extend_from_slice(lines);
         drop(state);
@@ -77,17 +77,17 @@
         }
     }
 
-    /// How many lines found no room so far.
+    /// How many lines were dropped so far.
     pub fn dropped(&self) -> u64 {
         self.inner.lock().dropped
     }
 
-    /// Waits until all is written, at most for `patience`; for the end of a process.
-    pub fn drain(&self, patience: Duration) {
-        let done = Instant::now() + patience;
+    /// Waits until all lines are written, or until `timeout`; for the end of a process.
+    pub fn drain(&self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         let mut state = self.inner.lock();
         while !state.waiting.is_empty() || state.writing {
-            let left = done.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return;
             }
@@ -110,29 +110,29 @@
 
 impl Inner {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A line half added does no harm, so a panic elsewhere must not end the logs.
+        // A partly added line does no harm, so a panic of another thread need not stop the logs.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn run(&self, mut out: impl Write, say: impl Fn(u64) -> String) {
+    fn run(&self, mut out: impl Write, dropped_line: impl Fn(u64) -> String) {
         let mut lines = Vec::new();
         loop {
             let dropped = self.take(&mut lines);
             if dropped > 0 {
-                lines.extend_from_slice(say(dropped).as_bytes());
+                lines.extend_from_slice(dropped_line(dropped).as_bytes());
             }
-            for piece in pieces(&lines) {
-                // Nobody can be told that the output is gone; lines go nowhere from then on.
-                let _ = out.write_all(piece);
+            for chunk in chunks(&lines) {
+                // If the output is closed, there is nowhere to report it: the lines are lost.
+                let _ = out.write_all(chunk);
             }
             lines.clear();
             self.lock().writing = false;
             self.changed.notify_all();
-            thread::sleep(PAUSE);
+            thread::sleep(WRITE_INTERVAL);
         }
     }
 
-    /// Waits for lines, and moves them to `lines`; tells how many were dropped since the last time.
+    /// Waits for lines and moves them to `lines`; returns how many were dropped since the last call.
     fn take(&self, lines: &mut Vec<u8>) -> u64 {
         let mut state = self.lock();
         while state.waiting.is_empty() {
@@ -141,22 +141,22 @@
         }
         std::mem::swap(&mut state.waiting, lines);
         state.writing = true;
-        std::mem::take(&mut state.unsaid)
+        std::mem::take(&mut state.unreported)
     }
 }
 
-/// Whole lines, as many at a time as [`PIECE`] allows.
-fn pieces(mut lines: &[u8]) -> impl Iterator<Item = &[u8]> {
+/// Splits `lines` into chunks of whole lines, each as long as [`MAX_WRITE_BYTES`] allows.
+fn chunks(mut lines: &[u8]) -> impl Iterator<Item = &[u8]> {
     std::iter::from_fn(move || {
         if lines.is_empty() {
             return None;
         }
         let is_end = |byte: &u8| *byte == b'\n';
-        let room = &lines[..lines.len().min(PIECE)];
+        let room = &lines[..lines.len().min(MAX_WRITE_BYTES)];
         let end = room.iter().rposition(is_end);
         let end = end.or_else(|| lines.iter().position(is_end));
-        let (piece, rest) = lines.split_at(end.map_or(lines.len(), |end| end + 1));
+        let (chunk, rest) = lines.split_at(end.map_or(lines.len(), |end| end + 1));
         lines = rest;
-        Some(piece)
+        Some(chunk)
     })
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line's entry: dispatch to a subcommand and nothing else.
+//! The entry point of the command line, which dispatches to a subcommand.
 
 #[path = "../platform/mod.rs"]
 mod platform;
@@ -30,8 +30,8 @@
 ";
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    match dispatch(&words) {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    match dispatch(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(Error::Help(usage)) => {
             print!("{usage}");
@@ -44,8 +44,8 @@
     }
 }
 
-fn dispatch(words: &[String]) -> Result<(), Error> {
-    let Some((command, rest)) = words.split_first() else {
+fn dispatch(arguments: &[String]) -> Result<(), Error> {
+    let Some((command, rest)) = arguments.split_first() else {
         return Err(Error::usage("no command: see lentilspoke --help"));
     };
     match command.as_str() {
@@ -73,8 +73,8 @@
     }
 }
 
-fn experiment(words: &[String]) -> Result<(), Error> {
-    match cmd::experiment::run(words, &mut std::io::stdout()) {
+fn experiment(arguments: &[String]) -> Result<(), Error> {
+    match cmd::experiment::run(arguments, &mut std::io::stdout()) {
         Ok(true) => Ok(()),
         Ok(false) => Err(Error::failed("an aim was missed")),
         Err(error @ cmd::experiment::Error::Usage(_)) => Err(Error::usage(error)),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
-//! The settings of one process: who it is, where it listens, and where the platform is.
+//! The settings of one process: its VM, its listening addresses and the platform's addresses.
 //!
-//! They are read at the start. All that operators change while it runs is in the configuration
-//! document (`config`).
+//! They are read at the start. Everything that operators change at run time is in the
+//! configuration document (`config`).
 
 use crate::clock::Span;
 use crate::jsonc::{self, Fault};
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// The least time for a planned stop: the balancer has to notice, and callers to go elsewhere.
-const GRACE_LEAST: Span = Span::from_secs(3);
+/// The least time for a planned stop, in which the balancer detects it and callers move to other VMs.
+const MIN_GRACE: Span = Span::from_secs(3);
 
 /// The settings of one process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,24 +23,24 @@
     pub vm: VmId,
     /// The failure domain it runs in.
     pub domain: Domain,
-    /// Where callers connect.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Where other proxies connect.
+    /// Listening address for other proxies; connections to them come from its IP.
     pub peers: SocketAddr,
-    /// Where operators fetch metrics and dumps, and apply configurations.
+    /// Listening address for operators: metrics, dumps and changes of the configuration.
     pub admin: SocketAddr,
-    /// Where the platform's services listen; the first that answers is asked.
+    /// Addresses of the platform's services; the first one that answers is used.
     pub platform: Vec<SocketAddr>,
-    /// What is logged.
+    /// The least important level that is logged.
     #[serde(default)]
     pub log: Level,
-    /// Signs session tokens, the same on every VM. Absent: no tokens are given out.
+    /// The key that signs session tokens, the same on every VM. Absent: no tokens are issued.
     #[serde(default)]
     pub token_key: Option<Box<str>>,
-    /// What the process takes on at most.
+    /// Limits on what the process accepts.
     #[serde(default)]
     pub limits: Limits,
-    /// Where the platform replaces primaries: what direct access needs.
+    /// Settings of direct access, for sites where the platform replaces primaries.
     #[serde(default)]
     pub direct: Option<Direct>,
 }
@@ -49,22 +49,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Direct {
-    /// Where the balancer asks whether callers may come.
+    /// Listening address for the balancer's readiness checks.
     pub ready: SocketAddr,
-    /// Where this VM relays other VMs' statements to databases. Absent: it relays none.
+    /// Listening address for statements that this VM relays to databases for other VMs. Absent: it
+    /// relays none.
     #[serde(default)]
     pub relay: Option<SocketAddr>,
-    /// Where orders to promote a database go.
+    /// Address to which orders to promote a database are sent.
     pub orders: SocketAddr,
-    /// `peers` of some VMs; they may be stale.
+    /// The `peers` addresses of some VMs; they may be out of date.
     pub seeds: Vec<SocketAddr>,
     /// The region of each failure domain.
     pub regions: BTreeMap<Domain, Box<str>>,
     /// How long a planned stop may take.
     pub grace: Span,
-    /// How many descriptors the process may have open.
+    /// How many file descriptors the process may have open.
     pub descriptors: u32,
-    /// The processor that this VM has. Absent: it is not known, and others come first.
+    /// The number of processor cores of this VM. Absent: unknown, and other VMs are preferred.
     #[serde(default)]
     pub cores: Cores,
 }
@@ -73,16 +74,16 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Level {
-    /// What stops service.
+    /// Faults that stop service.
     Error,
-    /// What needs a look.
+    /// Conditions that need an operator's attention.
     Warn,
     /// Changes of state, such as a new primary.
     #[default]
     Info,
     /// Decisions.
     Debug,
-    /// Messages.
+    /// Messages sent and received.
     Trace,
 }
 
@@ -98,17 +99,17 @@
     }
 }
 
-/// What a process takes on at most, so that its memory stays bounded.
+/// Limits on what a process accepts, so that its memory stays bounded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Callers' connections.
+    /// The most connections of callers.
     pub connections: u32,
 }
 
 impl Default for Limits {
-    /// A node's share of 1.9 million connections on 580 nodes is 3,280; three times that lets a
-    /// failure domain's callers move to the others.
+    /// A node's share of 1.9 million connections on 580 nodes is 3,280. Three times as many lets the
+    /// callers of a lost failure domain move to the others.
     fn default() -> Self {
         Self {
             connections: 10_000,
@@ -165,8 +166,8 @@
 
 impl Direct {
     fn check(&self) -> Result<(), Fault> {
-        if self.grace < GRACE_LEAST {
-            let message = format!("a planned stop takes {GRACE_LEAST} at least: write more");
+        if self.grace < MIN_GRACE {
+            let message = format!("a planned stop takes {MIN_GRACE} at least: write more");
             return Err(Fault::new(["direct", "grace"], message));
         }
         Ok(())
--- a/src/util.rs
+++ b/src/util.rs
@@ -1,16 +1,16 @@
-//! Small things that several subcommands share.
+//! Logging and signal handling shared by several subcommands.
 
 use crate::logs;
 use std::io::Write;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Sends logs to stderr, one line each: the level, where, the text, and its key-values. The
-/// environment variable `RUST_LOG` goes before `level`.
+/// Sends logs to stderr as lines of level, target, message and key-values. The environment variable
+/// `RUST_LOG` overrides `level`.
 pub fn log(level: log::LevelFilter) {
     log_after(level, String::new);
 }
 
-/// The same, each line after what `prefix` gives at that moment.
+/// Like [`log`], with each line preceded by the text that `prefix` returns at that time.
 pub fn log_after(level: log::LevelFilter, prefix: fn() -> String) {
     let mut builder = env_logger::Builder::new();
     builder
@@ -20,11 +20,12 @@
         let (level, target) = (record.level(), record.target());
         writeln!(out, "{}{level} {target} {}", prefix(), logs::body(record))
     });
-    // A second call, by a test in the same process, changes nothing.
+    // A second call, by another test in the same process, has no effect.
     let _ = builder.try_init();
 }
 
-/// Completes on SIGTERM or SIGINT, which ask for a planned stop. Either is caught from now on.
+/// Installs handlers for SIGTERM and SIGINT, and returns a future that completes on either one.
+/// Both ask for a planned stop. Fails if a handler can't be installed.
 pub fn asked_to_stop() -> std::io::Result<impl Future<Output = ()> + 'static> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
