--- a/src/sql.rs
+++ b/src/sql.rs
@@ -1,16 +1,16 @@
-//! What a caller's SQL does, as far as its text tells.
+//! Classification of a caller's SQL by its text: which statements only read, and which are refused.
 //!
-//! A wrong guess toward "write" costs a replica's read; a wrong guess toward "read" would be
-//! refused by the replica and sent on to the primary. So everything that is not known to only
+//! A read classified as a write is not run on a replica. A write classified as a read would be
+//! refused by the replica and sent on to the primary. Therefore everything that is not known to only
 //! read counts as a write: unknown functions, locking clauses, text that is not SQL.
 //!
-//! The library's tokens are enough for that: a query writes by certain keywords or by calling a
-//! function, and both show in them. Its parser would cost three times as much and take some
-//! reads for writes, because it does not know all of PostgreSQL's syntax. What neither can see
-//! is a view or an operator whose function writes.
+//! The SQL library's tokenizer is enough for that: a query writes by certain keywords or by calling
+//! a function, and both are tokens. The library's parser would cost three times as much and classify
+//! some reads as writes, because it does not support all of PostgreSQL's syntax. Neither detects a
+//! view or an operator whose function writes.
 //!
-//! Connections are pooled by transaction. Statements that would leave something behind on a
-//! connection ([`Refused`]) are refused, because the next caller would meet it.
+//! Connections are pooled by transaction. Statements that would leave session state on a connection
+//! are refused ([`Refused`]), because it would affect the connection's next caller.
 
 mod query;
 mod setting;
@@ -20,8 +20,8 @@
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::tokenizer::{Token, Tokenizer};
 
-/// The longest text that is analysed, in bytes. Classification blocks the process's one thread
-/// for about 6 ns a byte; values of any length can be sent as parameters instead.
+/// The longest text that is classified, in bytes. Classification blocks the process's one thread
+/// for about 6 ns a byte. Long values can be sent as parameters instead.
 pub const TEXT_LIMIT: usize = 256 * 1024;
 
 /// The text of one query message: its statements in order.
@@ -44,13 +44,13 @@
     BeginRead,
     /// It ends a transaction.
     End,
-    /// It has an effect within a transaction only, such as `SAVEPOINT` or `SET LOCAL`.
+    /// It takes effect only within a transaction, such as `SAVEPOINT` or `SET LOCAL`.
     Inside,
-    /// It sets a setting of the proxy, or takes it back. The proxy answers it.
+    /// It sets a setting of the proxy, or resets it (`None`). The proxy answers it.
     Set(Setting, Option<Box<str>>),
-    /// It asks for a setting of the proxy. The proxy answers it.
+    /// It queries a setting of the proxy. The proxy answers it.
     Show(Setting),
-    /// It sets what every connection has anyway. The proxy answers it.
+    /// It sets a value that every connection has already. The proxy answers it.
     Accepted,
     /// It must not run on a pooled connection.
     Refused(Refused),
@@ -70,7 +70,7 @@
     /// A temporary table or another object of the session.
     #[error("temporary objects do not last on a pooled connection: use a table, or WITH")]
     Temporary,
-    /// A lock that belongs to the session.
+    /// A session-level advisory lock.
     #[error("session locks do not last on a pooled connection: use pg_advisory_xact_lock")]
     Lock,
     /// SQL-level `PREPARE`, `EXECUTE` or `DEALLOCATE`.
@@ -90,7 +90,7 @@
     /// Two-phase commit.
     #[error("two-phase commit is not supported: use COMMIT")]
     TwoPhase,
-    /// A statement of the proxy's own dialect.
+    /// A statement that starts with `LENTIL`, which the proxy reserves.
     #[error("this statement is reserved to the proxy: leave it out")]
     Reserved,
     /// The text is too long to analyse.
@@ -149,20 +149,20 @@
             })
     }
 
-    /// Whether the proxy answers all of it itself.
+    /// Whether the proxy answers all statements without a database.
     pub fn local(&self) -> bool {
         self.statements.iter().all(Statement::local)
     }
 }
 
 impl Statement {
-    /// Whether the proxy answers it itself.
+    /// Whether the proxy answers the statement without a database.
     pub fn local(&self) -> bool {
         matches!(self, Self::Set(..) | Self::Show(_) | Self::Accepted)
     }
 }
 
-/// A token as a bare word; empty for anything else, quoted identifiers included.
+/// The text of an unquoted word; empty for other tokens, quoted identifiers included.
 fn word(token: Option<&Token>) -> &str {
     match token {
         Some(Token::Word(word)) if word.quote_style.is_none() => &word.value,
@@ -175,13 +175,13 @@
     word(token).eq_ignore_ascii_case(keyword)
 }
 
-/// Whether one of these keywords is among the tokens.
+/// Whether any of the keywords is among the tokens.
 fn has(tokens: &[Token], keywords: &[&str]) -> bool {
     let one = |token| keywords.iter().any(|keyword| is(Some(token), keyword));
     tokens.iter().any(one)
 }
 
-/// Whether these keywords follow each other somewhere.
+/// Whether the two keywords are adjacent anywhere in the tokens.
 fn has_pair(tokens: &[Token], first: &str, second: &str) -> bool {
     tokens
         .windows(2)
@@ -221,10 +221,10 @@
     }
 }
 
-/// `TEMP` stands among the first words, as in `CREATE OR REPLACE LOCAL TEMP VIEW`.
+/// The number of first words that may include `TEMP`, as in `CREATE OR REPLACE LOCAL TEMP VIEW`.
 const CREATE_WORDS: usize = 5;
 
-/// A statement that writes, unless it makes something that belongs to the session.
+/// Classifies other statements as writes, unless they create or change session state.
 fn write(tokens: &[Token]) -> Statement {
     let start = &tokens[..tokens.len().min(CREATE_WORDS)];
     if is(tokens.first(), "CREATE") && has(start, &["TEMP", "TEMPORARY"]) {
--- a/src/sql/query.rs
+++ b/src/sql/query.rs
@@ -1,13 +1,13 @@
-//! Queries: which of them only read.
+//! Classification of queries: which of them only read.
 
 use super::{Refused, Statement, has, is};
 use sqlparser::tokenizer::Token;
 
 /// Functions that neither write nor depend on the session's state. Sorted.
 ///
-/// Functions that differ between databases, such as `pg_is_in_recovery`, are here as well: an
-/// answer from any database is a true one.
-const PURE: &[&str] = &[
+/// The list includes functions whose result differs between databases, such as
+/// `pg_is_in_recovery`: any database's result is correct.
+const PURE_FUNCTIONS: &[&str] = &[
     "abs",
     "age",
     "any",
@@ -165,8 +165,8 @@
     "version",
 ];
 
-/// Keywords and type names after which a parenthesis is no call. Sorted.
-const GRAMMAR: &[&str] = &[
+/// Keywords and type names after which a parenthesis does not start a function call.
+const GRAMMAR_WORDS: &[&str] = &[
     "ALL",
     "AND",
     "AS",
@@ -221,7 +221,7 @@
     "WITHIN",
 ];
 
-/// Functions whose effect lasts as long as the session's.
+/// Functions for session-level locks, which last until the end of the session.
 const SESSION_LOCKS: &[&str] = &[
     "pg_advisory_lock",
     "pg_advisory_lock_shared",
@@ -237,7 +237,7 @@
     if let Some(refused) = session_state(tokens) {
         return Statement::Refused(refused);
     }
-    if changes(tokens) {
+    if may_write(tokens) {
         return Statement::Write;
     }
     Statement::Read
@@ -248,13 +248,13 @@
     if let Some(refused) = session_state(tokens) {
         return Statement::Refused(refused);
     }
-    if has(tokens, &["ANALYZE", "ANALYSE"]) && changes(tokens) {
+    if has(tokens, &["ANALYZE", "ANALYSE"]) && may_write(tokens) {
         return Statement::Write;
     }
     Statement::Read
 }
 
-/// What the statement would leave behind on its connection, if anything.
+/// The session state that the statement would leave on its connection, if any.
 pub(super) fn session_state(tokens: &[Token]) -> Option<Refused> {
     calls(tokens).find_map(|call| {
         let name = call.name.to_ascii_lowercase();
@@ -265,8 +265,8 @@
     })
 }
 
-/// Whether the parenthesis that opens in `tokens` closes after the word `true`: the argument
-/// `is_local` of `set_config`.
+/// Whether the last word in the first parentheses of `tokens` is `true`: for `set_config`, this is the
+/// argument `is_local`.
 fn ends_in_true(tokens: &[Token]) -> bool {
     let mut depth = 0_usize;
     for (index, token) in tokens.iter().enumerate() {
@@ -282,8 +282,8 @@
     false
 }
 
-/// Whether anything in the statement may write or lock.
-fn changes(tokens: &[Token]) -> bool {
+/// Whether any part of the statement may write or lock.
+fn may_write(tokens: &[Token]) -> bool {
     let writes = has(
         tokens,
         &["INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "SHARE"],
@@ -291,10 +291,10 @@
     writes || calls(tokens).any(|call| !call.pure)
 }
 
-/// A word in front of a parenthesis that is not the grammar's own.
+/// A function call: a word before a parenthesis that is not part of SQL's grammar.
 struct Call<'a> {
     name: &'a str,
-    /// Where the word stands.
+    /// The index of the word in the tokens.
     index: usize,
     pure: bool,
 }
@@ -310,22 +310,22 @@
             let quoted = name.quote_style.is_some();
             let qualifier = qualifier(tokens, index);
             let keyword = |word: &&str| name.value.eq_ignore_ascii_case(word);
-            let grammar = !quoted && qualifier.is_none() && GRAMMAR.iter().any(keyword);
-            if grammar || names_columns(tokens, index) {
+            let grammar = !quoted && qualifier.is_none() && GRAMMAR_WORDS.iter().any(keyword);
+            if grammar || is_column_list(tokens, index) {
                 return None;
             }
-            let ours = qualifier.is_none_or(|schema| schema.eq_ignore_ascii_case("pg_catalog"));
+            let built_in = qualifier.is_none_or(|schema| schema.eq_ignore_ascii_case("pg_catalog"));
             let lower = name.value.to_ascii_lowercase();
-            let known = PURE.binary_search(&lower.as_str()).is_ok();
+            let known = PURE_FUNCTIONS.binary_search(&lower.as_str()).is_ok();
             Some(Call {
                 name: &name.value,
                 index,
-                pure: ours && known,
+                pure: built_in && known,
             })
         })
 }
 
-/// The schema in front of the word at `index`.
+/// The schema that qualifies the word at `index`, if any.
 fn qualifier(tokens: &[Token], index: usize) -> Option<&str> {
     let dot = tokens.get(index.checked_sub(1)?)?;
     let schema = tokens.get(index.checked_sub(2)?)?;
@@ -337,7 +337,7 @@
 
 /// Whether the parenthesis after the word at `index` lists the columns of an alias, as in
 /// `WITH lots (id, body) AS` or `FROM (...) AS lots (id)`.
-fn names_columns(tokens: &[Token], index: usize) -> bool {
+fn is_column_list(tokens: &[Token], index: usize) -> bool {
     let before = index.checked_sub(1).and_then(|index| tokens.get(index));
     if is(before, "AS") {
         return true;
--- a/src/sql/setting.rs
+++ b/src/sql/setting.rs
@@ -1,4 +1,4 @@
-//! `SET`, `RESET` and `SHOW`.
+//! Classification of `SET`, `RESET` and `SHOW`.
 
 use super::{Refused, Statement, is, word};
 use sqlparser::tokenizer::Token;
@@ -15,7 +15,7 @@
     MaxAge,
     /// The request key of the caller's writes.
     Request,
-    /// A session token that the caller was shown.
+    /// A session token that the caller received from a proxy.
     Token,
 }
 
@@ -55,7 +55,7 @@
     let local = is(tokens.get(1), "LOCAL");
     let scoped = local || is(tokens.get(1), "SESSION");
     let rest = &tokens[if scoped { 2 } else { 1 }..];
-    if let Some(setting) = own(rest) {
+    if let Some(setting) = proxy_setting(rest) {
         return setting.map_or_else(Statement::Refused, |setting| {
             assign(&verb, local, setting, rest)
         });
@@ -65,13 +65,13 @@
         "SET" if local => Statement::Inside,
         "SET" if is(rest.first(), "TRANSACTION") && !scoped => Statement::Inside,
         "SET" if is(rest.first(), "CONSTRAINTS") => Statement::Inside,
-        "SET" if has_anyway(rest) => Statement::Accepted,
+        "SET" if is_preset(rest) => Statement::Accepted,
         _ => Statement::Refused(Refused::Set),
     }
 }
 
-/// The proxy's setting that `tokens` start with, if they start with one.
-fn own(tokens: &[Token]) -> Option<Result<Setting, Refused>> {
+/// The setting of the proxy at the start of `tokens`; `None` if they don't start with [`PREFIX`].
+fn proxy_setting(tokens: &[Token]) -> Option<Result<Setting, Refused>> {
     if !is(tokens.first(), PREFIX) {
         return None;
     }
@@ -88,17 +88,17 @@
     }
 }
 
-/// The value after `=` or `TO`; `None` for `DEFAULT` and for nothing.
+/// The value after `=` or `TO`; `None` for `DEFAULT` or no value.
 fn value(tokens: &[Token]) -> Option<Box<str>> {
     let tokens = tokens.get(1..)?;
     if is(tokens.first(), "DEFAULT") {
         return None;
     }
-    let text: String = tokens.iter().map(plain).collect();
+    let text: String = tokens.iter().map(plain_text).collect();
     (!text.is_empty()).then(|| text.into())
 }
 
-fn plain(token: &Token) -> String {
+fn plain_text(token: &Token) -> String {
     match token {
         Token::SingleQuotedString(text) => text.clone(),
         Token::Word(word) => word.value.clone(),
@@ -106,20 +106,20 @@
     }
 }
 
-/// Whether a `SET` asks for what drivers set at start and every connection has already.
-fn has_anyway(rest: &[Token]) -> bool {
+/// Whether a `SET` sets a value that drivers set at start and that every connection has already.
+fn is_preset(rest: &[Token]) -> bool {
     let name = word(rest.first()).to_ascii_lowercase();
     let value = value(&rest[1.min(rest.len())..]).unwrap_or_default();
-    let wanted = value.to_ascii_lowercase();
+    let lowercase = value.to_ascii_lowercase();
     match name.as_str() {
-        "client_encoding" => matches!(wanted.as_str(), "utf8" | "utf-8" | "unicode"),
+        "client_encoding" => matches!(lowercase.as_str(), "utf8" | "utf-8" | "unicode"),
         "names" => rest
             .get(1)
-            .map(plain)
+            .map(plain_text)
             .is_some_and(|name| name.eq_ignore_ascii_case("utf8")),
-        "standard_conforming_strings" => wanted == "on",
-        "timezone" => matches!(wanted.as_str(), "utc" | "gmt" | "etc/utc"),
-        "datestyle" => wanted.starts_with("iso"),
+        "standard_conforming_strings" => lowercase == "on",
+        "timezone" => matches!(lowercase.as_str(), "utc" | "gmt" | "etc/utc"),
+        "datestyle" => lowercase.starts_with("iso"),
         "application_name" | "extra_float_digits" => true,
         _ => false,
     }
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,10 +1,10 @@
-//! Identifiers, log positions and sizes that every part of the proxy shares.
+//! Identifiers, log positions and sizes used by all parts of the proxy.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// Why a text is not a valid value of a checked type.
+/// Why a text is not a valid value of one of these types.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum Invalid {
     /// The text is empty or too long for an identifier.
@@ -27,8 +27,8 @@
 const NAME_LIMIT: usize = 63;
 
 fn check_name(text: &str) -> Result<Box<str>, Invalid> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if text.is_empty() || text.len() > NAME_LIMIT || !text.chars().all(plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if text.is_empty() || text.len() > NAME_LIMIT || !text.chars().all(is_allowed) {
         return Err(Invalid::Name(text.chars().take(NAME_LIMIT).collect()));
     }
     Ok(text.into())
@@ -111,7 +111,7 @@
 }
 
 name!(
-    /// A VM that runs one proxy, as the platform's list names it.
+    /// The name of a VM, which runs one proxy, in the platform's list.
     VmId
 );
 name!(
@@ -131,7 +131,7 @@
     PoolId
 );
 name!(
-    /// A caller, known by the user name of its connection.
+    /// A caller, identified by the user name of its connection.
     CallerId
 );
 name!(
@@ -139,25 +139,25 @@
     OrganisationId
 );
 name!(
-    /// A session that may roam between proxies and be alive on several.
+    /// A session, which may move between proxies and be open on several at once.
     SessionId
 );
 name!(
-    /// A key that a caller gives a write so that it can ask for its outcome later.
+    /// A key that a caller sends with a write so that it can ask for the outcome later.
     RequestKey
 );
 
 number!(
-    /// When a database started, in milliseconds of Unix time, as it says itself: tells one life of
-    /// an id from the next.
+    /// When a database started, as it reports itself, in milliseconds of Unix time. It distinguishes
+    /// the lives of databases with the same id.
     Birth
 );
 number!(
-    /// A group's ballot: it only rises, and belongs to the one steward that raised it.
+    /// A group's ballot number: it only increases, and belongs to the one steward that raised it.
     Term
 );
 number!(
-    /// A place in a group's log, counted in entries. Comparable within one lineage only.
+    /// An index in a group's log, counted in entries. Comparable only within one lineage.
     Offset
 );
 number!(
@@ -165,8 +165,8 @@
     Version
 );
 number!(
-    /// One operator's attempt to apply a document, drawn at random, by which a lost answer is
-    /// settled.
+    /// The random id of an operator's attempt to apply a document. If the answer is lost, the id
+    /// shows whether the attempt succeeded.
     ApplyId
 );
 number!(
@@ -174,7 +174,7 @@
     Link
 );
 number!(
-    /// One request between two proxies, unique for the sender's life.
+    /// One request between two proxies, unique within the sender's life.
     RequestId
 );
 number!(
@@ -182,15 +182,15 @@
     ConnId
 );
 number!(
-    /// One life of a VM's process, drawn at random when it starts, so that a restarted
-    /// process is not taken for its predecessor.
+    /// One life (incarnation) of a VM's process: a random number drawn at its start, so that a
+    /// restarted process is not mistaken for its predecessor.
     Life
 );
 
 /// A log position: the term that wrote the entry, and its offset.
 ///
-/// The derived order is the order of promotion (term first). Whether a replica holds a
-/// position is answered by its lineage, never by this order alone.
+/// The derived order is the order of promotion (term first). This order alone does not show whether
+/// a replica holds a position; its lineage does.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -227,13 +227,13 @@
     }
 }
 
-/// The processor that a VM has, in thousandths of a core; 0 if it is not known.
+/// The processor cores of a VM, in thousandths of a core; 0 if it is not known.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Cores(u32);
 
 impl Cores {
-    /// So many thousandths of a core.
+    /// The value of `thousandths` of a core.
     pub const fn from_thousandths(thousandths: u32) -> Self {
         Self(thousandths)
     }
@@ -244,8 +244,8 @@
 
     fn try_from(cores: f64) -> Result<Self, Invalid> {
         /// More cores than any machine has.
-        const MOST: f64 = 65_536.0;
-        if !(0.0..=MOST).contains(&cores) {
+        const MAX_CORES: f64 = 65_536.0;
+        if !(0.0..=MAX_CORES).contains(&cores) {
             return Err(Invalid::Cores(cores.to_string().into()));
         }
         Ok(Self((cores * 1e3).round() as u32))
