--- a/tests/apply.rs
+++ b/tests/apply.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke apply` and `show`: what operators see, alone and racing each other.
+//! `lentilspoke apply` and `show`: their output, for one operator and for two concurrent ones.
 
 mod command;
 
@@ -13,15 +13,15 @@
 
 fn apply(address: &str, text: &str, rest: &[&str]) -> String {
     let file = File::new(text);
-    let words = ["apply", file.path(), "--platform", address];
-    let said = lentilspoke(&[&words, rest].concat());
-    file.anonymous(&said)
+    let arguments = ["apply", file.path(), "--platform", address];
+    let printed = lentilspoke(&[&arguments, rest].concat());
+    file.anonymous(&printed)
 }
 
-/// Operators A and B start from version 1. A is accepted; B hears which version won and what it
-/// changed, takes the change in, and is accepted.
+/// Operators A and B both edit version 1. A's file is accepted. B's is refused with the new version
+/// and its changes; after B has included them, it is accepted.
 #[test]
-fn operators_race_and_the_loser_sees_what_won() {
+fn a_file_based_on_an_older_version_is_refused_with_the_changes() {
     let (_platform, address) = start();
     let first = apply(&address, DOCUMENT, &["--base", "0"]);
     insta::assert_snapshot!(first, @r#"
@@ -110,7 +110,7 @@
     "#);
 }
 
-/// The platform's answer is lost after the write took effect: the operator hears "accepted".
+/// The platform's answer is lost after the write took effect: the operator still gets "accepted".
 #[test]
 fn a_lost_answer_is_settled() {
     let (platform, address) = start();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_wrong_file_or_use() {
+fn nothing_is_sent_for_an_invalid_file_or_wrong_usage() {
     let (platform, address) = start();
     let wrong = DOCUMENT.replace("\"ledger1\"]", "\"ledger2\"]");
     insta::assert_snapshot!(apply(&address, &wrong, &["--base", "0"]), @r#"
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn an_outage_is_told() {
+fn an_outage_is_reported() {
     let (platform, address) = start();
     platform.set_health(Health::Down);
     insta::assert_snapshot!(apply(&address, DOCUMENT, &["--base", "0"]), @r#"
--- a/tests/check.rs
+++ b/tests/check.rs
@@ -1,31 +1,31 @@
-//! `lentilspoke check`: what an operator sees, and the exit code.
+//! `lentilspoke check`: its output and exit code.
 
 mod command;
 
 use command::{File, lentilspoke};
 
 #[test]
-fn a_good_file_is_counted() {
+fn a_valid_file_is_summarised() {
     let file = File::new(command::DOCUMENT);
-    let said = lentilspoke(&["check", file.path()]);
-    insta::assert_snapshot!(file.anonymous(&said), @r#"
+    let printed = lentilspoke(&["check", file.path()]);
+    insta::assert_snapshot!(file.anonymous(&printed), @r#"
     exit 0
     FILE: ok: groups 1, databases 1, pools 1
     "#);
 }
 
 #[test]
-fn a_wrong_file_is_told_with_its_place() {
+fn an_invalid_file_is_reported_with_its_location() {
     let file = File::new(&command::DOCUMENT.replace("\"slots\": 3", "\"slots\": 26"));
-    let said = lentilspoke(&["check", file.path()]);
-    insta::assert_snapshot!(file.anonymous(&said), @r#"
+    let printed = lentilspoke(&["check", file.path()]);
+    insta::assert_snapshot!(file.anonymous(&printed), @r#"
     exit 1
     lentilspoke: FILE:5:101: groups.ledger1.databases.a.connections: fewer connections than slots: raise connections or lower slots
     "#);
 }
 
 #[test]
-fn a_wrong_use_ends_with_2() {
+fn wrong_usage_is_reported() {
     insta::assert_snapshot!(lentilspoke(&["check"]), @r#"
     exit 2
     lentilspoke: FILE is missing
@@ -43,8 +43,8 @@
 #[test]
 fn every_command_has_help() {
     for command in ["check", "apply", "show", "dump"] {
-        let said = lentilspoke(&[command, "--help"]);
-        assert!(said.starts_with("exit 0\n"), "{command}: {said}");
-        assert!(said.contains(&format!("Usage: lentilspoke {command}")));
+        let printed = lentilspoke(&[command, "--help"]);
+        assert!(printed.starts_with("exit 0\n"), "{command}: {printed}");
+        assert!(printed.contains(&format!("Usage: lentilspoke {command}")));
     }
 }
--- a/tests/command/mod.rs
+++ b/tests/command/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the binary as an operator would.
+//! Runs the binary as an operator does.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use std::io::{BufRead, BufReader};
@@ -20,19 +20,19 @@
 }
 "#;
 
-/// The exit code, standard output and standard error of one run.
-pub fn lentilspoke(words: &[&str]) -> String {
+/// Runs the binary and returns its exit code, standard output and standard error.
+pub fn lentilspoke(arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_lentilspoke"))
-        .args(words)
+        .args(arguments)
         .output()
         .unwrap();
     let code = output.status.code().unwrap();
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim_end().to_owned();
-    let said = [text(&output.stdout), text(&output.stderr)].join("");
-    format!("exit {code}\n{said}")
+    let printed = [text(&output.stdout), text(&output.stderr)].join("");
+    format!("exit {code}\n{printed}")
 }
 
-/// A process of the binary that goes on running, killed when the test ends.
+/// A running process of the binary, killed on drop.
 pub struct Process {
     child: Child,
     /// The first line that it printed.
@@ -40,10 +40,10 @@
 }
 
 impl Process {
-    /// Starts it, and waits for its first line.
-    pub fn start(words: &[&str]) -> Self {
+    /// Starts the process and waits for its first line of output.
+    pub fn start(arguments: &[&str]) -> Self {
         let mut child = Command::new(env!("CARGO_BIN_EXE_lentilspoke"))
-            .args(words)
+            .args(arguments)
             .stdout(Stdio::piped())
             .spawn()
             .unwrap();
@@ -77,7 +77,7 @@
     Ok(client)
 }
 
-/// A file that is gone after the test.
+/// A temporary file, deleted on drop.
 pub struct File(PathBuf);
 
 impl File {
@@ -94,9 +94,9 @@
         self.0.to_str().unwrap()
     }
 
-    /// The text with this file's path as FILE.
-    pub fn anonymous(&self, said: &str) -> String {
-        said.replace(self.path(), "FILE")
+    /// The text with this file's path replaced by FILE.
+    pub fn anonymous(&self, printed: &str) -> String {
+        printed.replace(self.path(), "FILE")
     }
 }
 
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration documents and settings: what is refused, where, and with which remedy.
+//! Configuration documents and settings: which are refused, with which location and remedy.
 
 use lentilspoke::config::Document;
 use lentilspoke::settings::Settings;
@@ -35,8 +35,8 @@
 }
 "#;
 
-/// The message for a text in which `from` is replaced by `to`.
-fn refused<T: std::str::FromStr<Err = lentilspoke::jsonc::Error>>(
+/// The messages for the text, each after one edit, in which `from` is replaced by `to`.
+fn errors<T: std::str::FromStr<Err = lentilspoke::jsonc::Error>>(
     text: &str,
     edits: &[(&str, &str)],
 ) -> String {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_whole_document_reads() {
+fn a_complete_document_parses() {
     let document: Document = DOCUMENT.parse().unwrap();
     assert_eq!(document.databases().count(), 3);
     let again: Document = serde_json::to_string(&document).unwrap().parse().unwrap();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn shapes_are_checked_with_their_place() {
+fn syntax_errors_are_reported_with_their_location() {
     let edits = [
         ("\"slots\": 3", "\"slot\": 3"),
         ("\"slots\": 3", "\"slots\": \"3\""),
@@ -76,7 +76,7 @@
         ("reports run at night. */", "reports run at night."),
         ("\"long\": true", "\"long\": true,"),
     ];
-    insta::assert_snapshot!(refused::<Document>(DOCUMENT, &edits), @r#"
+    insta::assert_snapshot!(errors::<Document>(DOCUMENT, &edits), @r#"
     6:77: unknown field `slot`, expected one of `address`, `domain`, `slots`, `connections`, `leaving`: correct or remove it
     6:83: invalid type: string "3", expected a whole number
     6:82: invalid value: integer `-3`, expected a whole number
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn clashes_are_told_by_path_and_place() {
+fn conflicts_are_reported_with_path_and_location() {
     let edits = [
         ("\"slots\": 3", "\"slots\": 0"),
         ("\"slots\": 3", "\"slots\": 30"),
@@ -115,7 +115,7 @@
         ("\"window\": \"1s\"", "\"damping\": \"1s\""),
         ("\"window\": \"1s\"", "\"probe\": \"0s\""),
     ];
-    insta::assert_snapshot!(refused::<Document>(DOCUMENT, &edits), @r#"
+    insta::assert_snapshot!(errors::<Document>(DOCUMENT, &edits), @r#"
     6:81: groups.ledger1.databases.a.slots: a database runs at least 1 statement at once
     6:101: groups.ledger1.databases.a.connections: fewer connections than slots: raise connections or lower slots
     7:48: groups.ledger1.databases.b.address: database a has this address: correct one of them
@@ -134,8 +134,8 @@
     "#);
 }
 
-/// An operator replaces one database by another in one document: an old majority (a, c) and a new
-/// one (b, d) would have no database in common.
+/// An operator replaces a database by another one in a single document: an old majority (a, c) and a
+/// new one (b, d) would share no database.
 #[test]
 fn members_change_one_at_a_time() {
     let before: Document = DOCUMENT.parse().unwrap();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn settings_are_checked_alike() {
+fn settings_are_checked() {
     assert!(SETTINGS.parse::<Settings>().unwrap().key().is_some());
     let edits = [
         ("\"vm\"", "\"name\""),
@@ -165,7 +165,7 @@
             "\"limits\": {\"connections\": 0}",
         ),
     ];
-    insta::assert_snapshot!(refused::<Settings>(SETTINGS, &edits), @r#"
+    insta::assert_snapshot!(errors::<Settings>(SETTINGS, &edits), @r#"
     2:10: unknown field `name`, expected one of `vm`, `domain`, `callers`, `peers`, `admin`, `platform`, `log`, `token_key`, `limits`, `direct`: correct or remove it
     2:21: `mombasa 1` is not a name: use 1 to 63 letters, digits, `-`, `_` or `.`
     5:28: peers: `callers` listens on 10.0.0.4:5432 too: give each its own port
@@ -196,7 +196,7 @@
         ("mombasa-1\": \"coast", "mombasa 1\": \"coast"),
         ("\"orders\"", "\"order\""),
     ];
-    insta::assert_snapshot!(refused::<Settings>(&settings, &edits), @r#"
+    insta::assert_snapshot!(errors::<Settings>(&settings, &edits), @r#"
     8:39: direct.ready: `peers` listens on 10.0.0.4:7000 too: give each its own port
     10:21: direct.grace: a planned stop takes 3s at least: write more
     10:18: invalid type: integer `6`, expected a span of time in quotes with its unit, such as "250ms" or "5s"
--- a/tests/explain_cause.rs
+++ b/tests/explain_cause.rs
@@ -1,11 +1,11 @@
-//! The sentence with which a story begins: each rule on lines as VMs write them.
+//! The likely cause at the head of a report: each rule, with lines as VMs write them.
 
 use lentilspoke::explain::line::Reader;
 use lentilspoke::explain::{moment, report};
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-/// The cause that is told of the request in these lines.
+/// The reported cause of the request in these lines.
 fn cause(text: &str) -> String {
     let mut reader = Reader::default();
     reader.read("unused", text);
@@ -28,7 +28,8 @@
 20.900 front-b-1 9800 WARN direct::control::change the primary is replaced group=gocu21a primary=i-2 cause=Lost took_ms=1800
 ";
 
-/// A copy that is full, busy, or to which this VM has enough under way, once because it was lost.
+/// The database has no connection left, is busy, or has too many requests of this VM in progress; the
+/// last case also while the primary is replaced.
 #[test]
 fn refused_because_full() {
     let busy = "the primary is busy; retry_ms=30";
@@ -44,33 +45,33 @@
     insta::assert_snapshot!(causes.join("\n"));
 }
 
-/// No primary: one that is being replaced, a VM out of touch, one that has just started, and
-/// nothing that tells. A replacement that was over long before, or of another group, is no cause.
+/// No primary: it is being replaced, the VM has no contact with the store, the VM has just started,
+/// or no line shows the reason. A replacement long before, or in another group, is not a cause.
 #[test]
 fn refused_without_a_primary() {
     let line = ended(
         "no primary is known; retry_ms=500",
         "outcome=Busy tries=0 last=-",
     );
-    let alone = "18.0 front-a-1 7 WARN direct::control::store the store does not answer reason=\"timed out\"\n";
-    let again = "18.9 front-a-1 8 INFO direct::control::store the store answers again\n";
+    let disconnected = "18.0 front-a-1 7 WARN direct::control::store the store does not answer reason=\"timed out\"\n";
+    let reconnected = "18.9 front-a-1 8 INFO direct::control::store the store answers again\n";
     let started = "19.9 front-a-1 0 INFO logs started unix_ms=1\n";
-    let over = REPLACED
+    let long_before = REPLACED
         .replace("20.900", "9.300")
         .replace("19.100", "9.000");
     let other = REPLACED.replace("gocu21a", "zibo18c");
     let causes = [
         REPLACED.to_owned() + &line,
-        alone.to_owned() + &line,
+        disconnected.to_owned() + &line,
         started.to_owned() + &line,
-        alone.to_owned() + again + &line,
-        over + &line,
+        disconnected.to_owned() + reconnected + &line,
+        long_before + &line,
         other + &line,
     ];
     insta::assert_snapshot!(causes.map(|text| cause(&text)).join("\n"));
 }
 
-/// An outcome is unknown: the answer was lost, the lease ended while it ran, or nothing came.
+/// The outcome is unknown: the answer was lost, the lease ended meanwhile, or no answer came in time.
 #[test]
 fn outcome_unknown() {
     let lapsed = ended(
@@ -91,7 +92,7 @@
     insta::assert_snapshot!(causes.map(|text| cause(&text)).join("\n"));
 }
 
-/// A route that is unknown in the configuration here: there is no newer one, or another VM has it.
+/// The route is not in this VM's configuration: another VM has a newer version, or only an older one.
 #[test]
 fn route_unknown() {
     let line = ended(
@@ -104,8 +105,8 @@
     insta::assert_snapshot!(causes.map(|text| cause(&text)).join("\n"));
 }
 
-/// A transaction that a stop or its own rest ended, and one whose primary was replaced; a session
-/// that a stop closed; what was served late.
+/// A transaction rolled back because it was idle, because its VM stopped, or because its primary was
+/// replaced; a session that a planned stop closed; late answers; a statement that failed.
 #[test]
 fn the_rest() {
     let rolled = "the transaction was idle for too long, or its VM stops";
@@ -130,8 +131,8 @@
     insta::assert_snapshot!(causes.map(|text| cause(&text)).join("\n"));
 }
 
-/// Of 74 VMs each tells that it has given an epoch up, and learns the new primary: that is one line
-/// each, and one more for the request's own VM.
+/// 74 VMs each log that they released an epoch and that they received the new primary. The report
+/// has one line for each of the two, and one more for the request's own VM.
 #[test]
 fn a_story_from_many_vms_stays_short() {
     let mut text = REPLACED.to_owned() + &ended("the answer was lost", "outcome=Unknown last=lost");
@@ -147,7 +148,8 @@
     insta::assert_snapshot!(report(&lines, ID).unwrap());
 }
 
-/// A VM lost power while it ran a request, which has no line: what it wrote around that moment.
+/// A VM lost power while it ran a request, so no line names it: the report has the VM's lines around
+/// that moment.
 #[test]
 fn a_moment_on_a_vm() {
     let text = ended("the answer was lost", "outcome=Unknown last=lost")
@@ -159,8 +161,8 @@
     insta::assert_snapshot!(moment(&lines, "front-a-1", 22_000));
 }
 
-/// An organisation that had used its allowance, one whose allowance nobody kept, and a key that nobody
-/// holds.
+/// The organisation has used up its allowance, its allowance has no allocator that answers, or its
+/// key is unknown.
 #[test]
 fn refused_for_its_organisation() {
     let spent = ended(
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: what they look like, how many are let through, and a reader that does not read.
+//! Log lines: their format, their rate limit, and an output that blocks or is closed.
 
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::logs::budget::{Budget, Verdict};
@@ -10,27 +10,27 @@
 
 const LINES: usize = 20_000;
 const LIMIT: usize = 4096;
-const PATIENCE: Duration = Duration::from_secs(60);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn told(dropped: u64) -> String {
+fn dropped_line(dropped: u64) -> String {
     format!("{dropped} dropped\n")
 }
 
-/// Callers see nothing: whoever reads the logs has stopped, the pipe is full, the writes block.
-/// Lines go on being taken, what does not fit is dropped, and once somebody reads again, a line
-/// says how many are missing. A write on the serving thread would never return here.
+/// The reader of the logs stops, so the pipe fills up and writes block. The queue still accepts lines
+/// and drops those that don't fit; after the reader resumes, a line reports how many are missing. A
+/// write on the serving thread would never return here.
 #[test]
-fn a_reader_that_does_not_read_stops_nothing() {
+fn a_blocked_reader_does_not_block_the_queue() {
     let (mut reader, writer) = std::io::pipe().unwrap();
-    let queue = Queue::start(writer, LIMIT, told).unwrap();
+    let queue = Queue::start(writer, LIMIT, dropped_line).unwrap();
     for n in 0..LINES {
         queue.push(format!("line {n}\n").as_bytes());
     }
     let dropped = queue.dropped();
     assert!(dropped > 0, "the pipe and the queue took all lines");
 
-    let ended = std::thread::spawn(move || {
-        queue.drain(PATIENCE);
+    let drained = std::thread::spawn(move || {
+        queue.drain(DRAIN_TIMEOUT);
         queue.push(b"end\n");
     });
     let mut text = String::new();
@@ -39,16 +39,16 @@
         let length = reader.read(&mut part).unwrap();
         text.push_str(std::str::from_utf8(&part[..length]).unwrap());
     }
-    ended.join().unwrap();
+    drained.join().unwrap();
     let written = text.lines().filter(|l| l.starts_with("line ")).count();
-    let said = text.lines().filter_map(|l| l.strip_suffix(" dropped"));
-    let said: u64 = said.map(|n| n.parse::<u64>().unwrap()).sum();
-    assert_eq!(said, dropped);
-    assert_eq!(written as u64 + said, LINES as u64);
+    let reported = text.lines().filter_map(|l| l.strip_suffix(" dropped"));
+    let reported: u64 = reported.map(|n| n.parse::<u64>().unwrap()).sum();
+    assert_eq!(reported, dropped);
+    assert_eq!(written as u64 + reported, LINES as u64);
 }
 
-/// Some readers take 8 KiB of a write and leave the rest. Each write holds whole lines, and no more
-/// than a pipe takes at once, but for a line that is longer.
+/// Some readers read only 8 KiB of a write. Each write consists of whole lines, and is no longer than
+/// a pipe accepts at once, except for a single longer line.
 #[test]
 fn writes_are_whole_lines() {
     #[derive(Clone, Default)]
@@ -63,12 +63,12 @@
         }
     }
     let calls = Calls::default();
-    let queue = Queue::start(calls.clone(), 64 * 1024, told).unwrap();
+    let queue = Queue::start(calls.clone(), 64 * 1024, dropped_line).unwrap();
     let line = "x".repeat(299) + "\n";
     let long = "y".repeat(5_000) + "\n";
     let lines = line.repeat(40) + &long + &line.repeat(20);
     queue.push(lines.as_bytes());
-    queue.drain(PATIENCE);
+    queue.drain(DRAIN_TIMEOUT);
     let calls = calls.0.lock().unwrap();
     assert_eq!(calls.concat(), lines.as_bytes());
     assert!(calls.iter().all(|call| call.ends_with(b"\n")));
@@ -76,23 +76,23 @@
     assert_eq!(too_long.collect::<Vec<_>>(), [long.as_bytes()]);
 }
 
-/// Whoever reads the logs has gone for good. Lines go nowhere, and nothing waits for them.
+/// The reader of the logs has closed the pipe. Lines are lost, and nothing waits for them.
 #[test]
-fn a_reader_that_went_away_stops_nothing() {
+fn a_closed_pipe_does_not_block_the_queue() {
     let (reader, writer) = std::io::pipe().unwrap();
     drop(reader);
-    let queue = Queue::start(writer, LIMIT, told).unwrap();
+    let queue = Queue::start(writer, LIMIT, dropped_line).unwrap();
     queue.push(b"line\n");
-    queue.drain(PATIENCE);
+    queue.drain(DRAIN_TIMEOUT);
     queue.push(b"line\n");
-    queue.drain(PATIENCE);
+    queue.drain(DRAIN_TIMEOUT);
     assert_eq!(queue.dropped(), 0);
 }
 
-/// Overload: one target writes far more lines than are let through. They are counted, and those
-/// of another target all pass.
+/// One target writes far more lines than the limit. The excess is dropped and counted, and the lines
+/// of another target are all admitted.
 #[test]
-fn a_storm_of_one_target_leaves_the_others_alone() {
+fn a_flood_of_one_target_does_not_affect_others() {
     let mut budget = Budget::new(3);
     let start = Time(5);
     let storm: Vec<Verdict> = (0..10).map(|_| budget.admit("refusals", start)).collect();
@@ -104,7 +104,7 @@
     assert_eq!(budget.admit("refusals", later), Verdict::Admit);
 }
 
-/// A caller chooses its request's id. Whatever is in it, it stays one value on one line.
+/// A caller chooses its request's id. Whatever characters it holds, it stays one value on one line.
 #[test]
 fn a_value_cannot_forge_a_line() {
     let pairs = [
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,5 +1,5 @@
-//! The operators' pages against the code: their examples are read by the real checkers, and their
-//! tables name each setting, metric and SQLSTATE that there is, and no other.
+//! Checks the operators' pages against the code: their examples parse, and their tables list every
+//! setting, metric and SQLSTATE, and no others.
 
 use lentilspoke::clock::Span;
 use lentilspoke::config::{File, Timing};
@@ -36,14 +36,14 @@
     rest.split_once("```").unwrap().0
 }
 
-/// The first cells of a section's tables, without their backquotes.
+/// The first cells of the rows of a section's tables, without backquotes.
 fn rows(heading: &str) -> BTreeSet<String> {
     let lines = section(heading).lines();
     let cells = lines.filter_map(|line| line.strip_prefix("| `")?.split_once("` |"));
     cells.map(|(cell, _)| cell.to_owned()).collect()
 }
 
-/// The keys of a value with their paths; what an operator names himself is NAME.
+/// The paths of a value's keys; names that operators choose are replaced by NAME.
 fn keys(value: &impl Serialize) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     walk(&serde_json::to_value(value).unwrap(), "", &mut found);
@@ -65,8 +65,8 @@
     }
 }
 
-/// Whether each default of `value` stands in the row of its key.
-fn defaults_stand(heading: &str, prefix: &str, value: &impl Serialize) {
+/// Checks that each default of `value` is in the row of its key.
+fn check_defaults(heading: &str, prefix: &str, value: &impl Serialize) {
     let value = serde_json::to_value(value).unwrap();
     for (key, default) in value.as_object().unwrap() {
         let default = default.as_str().map_or(default.to_string(), str::to_owned);
@@ -83,14 +83,14 @@
 fn settings_are_complete() {
     let settings: Settings = example("Settings").parse().unwrap();
     assert_eq!(rows("Settings"), keys(&settings));
-    defaults_stand("Settings", "limits", &Limits::default());
+    check_defaults("Settings", "limits", &Limits::default());
 }
 
 #[test]
 fn configuration_is_complete() {
     let file: File = example("Configuration").parse().unwrap();
     assert_eq!(rows("Configuration"), keys(&file));
-    defaults_stand("Configuration", "timing", &Timing::default());
+    check_defaults("Configuration", "timing", &Timing::default());
 }
 
 #[test]
@@ -101,7 +101,7 @@
     assert_eq!(rows("Metrics"), names.collect());
 }
 
-/// The same for direct access, on its own page; names stand there with their labels.
+/// The same for direct access, which has its own page; names have their labels there.
 #[test]
 fn metrics_of_direct_access_are_complete() {
     let (group, database) = ("ledger".parse().unwrap(), "a".parse().unwrap());
@@ -168,7 +168,7 @@
     let (_, rest) = section("What databases need")
         .split_once("```sql\n")
         .unwrap();
-    let words = |text: &str| text.split_whitespace().collect::<String>();
-    let statement = words(rest.split_once(';').unwrap().0);
-    assert_eq!(statement, words(REQUESTS_DDL));
+    let without_whitespace = |text: &str| text.split_whitespace().collect::<String>();
+    let statement = without_whitespace(rest.split_once(';').unwrap().0);
+    assert_eq!(statement, without_whitespace(REQUESTS_DDL));
 }
--- a/tests/registered/mod.rs
+++ b/tests/registered/mod.rs
@@ -1,4 +1,4 @@
-//! Databases as they register themselves, for tests of the control path.
+//! Registered databases, for tests of the control path.
 
 use lentilspoke::clock::Time;
 use lentilspoke::direct::config::Database;
--- a/tests/serve.rs
+++ b/tests/serve.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke serve`: proxies as processes of their own, between stand-ins and real clients.
+//! `lentilspoke serve`: proxies as separate processes, with simulated databases and real clients.
 
 mod command;
 mod ports;
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use tokio_postgres::Client;
 
-/// A proxy's process, and where it listens.
+/// A proxy's process and its listening addresses.
 struct Proxy {
     callers: SocketAddr,
     admin: SocketAddr,
@@ -62,10 +62,10 @@
     broker(address, "-c lentilspoke.session=broker-17").await
 }
 
-/// Writes a row of this id as soon as the system takes it, which proxies wait for too: a
-/// connection until they can serve, a statement until there is a leader. "Not run" is sent
-/// again, and so is work whose proxy was lost: the id is a key, so a duplicate tells that it was
-/// done.
+/// Writes a row with this id, and retries until it is accepted. Proxies wait as well: with a
+/// connection until they can serve, with a statement until the group has a leader. A write is retried
+/// after "not run" and after its proxy was lost: the id is a key, so a duplicate shows that an earlier
+/// attempt succeeded.
 async fn write(address: SocketAddr, id: &str) {
     loop {
         let sql = format!("INSERT INTO ledger VALUES ('{id}', 'x')");
@@ -88,7 +88,7 @@
     state.map_or(Term::default(), |state| state.term)
 }
 
-/// Whether this proxy leads the group, by its own word.
+/// Whether this proxy reports that it leads the group.
 fn leads(proxy: &Proxy) -> bool {
     let dump = lentilspoke(&["dump", &proxy.admin.to_string()]);
     let json = dump.strip_prefix("exit 0").unwrap();
@@ -102,11 +102,11 @@
     rows.unwrap().iter().map(|row| row.get(0)).collect()
 }
 
-/// A broker writes at one proxy and reads its write at the other. The process of the proxy that
-/// leads the group is killed; the broker goes on at the other, which takes the group over, with all
-/// that it wrote.
+/// A broker writes through one proxy and reads its write through the other. The process of the proxy
+/// that leads the group is killed. The other proxy takes the group over, and the broker continues
+/// there and reads all its writes.
 #[actix_rt::test]
-async fn a_session_goes_on_when_a_proxy_s_process_is_killed() {
+async fn a_session_continues_when_a_proxy_process_is_killed() {
     let platform = Platform::start("127.0.0.1:0".parse().unwrap()).unwrap();
     let databases = databases();
     let document = Document {
@@ -116,8 +116,8 @@
     };
     let file = File::new(&serde_json::to_string(&document).unwrap());
     let at = platform.address().to_string();
-    let said = lentilspoke(&["apply", file.path(), "--platform", &at, "--base", "0"]);
-    assert!(said.starts_with("exit 0"), "{said}");
+    let printed = lentilspoke(&["apply", file.path(), "--platform", &at, "--base", "0"]);
+    assert!(printed.starts_with("exit 0"), "{printed}");
     let mut proxies = vec![serve("vm1", &platform), serve("vm2", &platform)];
     write(proxies[0].callers, "lot-1").await;
     let leading = proxies.iter().position(leads).unwrap();
--- a/tests/sql.rs
+++ b/tests/sql.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn reads_are_told_from_writes() {
+fn reads_are_distinguished_from_writes() {
     insta::assert_snapshot!(table(&[
         "SELECT 1",
         "SELECT body FROM ledger WHERE id IN ($1, $2)",
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn settings_of_the_proxy_are_read() {
+fn settings_of_the_proxy_are_recognised() {
     insta::assert_snapshot!(table(&[
         "SET lentilspoke.session = 'broker-17'",
         "SET SESSION lentilspoke.max_age TO 5s",
--- a/tests/types.rs
+++ b/tests/types.rs
@@ -1,4 +1,4 @@
-//! Checked types: what reads back, and what is refused.
+//! Identifiers, positions and spans: which texts parse and which are refused.
 
 use lentilspoke::clock::Span;
 use lentilspoke::types::{GroupId, Invalid, Position};
