--- a/src/jsonc.rs
+++ b/src/jsonc.rs
@@ -13,14 +13,14 @@
 
 /// A location in a text; line and column count from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// The line.
     pub line: usize,
     /// The column, in bytes.
     pub column: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.line, self.column)
     }
@@ -28,10 +28,10 @@
 
 /// Why a text was refused, and where.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{place}: {message}")]
+#[error("{location}: {message}")]
 pub struct Error {
     /// Where the fault is, or where parsing stopped.
-    pub place: Place,
+    pub location: Location,
     /// What is wrong and what to write instead.
     pub message: Box<str>,
 }
@@ -68,7 +68,7 @@
     parse(&plain, UniqueKeys)?;
     let value: T = serde_json::from_str(&plain).map_err(|error| convert(&error))?;
     check(&value).map_err(|fault| Error {
-        place: locate(&plain, &fault.path),
+        location: locate(&plain, &fault.path),
         message: fault.to_string().into(),
     })?;
     Ok(value)
@@ -80,7 +80,7 @@
     let stripped = StripComments::new(text.as_bytes()).read_to_end(&mut bytes);
     if stripped.is_err() || bytes.len() != text.len() {
         return Err(Error {
-            place: end_of(text),
+            location: end_of(text),
             message: "a string or a comment does not end: close it".into(),
         });
     }
@@ -91,14 +91,14 @@
         }
     }
     String::from_utf8(bytes).map_err(|_| Error {
-        place: end_of(text),
+        location: end_of(text),
         message: "the text is not UTF-8: save it as UTF-8".into(),
     })
 }
 
-fn end_of(text: &str) -> Place {
+fn end_of(text: &str) -> Location {
     let last = text.rsplit('\n').next().unwrap_or_default();
-    Place {
+    Location {
         line: text.split('\n').count(),
         column: last.len() + 1,
     }
@@ -111,7 +111,7 @@
 }
 
 fn convert(error: &serde_json::Error) -> Error {
-    let place = Place {
+    let location = Location {
         line: error.line().max(1),
         column: error.column().max(1),
     };
@@ -124,7 +124,7 @@
         ))
         .unwrap_or(&message);
     Error {
-        place,
+        location,
         message: with_remedy(plain).into(),
     }
 }
@@ -162,11 +162,11 @@
 ];
 
 /// Where the value at `path` ends, or the innermost of its parents that can be found.
-fn locate(text: &str, path: &[Box<str>]) -> Place {
+fn locate(text: &str, path: &[Box<str>]) -> Location {
     match parse(text, Seek(path)) {
-        Err(error) => error.place,
+        Err(error) => error.location,
         Ok(_) if !path.is_empty() => locate(text, &path[..path.len() - 1]),
-        Ok(_) => Place { line: 1, column: 1 },
+        Ok(_) => Location { line: 1, column: 1 },
     }
 }
 
