--- a/src/standin/database/mod.rs
+++ b/src/standin/database/mod.rs
@@ -1,9 +1,9 @@
 //! A group of databases that replicate asynchronously, in one thread of this process.
 //!
-//! They speak the PostgreSQL protocol on TCP, run SQL by SQLite in memory, and follow the rules
-//! of terms that `net::dialect` assumes. One transaction writes at a time, and each statement
-//! sees what was committed before it. A slot is held for the service time of a statement, never
-//! while it waits for the writing transaction before it. Timers are good to a millisecond.
+//! They speak the PostgreSQL protocol over TCP, run SQL on in-memory SQLite, and follow the rules
+//! for terms that `net::dialect` assumes. One transaction writes at a time, and each statement
+//! sees what was committed before it. A statement holds a slot for its service time, but not
+//! while it waits for an earlier writing transaction. Timers have a resolution of 1 ms.
 
 mod link;
 mod reply;
@@ -31,37 +31,37 @@
 /// The one-way latency between a peer's address and a failure domain.
 pub type Latency = Arc<dyn Fn(IpAddr, &Domain) -> Span + Send + Sync>;
 
-/// The table that every group has, and that of the request keys.
+/// The table that every group has. [`Spec::new`] adds the table of the request keys.
 pub const SCHEMA: &str = "CREATE TABLE ledger (id text PRIMARY KEY NOT NULL, body text)";
 
-/// How a replica lags.
+/// The replication delays of a replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Lag {
-    /// From the commit until the entry is in the replica's log.
+    /// The time from the commit until the entry is in the replica's log.
     pub receive: Span,
-    /// From then until the replica's readers see it.
+    /// The time from then until the entry is visible to reads on the replica.
     pub apply: Span,
 }
 
-/// What a group is to be.
+/// The configuration of a stand-in group.
 #[derive(Clone)]
 pub struct Spec {
-    /// The databases; port 0 takes a free port. The first one is open in the first term.
+    /// The databases; port 0 selects a free port. The first database is the primary of the first term.
     pub group: config::Group,
-    /// The tables at the start, as SQL.
+    /// The SQL statements that create the initial tables.
     pub schema: Box<str>,
-    /// How its replicas lag.
+    /// The replication delays of its replicas.
     pub lag: Lag,
     /// How long a statement holds a slot.
     pub service: Span,
-    /// How long a new connection takes.
+    /// How long opening a connection takes.
     pub connect: Span,
-    /// The latency of its connections.
+    /// The one-way latency of its connections.
     pub latency: Latency,
 }
 
 impl Spec {
-    /// A group without lag, latency or service time, with the usual tables.
+    /// Returns a group without lag, latency or service time, with the default tables.
     pub fn new(group: config::Group) -> Self {
         Self {
             group,
@@ -85,13 +85,13 @@
     }
 }
 
-/// What the sessions and the handle share.
+/// The state that the sessions and the handle share.
 pub(crate) struct Shared {
     world: Mutex<World>,
-    /// Counts changes of logs and terms.
+    /// Counts changes of logs and terms; a change wakes the tasks that wait for one.
     changed: watch::Sender<u64>,
-    /// Counts changes of faults, for which each connection waits.
-    faulted: watch::Sender<u64>,
+    /// Counts changes of faults; every connection waits for these.
+    faults_changed: watch::Sender<u64>,
     latency: Latency,
 }
 
@@ -105,25 +105,27 @@
         self.lock().nodes.get_mut(id).map(act)
     }
 
-    /// Wakes whoever waits for a log or a term.
+    /// Wakes the tasks that wait for a change of a log or a term.
     fn wake(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Wakes the connections, too.
+    /// Wakes those tasks and every connection.
     fn wake_all(&self) {
-        self.faulted.send_modify(|count| *count += 1);
+        self.faults_changed.send_modify(|count| *count += 1);
         self.wake();
     }
 }
 
-/// Starts groups.
+/// Starts groups of stand-in databases.
 #[derive(Debug)]
 pub struct Group;
 
 impl Group {
-    /// Binds the databases' addresses and serves them on a thread of their own until the
-    /// handle is dropped.
+    /// Binds the databases' addresses and serves them on a new thread until the handle is dropped.
+    ///
+    /// Returns an error if an address can't be bound, the schema is invalid or the thread can't be
+    /// started.
     pub fn start(mut spec: Spec) -> io::Result<Handle> {
         let mut listeners = BTreeMap::new();
         for (id, database) in &mut spec.group.databases {
@@ -137,7 +139,7 @@
         let shared = Arc::new(Shared {
             world: Mutex::new(world),
             changed: watch::Sender::new(0),
-            faulted: watch::Sender::new(0),
+            faults_changed: watch::Sender::new(0),
             latency: spec.latency.clone(),
         });
         let (stop, stopped) = watch::channel(false);
@@ -156,8 +158,8 @@
     }
 }
 
-/// A running group, and the faults that can be set on it. Each call takes effect at once;
-/// an unknown database is ignored.
+/// Controls a running group and injects faults. Each call takes effect immediately; calls for an
+/// unknown database are ignored.
 pub struct Handle {
     group: config::Group,
     shared: Arc<Shared>,
@@ -166,28 +168,28 @@
 }
 
 impl Handle {
-    /// The group, with the addresses that its databases listen on.
+    /// Returns the group's configuration, with the addresses that its databases listen on.
     pub fn group(&self) -> &config::Group {
         &self.group
     }
 
-    /// Where a database listens.
+    /// Returns the address that a database listens on.
     pub fn address(&self, id: &DatabaseId) -> Option<SocketAddr> {
         Some(self.group.databases.get(id)?.address)
     }
 
-    /// What a database would report.
+    /// Returns the state that a database would report.
     pub fn state(&self, id: &DatabaseId) -> Option<State> {
         self.shared.node(id, |node| node.state())
     }
 
-    /// Waits until a database's state is as wanted.
+    /// Waits until a database's state satisfies `wanted`.
     pub async fn reached(&self, id: &DatabaseId, wanted: impl Fn(&State) -> bool) {
         let wanted = |group: &Self| group.state(id).is_none_or(|state| wanted(&state));
         self.until(wanted).await;
     }
 
-    /// Waits until the group is as wanted. Looked at whenever a log or a term has changed.
+    /// Waits until `wanted` is true. It is evaluated again whenever a log or a term changes.
     pub async fn until(&self, wanted: impl Fn(&Self) -> bool) {
         let mut changed = self.shared.changed.subscribe();
         while !wanted(self) {
@@ -197,14 +199,14 @@
         }
     }
 
-    /// How many statements a database runs at this moment.
+    /// Returns how many statements a database is running.
     pub fn running(&self, id: &DatabaseId) -> usize {
         let slots = self.group.databases.get(id).map_or(0, |d| d.slots as usize);
         let free = self.shared.node(id, |node| node.slots.available_permits());
         slots.saturating_sub(free.unwrap_or(slots))
     }
 
-    /// The open database of the highest term, if one is up.
+    /// Returns the open database with the highest term among those that are running.
     pub fn primary(&self) -> Option<DatabaseId> {
         let world = self.shared.lock();
         let open = world.nodes.iter().filter(|(_, node)| node.open);
@@ -213,17 +215,17 @@
             .map(|(id, _)| id.clone())
     }
 
-    /// Loses all packets between a database and these peers, in both directions.
+    /// Drops all packets between a database and these peers, in both directions.
     pub fn cut(&self, id: &DatabaseId, peers: impl IntoIterator<Item = IpAddr>) {
-        self.change(id, |node| node.faults.cut.extend(peers));
+        self.modify(id, |node| node.faults.cut.extend(peers));
     }
 
-    /// Ends every cut between a database and its peers.
+    /// Stops dropping packets between a database and its peers.
     pub fn heal(&self, id: &DatabaseId) {
-        self.change(id, |node| node.faults.cut.clear());
+        self.modify(id, |node| node.faults.cut.clear());
     }
 
-    /// Cuts the way between a database and the others of its group, or restores it.
+    /// Disconnects a database from the others of its group, or reconnects it.
     pub fn isolate(&self, id: &DatabaseId, cut: bool) {
         let others: Vec<DatabaseId> = self.group.databases.keys().cloned().collect();
         for other in others.iter().filter(|other| *other != id) {
@@ -231,52 +233,52 @@
         }
     }
 
-    /// Cuts the way between two databases, or restores it.
+    /// Disconnects two databases from each other, or reconnects them.
     pub fn split(&self, a: &DatabaseId, b: &DatabaseId, cut: bool) {
         self.shared.lock().split(a, b, cut);
         self.shared.wake();
     }
 
-    /// Stops a database in its tracks, or lets it go on where it was.
+    /// Pauses a database, or resumes it where it was.
     pub fn freeze(&self, id: &DatabaseId, frozen: bool) {
-        self.change(id, |node| node.faults.frozen = frozen);
+        self.modify(id, |node| node.faults.frozen = frozen);
     }
 
-    /// Makes the connections that are open now silent for good; new ones work.
+    /// Makes the currently open connections silent permanently; new ones work.
     pub fn silence(&self, id: &DatabaseId) {
-        let opened = serve::connections_so_far();
-        self.change(id, |node| node.faults.silent_below = opened);
+        let opened = serve::next_connection_number();
+        self.modify(id, |node| node.faults.silent_below = opened);
     }
 
-    /// Loses the next `count` answers to committed writes, and closes their connections.
+    /// Drops the next `count` answers to committed writes and closes their connections.
     pub fn lose_answers(&self, id: &DatabaseId, count: u32) {
-        self.change(id, |node| node.faults.lost_answers = count);
+        self.modify(id, |node| node.faults.lost_answers = count);
     }
 
-    /// Ends a database's process: its connections are reset and its transactions undone; its
-    /// log stays.
+    /// Ends a database's process: its connections are reset and its transactions rolled back, but
+    /// its log is kept.
     pub fn kill(&self, id: &DatabaseId) {
-        self.change(id, |node| {
+        self.modify(id, |node| {
             node.faults.down = true;
             node.faults.life += 1;
             node.abort();
         });
     }
 
-    /// Starts a killed database again.
+    /// Restarts a killed database.
     pub fn restart(&self, id: &DatabaseId) {
-        self.change(id, |node| {
+        self.modify(id, |node| {
             node.faults.down = false;
             node.faults.frozen = false;
         });
     }
 
-    /// Sets how a database lags as a replica.
+    /// Sets the replication delays of a database while it is a replica.
     pub fn set_lag(&self, id: &DatabaseId, lag: Lag) {
-        self.change(id, |node| node.lag = lag);
+        self.modify(id, |node| node.lag = lag);
     }
 
-    fn change(&self, id: &DatabaseId, act: impl FnOnce(&mut Node)) {
+    fn modify(&self, id: &DatabaseId, act: impl FnOnce(&mut Node)) {
         self.shared.node(id, act);
         self.shared.wake_all();
     }
--- a/src/standin/database/reply.rs
+++ b/src/standin/database/reply.rs
@@ -1,4 +1,4 @@
-//! The database's messages, gathered until they are sent.
+//! Encodes the database's protocol messages and buffers them until they are sent.
 
 use super::store::{Failure, Rows};
 use super::value::{self, Oid};
@@ -16,21 +16,21 @@
 };
 use pgwire::messages::startup::{Authentication, BackendKeyData, ParameterStatus, SecretKey};
 
-/// A column of a result.
+/// The name and type of a result column.
 #[derive(Debug, Clone)]
 pub(super) struct Column {
     pub(super) name: Box<str>,
     pub(super) oid: Oid,
 }
 
-/// Messages to send.
+/// A buffer of encoded messages to send.
 #[derive(Debug, Default)]
 pub(super) struct Reply {
     bytes: BytesMut,
 }
 
 impl Reply {
-    /// Takes what was gathered.
+    /// Returns the buffered bytes and empties the buffer.
     pub(super) fn take(&mut self) -> Bytes {
         self.bytes.split().freeze()
     }
@@ -74,19 +74,19 @@
         self.push(&ReadyForQuery::new(status));
     }
 
-    pub(super) fn parsed(&mut self) {
+    pub(super) fn parse_complete(&mut self) {
         self.push(&ParseComplete::new());
     }
 
-    pub(super) fn bound(&mut self) {
+    pub(super) fn bind_complete(&mut self) {
         self.push(&BindComplete::new());
     }
 
-    pub(super) fn closed(&mut self) {
+    pub(super) fn close_complete(&mut self) {
         self.push(&CloseComplete::new());
     }
 
-    pub(super) fn empty(&mut self) {
+    pub(super) fn empty_query(&mut self) {
         self.push(&EmptyQueryResponse::new());
     }
 
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The answer to an order.
+    /// Adds the answer to an order: the database's state as one row.
     pub(super) fn state(&mut self, state: &State) {
         let column = Column {
             name: dialect::STATE_COLUMN.into(),
@@ -160,7 +160,8 @@
     }
 }
 
-/// The format of a column: one code for all, or one each, or text.
+/// Returns the format code of a column: `formats` holds one code for all columns, one for each, or
+/// none, which means text.
 pub(super) fn format_of(formats: &[i16], index: usize) -> i16 {
     match formats {
         [all] => *all,
--- a/src/standin/database/serve.rs
+++ b/src/standin/database/serve.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, cancelling what they run, and moving the log along.
+//! Accepts connections, handles cancel requests, and runs replication.
 
 use super::Shared;
 use super::link::{self, Inbox, Outbox, Peer};
@@ -23,20 +23,20 @@
 
 static CONNECTIONS: AtomicU64 = AtomicU64::new(1);
 
-/// The number that the next connection of the process gets.
-pub(super) fn connections_so_far() -> u64 {
+/// Returns the sequence number that the next connection of the process gets.
+pub(super) fn next_connection_number() -> u64 {
     CONNECTIONS.load(Ordering::Relaxed)
 }
 
 /// Running sessions by process id, for cancel requests.
-type Sessions = Rc<RefCell<HashMap<i32, Running>>>;
+type Sessions = Rc<RefCell<HashMap<i32, CancelTarget>>>;
 
-struct Running {
+struct CancelTarget {
     secret: i32,
     cancel: Arc<Notify>,
 }
 
-/// Serves the listeners until told to stop.
+/// Serves the listeners until `stopped` becomes true.
 pub(super) async fn run(
     shared: Arc<Shared>,
     listeners: BTreeMap<DatabaseId, StdListener>,
@@ -53,7 +53,7 @@
 async fn replicate(shared: Arc<Shared>) {
     let mut changed = shared.changed.subscribe();
     loop {
-        // Seen before the logs are read, so that no change after that is slept through.
+        // Marked as seen before the logs are read, so that a later change is not missed.
         changed.borrow_and_update();
         let (before, lives) = (positions(&shared), lives(&shared));
         let next = shared.lock().replicate(Instant::now());
@@ -82,19 +82,19 @@
     stores.map(|store| [store.end(), store.applied()]).collect()
 }
 
-/// Raised where a database stopped because its log could not be applied.
+/// Returns the databases' lives. One rises when a database stops because its log can't be applied.
 fn lives(shared: &Shared) -> Vec<u64> {
     let world = shared.lock();
     world.nodes.values().map(|node| node.faults.life).collect()
 }
 
-/// Accepts while the database is up, and listens again once it is restarted.
+/// Accepts connections while the database is running, and listens again after a restart.
 async fn listen(shared: Arc<Shared>, id: DatabaseId, first: StdListener, sessions: Sessions) {
     let Ok(address) = first.local_addr() else {
         return;
     };
     let mut listener = TcpListener::from_std(first).ok();
-    let mut changed = shared.faulted.subscribe();
+    let mut changed = shared.faults_changed.subscribe();
     loop {
         let down = shared.node(&id, |node| node.faults.down).unwrap_or(true);
         if down {
@@ -121,12 +121,12 @@
 }
 
 async fn bind(address: SocketAddr) -> Option<TcpListener> {
-    const RETRY: Duration = Duration::from_millis(20);
-    const TRIES: usize = 50;
-    for _ in 0..TRIES {
+    const RETRY_DELAY: Duration = Duration::from_millis(20);
+    const MAX_TRIES: usize = 50;
+    for _ in 0..MAX_TRIES {
         match TcpListener::bind(address).await {
             Ok(listener) => return Some(listener),
-            Err(_) => tokio::time::sleep(RETRY).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
     log::error!(address:% = address; "stand-in database could not listen again");
@@ -141,8 +141,8 @@
 
 impl Connection {
     fn new(shared: &Arc<Shared>, id: &DatabaseId, from: SocketAddr) -> Self {
-        let about = shared.node(id, |node| (node.domain.clone(), node.faults.life));
-        let (domain, life) = about.map_or((None, 0), |(domain, life)| (Some(domain), life));
+        let properties = shared.node(id, |node| (node.domain.clone(), node.faults.life));
+        let (domain, life) = properties.map_or((None, 0), |(domain, life)| (Some(domain), life));
         let latency = domain.map(|domain| (shared.latency)(from.ip(), &domain));
         let peer = Peer {
             database: id.clone(),
@@ -162,18 +162,18 @@
         let (inbox, outbox) =
             link::open(stream, self.peer.clone(), self.shared.clone(), self.latency);
         tokio::select! {
-            () = self.converse(inbox, outbox, sessions) => {}
-            _ = self.peer.ends(&self.shared) => {}
+            () = self.serve_session(inbox, outbox, sessions) => {}
+            _ = self.peer.wait_for_end(&self.shared) => {}
         }
     }
 
-    async fn converse(&self, mut inbox: Inbox, outbox: Outbox, sessions: Sessions) {
-        let Some(startup) = begin(&mut inbox, &outbox, &sessions).await else {
+    async fn serve_session(&self, mut inbox: Inbox, outbox: Outbox, sessions: Sessions) {
+        let Some(startup) = read_startup(&mut inbox, &outbox, &sessions).await else {
             return;
         };
         let control =
             startup.parameters.get("user").map(String::as_str) == Some(dialect::CONTROL_USER);
-        let Some(_place) = Place::take(self, control) else {
+        let Some(_permit) = Permit::take(self, control) else {
             let mut reply = Reply::default();
             reply.failure(&Refusal::Full.into());
             outbox.send(reply.take());
@@ -185,7 +185,7 @@
             tokio::time::sleep(connect).await;
         }
         negotiate(&startup, &outbox);
-        let running = Registered::new(sessions, self.peer.number);
+        let running = Registration::new(sessions, self.peer.number);
         let mut session = Session::new(
             self.shared.clone(),
             self.peer.database.clone(),
@@ -196,18 +196,18 @@
     }
 }
 
-/// Reads up to the startup message; `None` if the connection was for something else.
-async fn begin(inbox: &mut Inbox, outbox: &Outbox, sessions: &Sessions) -> Option<Startup> {
+/// Reads up to the startup message; `None` if the connection was opened for another purpose.
+async fn read_startup(inbox: &mut Inbox, outbox: &Outbox, sessions: &Sessions) -> Option<Startup> {
     loop {
         match inbox.next().await? {
             PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::None) => {
-                inbox.encryption_settled();
+                inbox.finish_encryption();
             }
             PgWireFrontendMessage::SslNegotiation(_) => {
                 outbox.send(Bytes::from_static(b"N"));
             }
             PgWireFrontendMessage::Startup(startup) => {
-                inbox.started();
+                inbox.finish_startup();
                 return Some(startup);
             }
             PgWireFrontendMessage::CancelRequest(request) => {
@@ -227,7 +227,7 @@
     }
 }
 
-/// Protocol 3.0 is all that is spoken; a caller that asks for a later minor version is told.
+/// Answers a request for a later minor version: only protocol 3.0 is supported.
 fn negotiate(startup: &Startup, outbox: &Outbox) {
     if startup.protocol_number_minor == 0 {
         return;
@@ -239,20 +239,20 @@
     }
 }
 
-/// A session that can be cancelled, until dropped.
-struct Registered {
+/// A session's entry in the table for cancel requests; removed when dropped.
+struct Registration {
     sessions: Sessions,
     pid: i32,
     secret: i32,
     cancel: Arc<Notify>,
 }
 
-impl Registered {
+impl Registration {
     fn new(sessions: Sessions, number: u64) -> Self {
         let pid = i32::try_from(number).unwrap_or(i32::MAX);
         let cancel = Arc::new(Notify::new());
         let secret = rand::random();
-        let running = Running {
+        let running = CancelTarget {
             secret,
             cancel: cancel.clone(),
         };
@@ -266,21 +266,22 @@
     }
 }
 
-impl Drop for Registered {
+impl Drop for Registration {
     fn drop(&mut self) {
         self.sessions.borrow_mut().remove(&self.pid);
     }
 }
 
-/// One of a database's connections, until dropped.
-struct Place {
+/// A permit for one of a database's limited connections; released when dropped.
+struct Permit {
     shared: Arc<Shared>,
     database: DatabaseId,
     counted: bool,
 }
 
-impl Place {
-    /// `None` if the limit is reached; a connection for orders does not count.
+impl Permit {
+    /// Returns `None` if the limit is reached; a control connection, which carries orders, does not
+    /// count.
     fn take(connection: &Connection, control: bool) -> Option<Self> {
         let database = &connection.peer.database;
         let taken = connection.shared.node(database, |node| {
@@ -296,7 +297,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         if self.counted {
             self.shared.node(&self.database, |node| {
--- a/src/standin/database/session.rs
+++ b/src/standin/database/session.rs
@@ -1,4 +1,4 @@
-//! One connection's conversation: startup, simple and extended queries, orders.
+//! The protocol handling of one connection: startup, simple and extended queries, orders.
 
 use super::Shared;
 use super::link::{Inbox, Outbox};
@@ -21,9 +21,9 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How long `LENTIL REACH` waits before it answers with the state as it is.
-const REACH_WAIT: Duration = Duration::from_secs(1);
-const STATEMENT: u8 = b'S';
+/// How long `LENTIL REACH` waits for its position before it answers with the current state.
+const REACH_TIMEOUT: Duration = Duration::from_secs(1);
+const STATEMENT_TARGET: u8 = b'S';
 
 /// A connection after its startup.
 pub(super) struct Session {
@@ -34,7 +34,7 @@
     transaction: Transaction,
     statements: HashMap<Box<str>, Prepared>,
     portals: HashMap<Box<str>, Portal>,
-    /// An error in an extended batch: all up to its Sync is skipped.
+    /// Whether a message of an extended batch failed, so that all messages up to Sync are skipped.
     skipping: bool,
 }
 
@@ -52,7 +52,7 @@
     formats: Vec<i16>,
 }
 
-/// What follows a message.
+/// What the session does after a message: read the next one, or end.
 enum Next {
     Message,
     End,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Says that the connection is ready, and serves it until its end.
+    /// Reports that the connection is ready, and serves it until it ends.
     pub(super) async fn serve(&mut self, inbox: &mut Inbox, pid: i32, secret: i32) {
         self.reply.authenticated(pid, secret);
         if let Next::End = self.ready() {
@@ -92,25 +92,25 @@
 
     async fn handle(&mut self, message: Message) -> Next {
         match message {
-            Message::Query(query) => return self.simple(&query.query).await,
+            Message::Query(query) => return self.simple_query(&query.query).await,
             Message::Sync(_) => return self.sync(),
             Message::Flush(_) => self.flush(),
             Message::Terminate(_) => return Next::End,
-            Message::Parse(parse) => self.guard(|session| session.parse(parse)),
-            Message::Bind(bind) => self.guard(|session| session.bind(bind)),
-            Message::Describe(describe) => self.guard(|session| session.describe(&describe)),
-            Message::Close(close) => self.guard(|session| session.close(&close)),
+            Message::Parse(parse) => self.run_step(|session| session.parse(parse)),
+            Message::Bind(bind) => self.run_step(|session| session.bind(bind)),
+            Message::Describe(describe) => self.run_step(|session| session.describe(&describe)),
+            Message::Close(close) => self.run_step(|session| session.close(&close)),
             Message::Execute(execute) if !self.skipping => {
                 let result = self.execute(&execute).await;
-                self.guard(|_| result);
+                self.run_step(|_| result);
             }
             _ => {}
         }
         Next::Message
     }
 
-    /// Runs a step of an extended batch, unless an earlier one failed.
-    fn guard(&mut self, step: impl FnOnce(&mut Self) -> Result<(), Failure>) {
+    /// Runs a step of an extended batch unless an earlier step failed.
+    fn run_step(&mut self, step: impl FnOnce(&mut Self) -> Result<(), Failure>) {
         if self.skipping {
             return;
         }
@@ -123,7 +123,7 @@
 
     fn sync(&mut self) -> Next {
         if !self.skipping
-            && let Err(failure) = self.transaction.settle()
+            && let Err(failure) = self.transaction.commit_implicit()
         {
             self.reply.failure(&failure);
         }
@@ -135,7 +135,7 @@
         self.outbox.send(self.reply.take());
     }
 
-    /// Ends an answer with the marks and ReadyForQuery, unless a fault loses it.
+    /// Ends an answer with the position marks and ReadyForQuery, unless a fault drops the answer.
     fn ready(&mut self) -> Next {
         let wrote = self.transaction.wrote.take();
         let lost = self.shared.node(&self.database, |node| {
@@ -155,16 +155,16 @@
         Next::Message
     }
 
-    async fn simple(&mut self, text: &str) -> Next {
+    async fn simple_query(&mut self, text: &str) -> Next {
         self.skipping = false;
         match text.trim_end_matches(';').parse() {
             Ok(Statement::Term(term)) => {
                 self.transaction.term = term;
                 self.reply.complete(dialect::TAG.into());
             }
-            Ok(Statement::Order(order)) => self.order(order).await,
+            Ok(Statement::Order(order)) => self.handle_order(order).await,
             Err(_) => {
-                if let Err(failure) = self.simple_work(text).await {
+                if let Err(failure) = self.run_simple(text).await {
                     self.transaction.fail();
                     self.reply.failure(&failure);
                 }
@@ -173,30 +173,30 @@
         self.ready()
     }
 
-    async fn simple_work(&mut self, text: &str) -> Result<(), Failure> {
+    async fn run_simple(&mut self, text: &str) -> Result<(), Failure> {
         let plans = self.plan(text)?;
         if plans.is_empty() {
-            self.reply.empty();
+            self.reply.empty_query();
         }
         for (index, plan) in plans.iter().enumerate() {
-            let failed = self.transaction.status();
+            let status_before = self.transaction.status();
             let rows = self.transaction.run(plan, &[]).await?;
             if index + 1 == plans.len() {
-                self.transaction.settle()?;
+                self.transaction.commit_implicit()?;
             }
             let columns = columns(plan, &rows.names, |name| self.column_type(name));
             if !columns.is_empty() {
                 self.reply.columns(&columns, &[]);
                 self.reply.rows(&rows, &columns, &[]);
             }
-            self.reply.complete(tag(plan, &rows, failed));
+            self.reply.complete(command_tag(plan, &rows, status_before));
         }
         Ok(())
     }
 
-    async fn order(&mut self, order: Order) {
+    async fn handle_order(&mut self, order: Order) {
         if let Order::Reach(position) = order {
-            let _ = tokio::time::timeout(REACH_WAIT, self.reached(position)).await;
+            let _ = tokio::time::timeout(REACH_TIMEOUT, self.wait_until_held(position)).await;
         }
         let result = self.shared.node(&self.database, |node| node.order(order));
         self.shared.wake();
@@ -207,7 +207,7 @@
         }
     }
 
-    async fn reached(&self, position: Position) {
+    async fn wait_until_held(&self, position: Position) {
         let mut changed = self.shared.changed.subscribe();
         let holds = || {
             self.shared
@@ -236,19 +236,19 @@
         };
         self.statements
             .insert(parse.name.unwrap_or_default().into(), prepared);
-        self.reply.parsed();
+        self.reply.parse_complete();
         Ok(())
     }
 
-    fn prepare(&self, plan: &Plan, stated: &[Oid]) -> Result<Prepared, Failure> {
-        let runs = matches!(plan.action, Action::Read | Action::Lock | Action::Write);
-        let names = match (runs, &plan.action) {
+    fn prepare(&self, plan: &Plan, declared: &[Oid]) -> Result<Prepared, Failure> {
+        let runs_in_store = matches!(plan.action, Action::Read | Action::Lock | Action::Write);
+        let names = match (runs_in_store, &plan.action) {
             (true, _) => self.node(|node| node.store.describe(&plan.text))?,
             (false, Action::Show(name)) => vec![name.clone()],
             (false, _) => Vec::new(),
         };
-        let count = plan.params.len().max(stated.len());
-        let oid = |index: usize| match stated.get(index) {
+        let count = plan.params.len().max(declared.len());
+        let oid = |index: usize| match declared.get(index) {
             Some(&oid) if oid != 0 => oid,
             _ => plan
                 .params
@@ -283,12 +283,12 @@
         };
         self.portals
             .insert(bind.portal_name.unwrap_or_default().into(), portal);
-        self.reply.bound();
+        self.reply.bind_complete();
         Ok(())
     }
 
     fn describe(&mut self, describe: &Describe) -> Result<(), Failure> {
-        if describe.target_type == STATEMENT {
+        if describe.target_type == STATEMENT_TARGET {
             let prepared = self.prepared(describe.name.as_deref())?.clone();
             self.reply.parameters(prepared.params);
             self.reply.columns(&prepared.columns, &[]);
@@ -303,12 +303,12 @@
 
     fn close(&mut self, close: &Close) -> Result<(), Failure> {
         let name = close.name.as_deref().unwrap_or_default();
-        if close.target_type == STATEMENT {
+        if close.target_type == STATEMENT_TARGET {
             self.statements.remove(name);
         } else {
             self.portals.remove(name);
         }
-        self.reply.closed();
+        self.reply.close_complete();
         Ok(())
     }
 
@@ -316,14 +316,15 @@
         let name = execute.name.as_deref().unwrap_or_default();
         let portal = self.portals.get(name).ok_or_else(no_portal)?;
         let Some(plan) = portal.prepared.plan.clone() else {
-            self.reply.empty();
+            self.reply.empty_query();
             return Ok(());
         };
-        let failed = self.transaction.status();
+        let status_before = self.transaction.status();
         let rows = self.transaction.run(&plan, &portal.params).await?;
         self.reply
             .rows(&rows, &portal.prepared.columns, &portal.formats);
-        self.reply.complete(tag(&plan, &rows, failed));
+        self.reply
+            .complete(command_tag(&plan, &rows, status_before));
         if plan.verb == "DISCARD ALL" {
             self.statements.clear();
             self.portals.clear();
@@ -355,24 +356,24 @@
     Failure::new("34000", "portal does not exist")
 }
 
-fn columns(plan: &Plan, names: &[Box<str>], named: impl Fn(&str) -> Oid) -> Vec<Column> {
-    let listed = plan.columns.len() == names.len();
-    let typed = |(index, name): (usize, &str)| {
-        let stated = if listed { plan.columns[index] } else { None };
+fn columns(plan: &Plan, names: &[Box<str>], type_by_name: impl Fn(&str) -> Oid) -> Vec<Column> {
+    let has_types = plan.columns.len() == names.len();
+    let to_column = |(index, name): (usize, &str)| {
+        let declared = if has_types { plan.columns[index] } else { None };
         Column {
             name: name.into(),
-            oid: stated.unwrap_or_else(|| named(name)),
+            oid: declared.unwrap_or_else(|| type_by_name(name)),
         }
     };
     names
         .iter()
         .map(|name| &**name)
         .enumerate()
-        .map(typed)
+        .map(to_column)
         .collect()
 }
 
-fn tag(plan: &Plan, rows: &Rows, before: Status) -> String {
+fn command_tag(plan: &Plan, rows: &Rows, before: Status) -> String {
     let failed = before == Status::Failed;
     match plan.verb {
         "INSERT" => format!("INSERT 0 {}", rows.count),
--- a/src/standin/database/sql.rs
+++ b/src/standin/database/sql.rs
@@ -1,4 +1,4 @@
-//! What a statement is to the stand-in: how it runs, what it waits for, its text for SQLite.
+//! Plans a statement: how it is run, how long it sleeps, and its text for SQLite.
 
 use super::value::{self, Oid};
 use crate::clock::Span;
@@ -19,11 +19,11 @@
     Begin(Mode),
     /// Ends a transaction.
     Commit,
-    /// Undoes a transaction.
+    /// Rolls back a transaction.
     Rollback,
-    /// Sets a session variable, or one that means nothing here.
+    /// Sets a session variable; `None` for a form of `SET` that is ignored.
     Set(Option<(Box<str>, Box<str>)>),
-    /// Forgets the session's variables.
+    /// Clears the session's variables.
     Reset,
     /// Shows a session variable.
     Show(Box<str>),
@@ -38,10 +38,11 @@
 /// The mode of a transaction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Mode {
-    /// It may not write.
+    /// Whether writes are rejected.
     pub(super) read_only: bool,
-    /// It runs alone among those that write.
-    pub(super) serial: bool,
+    /// Whether it excludes other writing transactions from its start on: the isolation level is
+    /// repeatable read or serializable.
+    pub(super) exclusive: bool,
 }
 
 /// A parsed statement.
@@ -49,19 +50,19 @@
 pub(super) struct Plan {
     /// How it is run.
     pub(super) action: Action,
-    /// The text that SQLite gets.
+    /// The text that SQLite runs.
     pub(super) text: Box<str>,
-    /// The first word of the command tag.
+    /// The command tag, without its row count.
     pub(super) verb: &'static str,
-    /// How long it sleeps by `pg_sleep`.
+    /// The duration of its `pg_sleep` call.
     pub(super) sleep: Span,
-    /// The types of the result's columns; `None` for `*`, whose columns the schema knows.
+    /// The types of the result's columns; `None` for `*`, whose columns come from the schema.
     pub(super) columns: Vec<Option<Oid>>,
-    /// The types of the parameters, as far as the text tells.
+    /// The types of the parameters, where they can be inferred from the text.
     pub(super) params: Vec<Option<Oid>>,
 }
 
-/// The types of the tables' columns by name.
+/// The types of the tables' columns, by column name.
 pub(super) type Schema = BTreeMap<Box<str>, Oid>;
 
 /// Parses the statements of `text`; the error is the parser's message.
@@ -99,7 +100,7 @@
     if matches!(plan.action, Action::Read | Action::Lock | Action::Write) {
         translate(&statement.to_string(), schema, &mut plan)?;
         if let Statement::Insert(insert) = &statement {
-            type_inserted(insert, schema, &mut plan.params);
+            infer_from_insert(insert, schema, &mut plan.params);
         }
     }
     Ok(plan)
@@ -149,7 +150,7 @@
                 mode.read_only = *access == TransactionAccessMode::ReadOnly;
             }
             TransactionMode::IsolationLevel(level) => {
-                mode.serial = matches!(
+                mode.exclusive = matches!(
                     level,
                     TransactionIsolationLevel::RepeatableRead
                         | TransactionIsolationLevel::Serializable
@@ -204,7 +205,7 @@
     Some(&select.projection)
 }
 
-/// The type of an expression, by the few rules that the tests' statements need; text otherwise.
+/// Infers the type of an expression by the few rules that the tests' statements need; text otherwise.
 fn type_of(expr: &Expr, schema: &Schema) -> Oid {
     match expr {
         Expr::Value(value) => match &value.value {
@@ -212,10 +213,10 @@
             Literal::Boolean(_) => value::BOOL,
             _ => value::TEXT,
         },
-        Expr::Identifier(name) => named(&name.value, schema),
+        Expr::Identifier(name) => column_type(&name.value, schema),
         Expr::CompoundIdentifier(parts) => parts
             .last()
-            .map_or(value::TEXT, |name| named(&name.value, schema)),
+            .map_or(value::TEXT, |name| column_type(&name.value, schema)),
         Expr::Nested(inner) => type_of(inner, schema),
         Expr::Cast { data_type, .. } => value::oid_of(&data_type.to_string()),
         Expr::Exists { .. } | Expr::IsNull(_) | Expr::IsNotNull(_) => value::BOOL,
@@ -232,11 +233,11 @@
     }
 }
 
-fn named(name: &str, schema: &Schema) -> Oid {
+fn column_type(name: &str, schema: &Schema) -> Oid {
     schema.get(name).copied().unwrap_or(value::TEXT)
 }
 
-/// Writes the statement as SQLite reads it: `?1` for `$1`, no `::type`, no `pg_sleep`.
+/// Translates the statement to SQLite: `?1` for `$1`, without `::type` and `pg_sleep`.
 fn translate(text: &str, schema: &Schema, plan: &mut Plan) -> Result<(), String> {
     let tokens = Tokenizer::new(&PostgreSqlDialect {}, text)
         .tokenize()
@@ -249,13 +250,17 @@
                 let name = tokens.get(index + 1).map(Token::to_string);
                 if let Some(number) = index.checked_sub(1).and_then(|i| placeholder(&tokens[i])) {
                     let oid = value::oid_of(&name.unwrap_or_default());
-                    note(&mut plan.params, number, Some(oid));
+                    set_param_type(&mut plan.params, number, Some(oid));
                 }
                 index += 1;
             }
             Token::Placeholder(_) => {
                 let number = placeholder(token).ok_or("placeholders are written $1")?;
-                note(&mut plan.params, number, compared(&tokens[..index], schema));
+                set_param_type(
+                    &mut plan.params,
+                    number,
+                    infer_from_context(&tokens[..index], schema),
+                );
                 output.push_str(&format!("?{number}"));
             }
             Token::Word(word) if word.value.eq_ignore_ascii_case("pg_sleep") => {
@@ -280,28 +285,28 @@
     Ok(())
 }
 
-/// The argument of `pg_sleep`, in seconds.
+/// Parses the argument of `pg_sleep`, in seconds.
 fn sleep_span(text: &str) -> Result<Span, String> {
-    const LONGEST_SECS: f64 = 3600.0;
+    const MAX_SECS: f64 = 3600.0;
     let seconds: f64 = text
         .trim()
         .parse()
         .map_err(|_| "pg_sleep takes one number")?;
-    Ok(Duration::from_secs_f64(seconds.clamp(0.0, LONGEST_SECS)).into())
+    Ok(Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECS)).into())
 }
 
-/// The most parameters of one statement, as in PostgreSQL.
-const PARAMETER_LIMIT: usize = 65_535;
+/// The maximum number of parameters of a statement, as in PostgreSQL.
+const MAX_PARAMETERS: usize = 65_535;
 
 fn placeholder(token: &Token) -> Option<usize> {
     let Token::Placeholder(text) = token else {
         return None;
     };
     let number: usize = text.strip_prefix('$')?.parse().ok()?;
-    (1..=PARAMETER_LIMIT).contains(&number).then_some(number)
+    (1..=MAX_PARAMETERS).contains(&number).then_some(number)
 }
 
-fn note(params: &mut Vec<Option<Oid>>, number: usize, oid: Option<Oid>) {
+fn set_param_type(params: &mut Vec<Option<Oid>>, number: usize, oid: Option<Oid>) {
     if params.len() < number {
         params.resize(number, None);
     }
@@ -310,19 +315,19 @@
     }
 }
 
-/// The type of the column that the next parameter is compared with, or an integer after
-/// `LIMIT` and `OFFSET`.
-fn compared(before: &[Token], schema: &Schema) -> Option<Oid> {
-    let mut words = before
+/// Infers the next parameter's type: that of the column it is compared with, or an integer after
+/// `LIMIT`, `OFFSET`, `+` and `-`.
+fn infer_from_context(before: &[Token], schema: &Schema) -> Option<Oid> {
+    let mut preceding = before
         .iter()
         .rev()
         .filter(|token| !matches!(token, Token::Whitespace(_)));
-    match words.next()? {
+    match preceding.next()? {
         Token::Word(word) => ["limit", "offset"]
             .contains(&word.value.to_lowercase().as_str())
             .then_some(value::INT8),
         Token::Eq | Token::Lt | Token::Gt | Token::LtEq | Token::GtEq | Token::Neq => {
-            let Token::Word(word) = words.next()? else {
+            let Token::Word(word) = preceding.next()? else {
                 return None;
             };
             schema.get(word.value.as_str()).copied()
@@ -332,7 +337,7 @@
     }
 }
 
-fn type_inserted(insert: &Insert, schema: &Schema, params: &mut [Option<Oid>]) {
+fn infer_from_insert(insert: &Insert, schema: &Schema, params: &mut [Option<Oid>]) {
     let Some(SetExpr::Values(values)) = insert.source.as_deref().map(|query| query.body.as_ref())
     else {
         return;
@@ -348,7 +353,7 @@
             if let Some(slot) = slot
                 && slot.is_none()
             {
-                *slot = Some(named(&column.to_string(), schema));
+                *slot = Some(column_type(&column.to_string(), schema));
             }
         }
     }
--- a/src/standin/database/store.rs
+++ b/src/standin/database/store.rs
@@ -1,8 +1,8 @@
-//! One database's tables and log: what is committed, one transaction that writes, and replay.
+//! One database's tables and log: committed data, the one writing transaction, and replay.
 //!
 //! Two in-memory SQLite databases hold the tables: `committed`, which readers see, and `draft`,
-//! on which the one writing transaction runs. Failure: readers share the writer's connection.
-//! Symptom: dirty reads. Enough, because a draft reaches `committed` by its log entry alone.
+//! on which the one writing transaction runs. If readers shared the writer's connection, they would
+//! see uncommitted data; this way a transaction reaches `committed` only through its log entry.
 
 use super::sql::{self, Action, Plan, Schema};
 use super::value;
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// A statement that changed something, as replicas repeat it.
+/// A statement that changed data, in the form that replicas replay.
 #[derive(Debug, Clone)]
 pub(super) struct Change {
     pub(super) text: Box<str>,
@@ -23,7 +23,7 @@
 /// A committed transaction in the log.
 #[derive(Debug)]
 pub(super) struct Entry {
-    /// Its term, and its own place, counted from 1.
+    /// The term, and the entry's index in the log, counted from 1.
     pub(super) position: Position,
     /// When it was committed.
     pub(super) at: Instant,
@@ -35,7 +35,7 @@
 pub(super) struct Rows {
     pub(super) names: Vec<Box<str>>,
     pub(super) rows: Vec<Vec<Value>>,
-    /// Rows changed, or returned if none were.
+    /// The number of rows returned, or of rows changed if the statement returns none.
     pub(super) count: usize,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// The tables and the log of one database.
+/// The tables and the log of one database, with a cache of parsed statements.
 #[derive(Debug)]
 pub(super) struct Store {
     schema: Box<str>,
@@ -92,11 +92,11 @@
     plans: HashMap<Box<str>, Arc<[Plan]>>,
 }
 
-const STATEMENT_CACHE: usize = 128;
-const PLAN_CACHE: usize = 1_024;
+const MAX_CACHED_STATEMENTS: usize = 128;
+const MAX_CACHED_PLANS: usize = 1_024;
 
 impl Store {
-    /// A database that went through the statements of `schema`, with an empty log.
+    /// Returns a database with the tables of `schema` and an empty log.
     pub(super) fn new(schema: &str) -> Result<Self, Failure> {
         let mut store = Self {
             schema: schema.into(),
@@ -113,12 +113,12 @@
         Ok(store)
     }
 
-    /// The end of the log.
+    /// Returns the position of the last log entry.
     pub(super) fn end(&self) -> Position {
         self.position(self.log.len())
     }
 
-    /// How far the log is applied.
+    /// Returns the position of the last applied entry.
     pub(super) fn applied(&self) -> Position {
         self.position(self.applied)
     }
@@ -132,12 +132,12 @@
         &self.log
     }
 
-    /// The first entry that is not applied yet.
+    /// Returns the first entry that is not applied yet.
     pub(super) fn next_unapplied(&self) -> Option<&Arc<Entry>> {
         self.log.get(self.applied)
     }
 
-    /// The statements of `text`.
+    /// Parses the statements of `text`, or returns them from the cache.
     pub(super) fn plan(&mut self, text: &str) -> Result<Arc<[Plan]>, Failure> {
         if let Some(plans) = self.plans.get(text) {
             return Ok(plans.clone());
@@ -145,19 +145,19 @@
         let plans: Arc<[Plan]> = sql::parse(text, &self.columns)
             .map_err(|message| Failure::new("42601", message))?
             .into();
-        if self.plans.len() >= PLAN_CACHE {
+        if self.plans.len() >= MAX_CACHED_PLANS {
             self.plans.clear();
         }
         self.plans.insert(text.into(), plans.clone());
         Ok(plans)
     }
 
-    /// The types of a result's columns by their names, for `*`.
+    /// Returns the type of a table column by its name, for the result columns of `*`.
     pub(super) fn column_type(&self, name: &str) -> value::Oid {
         self.columns.get(name).copied().unwrap_or(value::TEXT)
     }
 
-    /// The names of a statement's columns, without running it.
+    /// Returns the names of a statement's result columns without running it.
     pub(super) fn describe(&self, text: &str) -> Result<Vec<Box<str>>, Failure> {
         let statement = self.committed.prepare_cached(text)?;
         Ok(statement
@@ -167,12 +167,12 @@
             .collect())
     }
 
-    /// Runs a read on what is committed.
+    /// Runs a read on the committed data.
     pub(super) fn read(&self, plan: &Plan, params: &[Value]) -> Result<Rows, Failure> {
         run(&self.committed, &plan.text, params)
     }
 
-    /// Runs a statement in the writing transaction, which it opens if need be.
+    /// Runs a statement in the writing transaction, which it opens if none is open.
     pub(super) fn write(&mut self, plan: &Plan, params: &[Value]) -> Result<Rows, Failure> {
         if self.draft.is_autocommit() {
             self.draft.execute_batch("BEGIN")?;
@@ -187,7 +187,7 @@
         Ok(rows)
     }
 
-    /// Undoes the writing transaction, if there is one.
+    /// Rolls back the writing transaction, if one is open.
     pub(super) fn rollback(&mut self) -> Result<(), Failure> {
         self.pending.clear();
         if !self.draft.is_autocommit() {
@@ -196,7 +196,7 @@
         Ok(())
     }
 
-    /// Commits the writing transaction in `term`; its position, if it changed anything.
+    /// Commits the writing transaction in `term`. Returns its position if it changed anything.
     pub(super) fn commit(&mut self, term: Term, at: Instant) -> Result<Option<Position>, Failure> {
         if !self.draft.is_autocommit() {
             self.draft.execute_batch("COMMIT")?;
@@ -205,7 +205,7 @@
             return Ok(None);
         }
         let changes = std::mem::take(&mut self.pending);
-        repeat(&self.committed, &changes)?;
+        replay(&self.committed, &changes)?;
         let position = Position::new(term, Offset(self.log.len() as u64 + 1));
         self.log.push(Arc::new(Entry {
             position,
@@ -217,7 +217,7 @@
         Ok(Some(position))
     }
 
-    /// Adds an entry of the primary's log.
+    /// Appends an entry received from the primary's log.
     pub(super) fn receive(&mut self, entry: Arc<Entry>) {
         self.log.push(entry);
     }
@@ -228,13 +228,14 @@
             return Ok(());
         };
         self.rollback()?;
-        repeat(&self.committed, &entry.changes)?;
-        repeat(&self.draft, &entry.changes)?;
+        replay(&self.committed, &entry.changes)?;
+        replay(&self.draft, &entry.changes)?;
         self.applied += 1;
         self.read_columns()
     }
 
-    /// Cuts the log to its first `length` entries; what was applied beyond is undone.
+    /// Truncates the log to its first `length` entries. If later ones were applied, rebuilds the
+    /// tables from the start of the log.
     pub(super) fn truncate(&mut self, length: usize) -> Result<(), Failure> {
         self.rollback()?;
         self.log.truncate(length);
@@ -277,12 +278,12 @@
 
 fn connect(schema: &str) -> rusqlite::Result<Connection> {
     let connection = Connection::open_in_memory()?;
-    connection.set_prepared_statement_cache_capacity(STATEMENT_CACHE);
+    connection.set_prepared_statement_cache_capacity(MAX_CACHED_STATEMENTS);
     connection.execute_batch(schema)?;
     Ok(connection)
 }
 
-fn repeat(connection: &Connection, changes: &[Change]) -> Result<(), Failure> {
+fn replay(connection: &Connection, changes: &[Change]) -> Result<(), Failure> {
     connection.execute_batch("BEGIN")?;
     for change in changes {
         run(connection, &change.text, &change.params)?;
--- a/src/standin/database/transaction.rs
+++ b/src/standin/database/transaction.rs
@@ -1,4 +1,5 @@
-//! Running statements: terms, slots, the writing transaction, and what a failure undoes.
+//! Runs statements: checks terms, holds slots, takes the writing transaction, and rolls back after
+//! a failure.
 
 use super::Shared;
 use super::sql::{Action, Mode, Plan};
@@ -14,24 +15,24 @@
 use tokio::sync::{Notify, OwnedMutexGuard};
 use tokio::time::Instant;
 
-/// One session's transaction and what it declared.
+/// One session's transaction, variables and declared term.
 pub(super) struct Transaction {
     shared: Arc<Shared>,
     database: DatabaseId,
     cancel: Arc<Notify>,
-    /// The term that the session's work is of.
+    /// The term that the session declared; its statements fail in any other term.
     pub(super) term: Option<Term>,
     variables: BTreeMap<Box<str>, Box<str>>,
-    /// Opened by `BEGIN`, and not failed.
+    /// The mode of the transaction block that `BEGIN` opened.
     block: Option<Mode>,
     failed: bool,
-    draft: Option<Draft>,
-    /// The end of the last write committed and not told of yet.
+    writer_permit: Option<WriterPermit>,
+    /// The position of the last committed write that was not reported yet.
     pub(super) wrote: Option<Position>,
 }
 
-/// The right to write, until the database's epoch changes.
-struct Draft {
+/// The exclusive right to write, valid until the database's epoch changes.
+struct WriterPermit {
     epoch: u64,
     _guard: OwnedMutexGuard<()>,
 }
@@ -46,12 +47,12 @@
             variables: BTreeMap::new(),
             block: None,
             failed: false,
-            draft: None,
+            writer_permit: None,
             wrote: None,
         }
     }
 
-    /// What ReadyForQuery says.
+    /// Returns the transaction status for ReadyForQuery.
     pub(super) fn status(&self) -> Status {
         match (self.failed, self.block) {
             (true, _) => Status::Failed,
@@ -60,35 +61,35 @@
         }
     }
 
-    /// Runs one statement. Its effects last once `settle` or a `COMMIT` says so.
+    /// Runs one statement. Its effects are committed by `commit_implicit` or by a `COMMIT`.
     pub(super) async fn run(&mut self, plan: &Plan, params: &[Value]) -> Result<Rows, Failure> {
-        let result = self.attempt(plan, params).await;
+        let result = self.try_run(plan, params).await;
         if result.is_err() {
             self.fail();
         }
         result
     }
 
-    /// Ends the implicit transaction of a batch, if no block is open.
-    pub(super) fn settle(&mut self) -> Result<(), Failure> {
+    /// Commits the implicit transaction of a batch, unless a block is open.
+    pub(super) fn commit_implicit(&mut self) -> Result<(), Failure> {
         if self.block.is_some() || self.failed {
             return Ok(());
         }
         self.commit()
     }
 
-    /// Undoes what is not committed: the batch failed or the connection is gone.
+    /// Rolls back uncommitted work after the batch failed or the connection ended.
     pub(super) fn fail(&mut self) {
         self.failed = self.block.is_some() || self.failed;
-        if let Some(draft) = self.draft.take() {
+        if let Some(writer_permit) = self.writer_permit.take() {
             let _ = self.node(|node| {
-                node.undo(draft.epoch);
+                node.rollback(writer_permit.epoch);
                 Ok(())
             });
         }
     }
 
-    async fn attempt(&mut self, plan: &Plan, params: &[Value]) -> Result<Rows, Failure> {
+    async fn try_run(&mut self, plan: &Plan, params: &[Value]) -> Result<Rows, Failure> {
         if self.failed && !matches!(plan.action, Action::Commit | Action::Rollback) {
             return Err(Failure::new(
                 "25P02",
@@ -96,7 +97,7 @@
             ));
         }
         if plan.action == Action::Rollback || self.failed {
-            return self.roll_back();
+            return self.handle_rollback();
         }
         self.check_term()?;
         match &plan.action {
@@ -106,7 +107,7 @@
                 self.commit()?;
                 Ok(Rows::default())
             }
-            Action::Rollback => self.roll_back(),
+            Action::Rollback => self.handle_rollback(),
             Action::Reset => {
                 self.variables.clear();
                 Ok(Rows::default())
@@ -123,15 +124,15 @@
 
     async fn begin(&mut self, mode: Mode) -> Result<Rows, Failure> {
         if self.block.is_none() {
-            if mode.serial && !mode.read_only {
-                self.take_draft().await?;
+            if mode.exclusive && !mode.read_only {
+                self.take_writer_permit().await?;
             }
             self.block = Some(mode);
         }
         Ok(Rows::default())
     }
 
-    fn roll_back(&mut self) -> Result<Rows, Failure> {
+    fn handle_rollback(&mut self) -> Result<Rows, Failure> {
         self.fail();
         self.block = None;
         self.failed = false;
@@ -139,13 +140,16 @@
     }
 
     fn commit(&mut self) -> Result<(), Failure> {
-        let Some(draft) = self.draft.take() else {
+        let Some(writer_permit) = self.writer_permit.take() else {
             return Ok(());
         };
         let declared = self.term;
         let committed = self.node(|node| {
-            if node.epoch != draft.epoch || !node.open || declared.is_some_and(|t| t != node.term) {
-                node.undo(draft.epoch);
+            if node.epoch != writer_permit.epoch
+                || !node.open
+                || declared.is_some_and(|t| t != node.term)
+            {
+                node.rollback(writer_permit.epoch);
                 return Err(Refusal::Term(node.term).into());
             }
             node.store.commit(node.term, Instant::now())
@@ -156,9 +160,12 @@
     }
 
     async fn read(&mut self, plan: &Plan, params: &[Value]) -> Result<Rows, Failure> {
-        self.occupy(plan).await?;
+        self.hold_slot(plan).await?;
         self.check_term()?;
-        let epoch = self.draft.as_ref().map(|draft| draft.epoch);
+        let epoch = self
+            .writer_permit
+            .as_ref()
+            .map(|writer_permit| writer_permit.epoch);
         self.node(|node| match epoch {
             None => node.store.read(plan, params),
             Some(epoch) if epoch == node.epoch => node.store.write(plan, params),
@@ -171,12 +178,15 @@
             return Err(Refusal::ReadOnly.into());
         }
         self.check_open()?;
-        self.occupy(plan).await?;
-        if self.draft.is_none() {
-            self.take_draft().await?;
+        self.hold_slot(plan).await?;
+        if self.writer_permit.is_none() {
+            self.take_writer_permit().await?;
         }
         self.check_term()?;
-        let epoch = self.draft.as_ref().map(|draft| draft.epoch);
+        let epoch = self
+            .writer_permit
+            .as_ref()
+            .map(|writer_permit| writer_permit.epoch);
         self.node(|node| {
             if epoch != Some(node.epoch) {
                 return Err(Refusal::Term(node.term).into());
@@ -185,8 +195,8 @@
         })
     }
 
-    /// Waits for the transaction that writes now, and takes its place.
-    async fn take_draft(&mut self) -> Result<(), Failure> {
+    /// Waits until no other transaction writes, and takes the right to write.
+    async fn take_writer_permit(&mut self) -> Result<(), Failure> {
         self.check_open()?;
         let (writer, epoch) = self.node(|node| Ok((node.writer.clone(), node.epoch)))?;
         let guard = tokio::select! {
@@ -198,7 +208,7 @@
             true => Ok(()),
             false => Err(Refusal::Term(node.term).into()),
         })?;
-        self.draft = Some(Draft {
+        self.writer_permit = Some(WriterPermit {
             epoch,
             _guard: guard,
         });
@@ -206,7 +216,7 @@
     }
 
     /// Holds a slot for the statement's service time.
-    async fn occupy(&self, plan: &Plan) -> Result<(), Failure> {
+    async fn hold_slot(&self, plan: &Plan) -> Result<(), Failure> {
         let (slots, service) = self.node(|node| Ok((node.slots.clone(), node.service)))?;
         let hold = async {
             let _slot = slots.acquire_owned().await;
@@ -241,7 +251,7 @@
     fn show(&self, name: &str) -> Rows {
         let value = match self.variables.get(name) {
             Some(value) => value.to_string(),
-            None => self.builtin(name).into(),
+            None => self.builtin_variable(name).into(),
         };
         Rows {
             names: vec![name.into()],
@@ -250,7 +260,7 @@
         }
     }
 
-    fn builtin(&self, name: &str) -> &'static str {
+    fn builtin_variable(&self, name: &str) -> &'static str {
         match name {
             "transaction_read_only" => match self.check_open() {
                 Ok(()) => "off",
--- a/src/standin/database/value.rs
+++ b/src/standin/database/value.rs
@@ -1,4 +1,4 @@
-//! Values between the PostgreSQL wire, in text or binary, and SQLite.
+//! Converts values between the PostgreSQL protocol, in text or binary format, and SQLite.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use rusqlite::types::Value;
@@ -16,7 +16,7 @@
 /// The format code of binary values.
 pub(super) const BINARY: i16 = 1;
 
-/// A type by its name in SQL; text if it is another one.
+/// Returns the type with this SQL name; text for any other name.
 pub(super) fn oid_of(name: &str) -> Oid {
     match name.to_lowercase().as_str() {
         "bool" | "boolean" => BOOL,
@@ -28,7 +28,7 @@
     }
 }
 
-/// The length that the protocol states for a type; -1 if it varies.
+/// Returns the length in bytes that the protocol states for a type; -1 if it varies.
 pub(super) fn size_of(oid: Oid) -> i16 {
     match oid {
         BOOL => 1,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reads a parameter; `None` if its bytes are not of its type.
+/// Decodes a parameter; `None` if its bytes are not valid for its type.
 pub(super) fn read(oid: Oid, format: i16, bytes: Option<&Bytes>) -> Option<Value> {
     let Some(bytes) = bytes else {
         return Some(Value::Null);
@@ -78,7 +78,7 @@
         .collect()
 }
 
-/// Appends a column of a row, with its length in front.
+/// Appends a column value to a row, preceded by its length.
 pub(super) fn write(row: &mut BytesMut, oid: Oid, format: i16, value: &Value) {
     if matches!(value, Value::Null) {
         row.put_i32(-1);
--- a/src/standin/database/world.rs
+++ b/src/standin/database/world.rs
@@ -1,6 +1,6 @@
-//! The databases of one group: terms, replication between them, and the faults set on them.
+//! The databases of one group: their terms, the replication between them, and injected faults.
 //!
-//! Everything here is synchronous; time is passed in.
+//! Everything here is synchronous; the current time is passed in.
 
 use super::store::{Failure, Store};
 use super::{Lag, Spec};
@@ -16,15 +16,15 @@
 use tokio::sync::{Mutex, Semaphore};
 use tokio::time::Instant;
 
-/// The databases of a group.
+/// The databases of a group and the partitions between them.
 #[derive(Debug)]
 pub(super) struct World {
     pub(super) nodes: BTreeMap<DatabaseId, Node>,
-    /// Pairs of databases that do not reach each other.
+    /// Pairs of databases that can't reach each other.
     split: BTreeSet<(DatabaseId, DatabaseId)>,
 }
 
-/// One database.
+/// The state of one database.
 #[derive(Debug)]
 pub(super) struct Node {
     pub(super) store: Store,
@@ -32,12 +32,12 @@
     pub(super) term: Term,
     pub(super) open: bool,
     pub(super) lineage: Lineage,
-    /// Raised whenever the writing transaction was undone from outside.
+    /// Incremented whenever the writing transaction is rolled back from outside its session.
     pub(super) epoch: u64,
-    /// Held by the one transaction that writes.
+    /// Locked by the one transaction that writes.
     pub(super) writer: Arc<Mutex<()>>,
     pub(super) slots: Arc<Semaphore>,
-    /// Work connections that count against the limit.
+    /// The number of open connections, without control connections.
     pub(super) connections: u32,
     pub(super) connection_limit: u32,
     pub(super) faults: Faults,
@@ -46,25 +46,25 @@
     pub(super) connect: Span,
 }
 
-/// What is wrong with a database just now.
+/// The faults that are active on a database.
 #[derive(Debug, Default)]
 pub(super) struct Faults {
     /// Peers whose packets are lost in both directions.
     pub(super) cut: BTreeSet<IpAddr>,
-    /// Nothing moves.
+    /// Whether the process is paused.
     pub(super) frozen: bool,
-    /// The process is gone.
+    /// Whether the process has ended.
     pub(super) down: bool,
-    /// Counts kills: a connection of an earlier life is gone.
+    /// Counts the ends of the process; connections accepted in an earlier life are closed.
     pub(super) life: u64,
-    /// Connections below this number are silent for good.
+    /// Connections with a lower sequence number are silent permanently.
     pub(super) silent_below: u64,
-    /// So many answers to committed writes are lost, with their connections.
+    /// How many more answers to committed writes are dropped, and their connections closed.
     pub(super) lost_answers: u32,
 }
 
 impl World {
-    /// All databases in the first term, the first one open.
+    /// Returns all databases in the first term, with the first one open.
     pub(super) fn new(spec: &Spec) -> Result<Self, Failure> {
         let mut nodes = BTreeMap::new();
         for (id, database) in &spec.group.databases {
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Cuts or restores the way between two databases.
+    /// Disconnects two databases from each other, or reconnects them.
     pub(super) fn split(&mut self, a: &DatabaseId, b: &DatabaseId, cut: bool) {
         for pair in [(a, b), (b, a)] {
             let pair = (pair.0.clone(), pair.1.clone());
@@ -106,30 +106,30 @@
         }
     }
 
-    /// Moves the log on to every replica as far as it is due, and says when more is due.
+    /// Replicates all entries that are due to every replica. Returns when the next one is due.
     pub(super) fn replicate(&mut self, now: Instant) -> Option<Instant> {
         let ids: Vec<DatabaseId> = self.nodes.keys().cloned().collect();
         let mut next: Option<Instant> = None;
         for id in ids {
             if let Some(source) = self.source(&id) {
-                self.follow(&id, &source);
-                next = earlier(next, self.receive(&id, &source, now));
+                self.adopt_log(&id, &source);
+                next = earlier(next, self.receive_due(&id, &source, now));
             }
             if let Some(node) = self.nodes.get_mut(&id) {
-                next = earlier(next, node.apply(now));
+                next = earlier(next, node.apply_due(now));
             }
         }
         next
     }
 
-    /// The open database of the highest term that `id` can reach and whose term is not below
-    /// its own: a raised database applies no log of an older primary.
+    /// Returns the open database with the highest term that `id` can reach. Its term must not be
+    /// below that of `id`: a database in a newer term must not apply the log of an older primary.
     fn source(&self, id: &DatabaseId) -> Option<DatabaseId> {
-        let node = self.nodes.get(id).filter(|node| node.moves())?;
+        let node = self.nodes.get(id).filter(|node| node.is_running())?;
         let candidates = self.nodes.iter().filter(|(other, candidate)| {
             *other != id
                 && candidate.open
-                && candidate.moves()
+                && candidate.is_running()
                 && candidate.term >= node.term
                 && !(node.open && candidate.term == node.term)
                 && !self.split.contains(&(id.clone(), (*other).clone()))
@@ -139,8 +139,8 @@
             .map(|(other, _)| other.clone())
     }
 
-    /// Takes over the term of `source` and cuts back what its log does not hold.
-    fn follow(&mut self, id: &DatabaseId, source: &DatabaseId) {
+    /// Adopts the term and lineage of `source` and truncates the log where the two diverge.
+    fn adopt_log(&mut self, id: &DatabaseId, source: &DatabaseId) {
         let Some(primary) = self.nodes.get(source) else {
             return;
         };
@@ -154,15 +154,20 @@
             return;
         };
         if node.term < term {
-            node.take_term(term);
+            node.enter_term(term);
         }
         node.lineage = lineage;
         if diverged && let Err(failure) = node.store.truncate(common) {
-            node.fail(&failure);
+            node.stop(&failure);
         }
     }
 
-    fn receive(&mut self, id: &DatabaseId, source: &DatabaseId, now: Instant) -> Option<Instant> {
+    fn receive_due(
+        &mut self,
+        id: &DatabaseId,
+        source: &DatabaseId,
+        now: Instant,
+    ) -> Option<Instant> {
         let delay = std::time::Duration::from(self.nodes.get(id)?.lag.receive);
         let start = self.nodes.get(id)?.store.log().len();
         let mut arrived = Vec::new();
@@ -182,12 +187,12 @@
     }
 }
 
-/// The length of the log that both hold. A term has one primary, so entries of one position
-/// are the same entry, and so is all before them.
+/// Returns the length of the common prefix of two logs. Each term has one primary, so entries at
+/// the same position are equal, and so are all entries before them.
 fn common_length(node: &Node, primary: &Node) -> usize {
-    let (ours, theirs) = (node.store.log(), primary.store.log());
-    let mut length = ours.len().min(theirs.len());
-    while length > 0 && ours[length - 1].position != theirs[length - 1].position {
+    let (own, others) = (node.store.log(), primary.store.log());
+    let mut length = own.len().min(others.len());
+    while length > 0 && own[length - 1].position != others[length - 1].position {
         length -= 1;
     }
     length
@@ -201,12 +206,12 @@
 }
 
 impl Node {
-    /// Whether it does anything at all.
-    pub(super) fn moves(&self) -> bool {
+    /// Whether the process is running and not paused.
+    pub(super) fn is_running(&self) -> bool {
         !self.faults.down && !self.faults.frozen
     }
 
-    /// What it reports.
+    /// Returns the state that the database reports.
     pub(super) fn state(&self) -> State {
         State {
             term: self.term,
@@ -217,11 +222,11 @@
         }
     }
 
-    /// Carries out an order; `Reach` only reports, and whoever asks waits.
+    /// Carries out an order. `Reach` only returns the state; the caller waits for the position.
     pub(super) fn order(&mut self, order: Order) -> Result<State, Refusal> {
         match order {
             Order::Report | Order::Reach(_) => {}
-            Order::Raise(term) if may_raise(self.term, term) => self.take_term(term),
+            Order::Raise(term) if may_raise(self.term, term) => self.enter_term(term),
             Order::Open(term) if self.term == term => self.open_term(),
             Order::Raise(_) | Order::Open(_) => return Err(Refusal::Term(self.term)),
         }
@@ -233,7 +238,7 @@
         self.lineage.holds(self.store.end(), position)
     }
 
-    fn take_term(&mut self, term: Term) {
+    fn enter_term(&mut self, term: Term) {
         self.term = term;
         self.open = false;
         self.abort();
@@ -248,26 +253,26 @@
         self.open = true;
     }
 
-    /// Undoes the writing transaction of `epoch`, for its own session.
-    pub(super) fn undo(&mut self, epoch: u64) {
+    /// Rolls back the writing transaction of `epoch` on behalf of its own session.
+    pub(super) fn rollback(&mut self, epoch: u64) {
         if self.epoch == epoch
             && let Err(failure) = self.store.rollback()
         {
-            self.fail(&failure);
+            self.stop(&failure);
         }
     }
 
-    /// Undoes the writing transaction; its session finds out by the epoch.
+    /// Rolls back the writing transaction from outside; its session detects this by the new epoch.
     pub(super) fn abort(&mut self) {
         self.epoch += 1;
         self.writer = Arc::default();
         if let Err(failure) = self.store.rollback() {
-            self.fail(&failure);
+            self.stop(&failure);
         }
     }
 
-    fn apply(&mut self, now: Instant) -> Option<Instant> {
-        if !self.moves() {
+    fn apply_due(&mut self, now: Instant) -> Option<Instant> {
+        if !self.is_running() {
             return None;
         }
         let delay = std::time::Duration::from(self.lag.receive + self.lag.apply);
@@ -277,7 +282,7 @@
                 return Some(due);
             }
             if let Err(failure) = self.store.apply_next() {
-                self.fail(&failure);
+                self.stop(&failure);
                 return None;
             }
         }
@@ -287,14 +292,14 @@
     fn apply_all(&mut self) {
         while self.store.next_unapplied().is_some() {
             if let Err(failure) = self.store.apply_next() {
-                self.fail(&failure);
+                self.stop(&failure);
                 return;
             }
         }
     }
 
-    /// A database whose log can't be applied is of no more use.
-    fn fail(&mut self, failure: &Failure) {
+    /// Stops the database, which can't continue after an error in its tables or log.
+    fn stop(&mut self, failure: &Failure) {
         log::error!(error = &*failure.message; "stand-in database stops: its log can't be applied");
         self.faults.down = true;
         self.faults.life += 1;
