--- a/src/net/peer/handshake.rs
+++ b/src/net/peer/handshake.rs
@@ -46,13 +46,13 @@
         let (vm, life) = read_identity(response.metadata())?;
         if vm != *expected {
             return Err(Status::not_found(format!(
-                "{vm} listens at this address now"
+                "{vm} listens there now"
             )));
         }
         Ok((life, response.into_inner(), frames))
     };
     let timed_out =
-        |_| Status::deadline_exceeded("the peer did not answer the connection attempt in time");
+        |_| Status::deadline_exceeded("no answer to the attempt");
     tokio::time::timeout(CONNECT_TIMEOUT, attempt)
         .await
         .map_err(timed_out)?
@@ -73,7 +73,7 @@
         messages,
         frames,
     });
-    accepted.map_err(|_| Status::unavailable("this process is stopping"))?;
+    accepted.map_err(|_| Status::unavailable("this process is ending"))?;
     let answers = tokio_stream::StreamExt::map(UnboundedReceiverStream::new(receiver), Ok);
     let mut response = tonic::Response::new(Box::pin(answers) as rpc::Answers<Frame>);
     write_identity(identity, response.metadata_mut())?;
@@ -89,7 +89,7 @@
     for (key, value) in entries {
         let value = value
             .parse()
-            .map_err(|_| Status::internal("the identity is not valid in a header"))?;
+            .map_err(|_| Status::internal("unprintable identity"))?;
         metadata.insert(key, value);
     }
     Ok(())
