--- a/src/standin/direct/check.rs
+++ b/src/standin/direct/check.rs
@@ -218,7 +218,7 @@
     /// shares. Its first statement may run again on another connection as long as nothing followed
     /// it; then only the last answer counts.
     fn transactions(&mut self) {
-        let mut places: BTreeMap<u64, Place<'_>> = BTreeMap::new();
+        let mut executions: BTreeMap<u64, Execution<'_>> = BTreeMap::new();
         for run in &self.events.runs {
             let Some(said) = self.by_id.get(&*run.id).copied() else {
                 continue;
@@ -226,33 +226,33 @@
             let Some(transaction) = run.transaction else {
                 continue;
             };
-            let place = places
+            let execution = executions
                 .entry(said.operation)
-                .or_insert_with(|| Place::of(run));
-            if place.run.id != run.id {
-                place.followed = true;
+                .or_insert_with(|| Execution::of(run));
+            if execution.run.id != run.id {
+                execution.followed = true;
             }
-            if place.is_elsewhere(run) {
-                match place.followed {
+            if execution.differs_from(run) {
+                match execution.followed {
                     true => {
                         self.report_violation("a transaction on two connections", said, Some(run))
                     }
-                    false => *place = Place::of(run),
+                    false => *execution = Execution::of(run),
                 }
             }
             if self.known.owner(transaction, said) != said.operation {
                 self.report_violation("inside another caller's transaction", said, Some(run));
             }
         }
-        for place in places.into_values() {
-            let Some(said) = self.by_id.get(&*place.run.id).copied() else {
+        for execution in executions.into_values() {
+            let Some(said) = self.by_id.get(&*execution.run.id).copied() else {
                 continue;
             };
             if said
                 .signature()
-                .is_some_and(|told| told != &*place.run.signature)
+                .is_some_and(|told| told != &*execution.run.signature)
             {
-                self.report_violation("told of a run that was given up", said, Some(place.run));
+                self.report_violation("told of a run that was given up", said, Some(execution.run));
             }
         }
     }
@@ -358,12 +358,12 @@
 }
 
 /// The connection and transaction in which a caller's transaction runs.
-struct Place<'a> {
+struct Execution<'a> {
     run: &'a Run,
     followed: bool,
 }
 
-impl<'a> Place<'a> {
+impl<'a> Execution<'a> {
     fn of(run: &'a Run) -> Self {
         Self {
             run,
@@ -371,21 +371,21 @@
         }
     }
 
-    fn is_elsewhere(&self, run: &Run) -> bool {
+    fn differs_from(&self, run: &Run) -> bool {
         (self.run.connection, self.run.transaction) != (run.connection, run.transaction)
     }
 }
 
 fn is_write(said: &Said) -> bool {
-    said.text.starts_with("write ") || (said.text.starts_with("exec ") && words(said) == 4)
+    said.text.starts_with("write ") || (said.text.starts_with("exec ") && word_count(said) == 4)
 }
 
 /// Whether a statement is a read, in a transaction or not.
 pub fn is_read(said: &Said) -> bool {
-    said.text.starts_with("read ") || (said.text.starts_with("exec ") && words(said) == 3)
+    said.text.starts_with("read ") || (said.text.starts_with("exec ") && word_count(said) == 3)
 }
 
-fn words(said: &Said) -> usize {
+fn word_count(said: &Said) -> usize {
     said.text.split(' ').count()
 }
 
--- a/src/standin/direct/wire.rs
+++ b/src/standin/direct/wire.rs
@@ -84,7 +84,7 @@
 }
 
 /// Removes a complete line from the front of `input`. Returns `None` if there is none yet.
-fn line(input: &mut BytesMut) -> Result<Option<Box<str>>, Garbled> {
+fn take_line(input: &mut BytesMut) -> Result<Option<Box<str>>, Garbled> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
         return match input.len() > LINE_LIMIT {
             true => Err(Garbled::Long(LINE_LIMIT)),
@@ -94,30 +94,30 @@
     let line = input.split_to(end + 1);
     match std::str::from_utf8(&line[..end]) {
         Ok(text) => Ok(Some(text.into())),
-        Err(_) => Err(unclear("not text")),
+        Err(_) => Err(malformed("not text")),
     }
 }
 
-fn unclear(text: &str) -> Garbled {
+fn malformed(text: &str) -> Garbled {
     Garbled::Unclear(text.chars().take(80).collect())
 }
 
-fn split(text: &str) -> (&str, &str) {
+fn split_word(text: &str) -> (&str, &str) {
     text.split_once(' ').unwrap_or((text, ""))
 }
 
-fn put(output: &mut BytesMut, line: std::fmt::Arguments<'_>) {
+fn write_line(output: &mut BytesMut, line: std::fmt::Arguments<'_>) {
     // Writing to memory does not fail.
     let _ = output.write_fmt(line);
     output.extend_from_slice(b"\n");
 }
 
 fn read_message(input: &mut BytesMut) -> Result<Option<Message>, Garbled> {
-    let Some(line) = line(input)? else {
+    let Some(line) = take_line(input)? else {
         return Ok(None);
     };
-    let (word, rest) = split(&line);
-    let (first, rest) = split(rest);
+    let (word, rest) = split_word(&line);
+    let (first, rest) = split_word(rest);
     match word {
         "start" if !first.is_empty() => Ok(Some(Message::Start {
             database: first.into(),
@@ -129,14 +129,14 @@
             statement: statement(rest),
         }))),
         "bye" => Ok(Some(Message::Bye)),
-        _ => Err(unclear(&line)),
+        _ => Err(malformed(&line)),
     }
 }
 
 /// Parses the text of a statement.
 pub fn statement(text: &str) -> Statement {
-    let (word, rest) = split(text);
-    let (first, more) = split(rest);
+    let (word, rest) = split_word(text);
+    let (first, more) = split_word(rest);
     match (word, first.is_empty()) {
         ("begin", _) if rest == "read" => Statement::Begin { read: true },
         ("begin", true) => Statement::Begin { read: false },
@@ -159,7 +159,7 @@
 }
 
 fn prepare(name: &str, rest: &str) -> Statement {
-    let (kind, shape) = split(rest);
+    let (kind, shape) = split_word(rest);
     let writes = match kind {
         "read" => false,
         "write" => true,
@@ -181,14 +181,14 @@
     }
     match &answer.end {
         End::Done(signature) if started => {
-            put(
+            write_line(
                 output,
                 format_args!("done {}", signature.as_deref().unwrap_or("-")),
             );
         }
         End::Done(_) => {}
         End::Error { code, text } => {
-            put(output, format_args!("error {} {text}", word(&CODES, *code)));
+            write_line(output, format_args!("error {} {text}", word(&CODES, *code)));
             if !started {
                 return;
             }
@@ -196,8 +196,8 @@
     }
     let state = word(&STATES, answer.state);
     match answer.position {
-        Some(position) => put(output, format_args!("state {state} {position}")),
-        None => put(output, format_args!("state {state} -")),
+        Some(position) => write_line(output, format_args!("state {state} {position}")),
+        None => write_line(output, format_args!("state {state} -")),
     }
 }
 
@@ -208,7 +208,9 @@
 
 fn value<T: Copy>(words: &[(T, &'static str)], text: &str) -> Result<T, Garbled> {
     let found = words.iter().find(|(_, word)| *word == text);
-    found.map(|(value, _)| *value).ok_or_else(|| unclear(text))
+    found
+        .map(|(value, _)| *value)
+        .ok_or_else(|| malformed(text))
 }
 
 fn write_start(
@@ -218,7 +220,7 @@
     organisation: Option<&OrganisationId>,
 ) {
     let caller = organisation.map_or(OWN, OrganisationId::as_str);
-    put(output, format_args!("start {group} {database} {caller}"));
+    write_line(output, format_args!("start {group} {database} {caller}"));
 }
 
 fn write_query(output: &mut BytesMut, query: &Query, name: Option<&str>, after: Option<Position>) {
@@ -227,13 +229,13 @@
         (Statement::Execute { rest, .. }, Some(name)) => format!("exec {name} {rest}"),
         _ => query.text.to_string(),
     };
-    ask(output, &query.id, after, &text);
+    write_ask(output, &query.id, after, &text);
 }
 
-fn ask(output: &mut BytesMut, id: &str, after: Option<Position>, text: &str) {
+fn write_ask(output: &mut BytesMut, id: &str, after: Option<Position>, text: &str) {
     match after {
-        Some(after) => put(output, format_args!("ask {id} after {after} {text}")),
-        None => put(output, format_args!("ask {id} {text}")),
+        Some(after) => write_line(output, format_args!("ask {id} after {after} {text}")),
+        None => write_line(output, format_args!("ask {id} {text}")),
     }
 }
 
@@ -255,11 +257,11 @@
         Order::Status => ("standing".into(), None),
         Order::StepDown(term) => (format!("step-down {term}"), None),
     };
-    ask(output, OWN, after, &text);
+    write_ask(output, OWN, after, &text);
 }
 
 fn write_bye(output: &mut BytesMut) {
-    put(output, format_args!("bye"));
+    write_line(output, format_args!("bye"));
 }
 
 /// Removes a complete answer from the front of `input`. Returns `None` if there is none yet.
@@ -268,28 +270,28 @@
     let mut rows = Vec::new();
     let mut end = starting.then_some(End::Done(None));
     let state = loop {
-        let Some(line) = line(&mut rest)? else {
+        let Some(line) = take_line(&mut rest)? else {
             return Ok(None);
         };
-        let (word, text) = split(&line);
+        let (word, text) = split_word(&line);
         match word {
             "row" => rows.push(Bytes::copy_from_slice(text.as_bytes())),
             "done" => end = Some(End::Done((text != "-").then(|| text.into()))),
             "error" => end = Some(read_error(text)?),
             "state" => break read_state(text)?,
-            _ => return Err(unclear(&line)),
+            _ => return Err(malformed(&line)),
         }
         if starting && word == "error" {
             break (State::Idle, None);
         }
     };
     *input = rest;
-    let end = end.ok_or_else(|| unclear("an answer without an end"))?;
+    let end = end.ok_or_else(|| malformed("an answer without an end"))?;
     Ok(Some(answer(rows, end, state)))
 }
 
 fn read_error(text: &str) -> Result<End, Garbled> {
-    let (code, text) = split(text);
+    let (code, text) = split_word(text);
     Ok(End::Error {
         code: value(&CODES, code)?,
         text: text.into(),
@@ -306,12 +308,12 @@
 }
 
 fn read_state(text: &str) -> Result<(State, Option<Position>), Garbled> {
-    let (state, position) = split(text);
+    let (state, position) = split_word(text);
     let state = value(&STATES, state)?;
     match position {
         "-" => Ok((state, None)),
         position => {
-            let position = position.parse().map_err(|_| unclear(text))?;
+            let position = position.parse().map_err(|_| malformed(text))?;
             Ok((state, Some(position)))
         }
     }
@@ -330,14 +332,14 @@
 
 /// Removes a complete request from the front of `input`. Returns `None` if there is none yet.
 pub fn read_request(input: &mut BytesMut) -> Result<Option<Request>, Garbled> {
-    let Some(line) = line(input)? else {
+    let Some(line) = take_line(input)? else {
         return Ok(None);
     };
-    let (word, rest) = split(&line);
-    let (first, rest) = split(rest);
+    let (word, rest) = split_word(&line);
+    let (first, rest) = split_word(rest);
     match word {
         "start" => {
-            let (database, organisation) = split(rest);
+            let (database, organisation) = split_word(rest);
             Ok(Some(Request::Start {
                 group: first.into(),
                 database: database.into(),
@@ -353,7 +355,7 @@
             }))
         }
         "bye" => Ok(Some(Request::Bye)),
-        _ => Err(unclear(&line)),
+        _ => Err(malformed(&line)),
     }
 }
 
@@ -361,19 +363,19 @@
     let Some(rest) = text.strip_prefix("after ") else {
         return Ok((None, text));
     };
-    let (position, text) = split(rest);
-    let position = position.parse().map_err(|_| unclear(rest))?;
+    let (position, text) = split_word(rest);
+    let position = position.parse().map_err(|_| malformed(rest))?;
     Ok((Some(position), text))
 }
 
 /// Writes the start of a caller's session.
 pub fn write_caller_start(output: &mut BytesMut, route: &str, caller: &str) {
-    put(output, format_args!("start {route} {caller}"));
+    write_line(output, format_args!("start {route} {caller}"));
 }
 
 /// Writes a caller's statement.
 pub fn write_caller_query(output: &mut BytesMut, id: &str, text: &str) {
-    ask(output, id, None, text);
+    write_ask(output, id, None, text);
 }
 
 /// Writes the end of a caller's session.
--- a/tests/direct_fleet.rs
+++ b/tests/direct_fleet.rs
@@ -336,8 +336,8 @@
         scene.fault(all, 3_000, 4_400).await;
         scene.until(6_400).await;
         assert_eq!(ready(&scene), 40);
-        let told = max_answered_bytes(&scene) - before;
-        assert!(told <= 2 * QUARTER_OF_LINK, "{told} bytes in 2 s");
+        let sent = max_answered_bytes(&scene) - before;
+        assert!(sent <= 2 * QUARTER_OF_LINK, "{sent} bytes in 2 s");
         scene.passes().await;
     });
 }
--- a/tests/direct_standin.rs
+++ b/tests/direct_standin.rs
@@ -113,26 +113,26 @@
         let Ok(Response::Written(version)) = store(write("a", "1", 0), SECOND).await else {
             panic!("not written");
         };
-        let told = store(write("a", "2", 0), SECOND).await.unwrap();
-        assert!(matches!(told, Response::Conflict(rows) if rows[0].version == version));
+        let response = store(write("a", "2", 0), SECOND).await.unwrap();
+        assert!(matches!(response, Response::Conflict(rows) if rows[0].version == version));
         let follow = |after, wait| Command::Follow {
             table: "t".into(),
             after,
             wait,
         };
-        let told = store(
+        let response = store(
             follow(Version::new(version.era, version.number - 1), SECOND),
             SECOND,
         )
         .await
         .unwrap();
-        assert!(matches!(told, Response::Rows { rows, .. } if rows.len() == 1));
-        let told = store(follow(version, Span(1)), SECOND).await.unwrap();
-        assert!(matches!(told, Response::Rows { rows, .. } if rows.is_empty()));
+        assert!(matches!(response, Response::Rows { rows, .. } if rows.len() == 1));
+        let response = store(follow(version, Span(1)), SECOND).await.unwrap();
+        assert!(matches!(response, Response::Rows { rows, .. } if rows.is_empty()));
         world.store.put(RowId::new("t", "b"), None);
         world.store.forget();
-        let told = store(follow(version, SECOND), SECOND).await.unwrap();
-        assert_eq!(told, Response::Forgotten);
+        let response = store(follow(version, SECOND), SECOND).await.unwrap();
+        assert_eq!(response, Response::Forgotten);
     })
     .unwrap();
 }
