--- a/src/schedule/direct.rs
+++ b/src/schedule/direct.rs
@@ -145,7 +145,7 @@
     Ok(Report {
         seed,
         script: script.collect(),
-        told: report.told,
+        told: report.counts,
         broken: report.broken,
     })
 }
--- a/src/standin/direct/check.rs
+++ b/src/standin/direct/check.rs
@@ -30,7 +30,7 @@
     /// A description of each violation.
     pub broken: Vec<Box<str>>,
     /// How many statements had each result.
-    pub told: Count,
+    pub counts: Count,
 }
 
 impl fmt::Display for Count {
@@ -50,7 +50,7 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}", self.told)?;
+        write!(f, "{}", self.counts)?;
         for broken in &self.broken {
             write!(f, "\n  {broken}")?;
         }
@@ -142,13 +142,13 @@
     }
 
     fn count(&mut self) {
-        let told = &mut self.report.told;
+        let counts = &mut self.report.counts;
         for said in self.said {
             match (said.is_done(), said.is_not_run(), said.told.is_some()) {
-                (true, _, _) => told.done += 1,
-                (_, true, _) => told.not_run += 1,
-                (_, _, true) => told.failed += 1,
-                _ => told.unanswered += 1,
+                (true, _, _) => counts.done += 1,
+                (_, true, _) => counts.not_run += 1,
+                (_, _, true) => counts.failed += 1,
+                _ => counts.unanswered += 1,
             }
         }
     }
--- a/tests/direct_failures.rs
+++ b/tests/direct_failures.rs
@@ -14,7 +14,7 @@
 #[test]
 fn no_failures() {
     play(Setup::default(), |scene| async move {
-        let told = scene.passes().await.told;
+        let told = scene.passes().await.counts;
         assert_eq!(told.not_run + told.failed + told.unanswered, 0, "{told:?}");
     });
 }
@@ -52,7 +52,7 @@
     play(Setup::default(), |scene| async move {
         let leave = Fault::Leave(db("db0a"), Span::from_secs(7));
         scene.fault(leave, 5_000, 5_001).await;
-        let told = scene.passes().await.told;
+        let told = scene.passes().await.counts;
         assert_ne!(scene.leader(), db("db0a"));
         assert_eq!((told.failed, told.unanswered), (0, 0), "{told:?}");
         assert!(scene.events().commits.iter().all(|c| c.lost.is_none()));
@@ -169,7 +169,7 @@
         for id in ["db0a", "db0b", "db0c"] {
             Fault::Slow(db(id), Span::from_millis(120)).begin(&scene.world);
         }
-        let told = scene.passes().await.told;
+        let told = scene.passes().await.counts;
         assert_eq!(told.failed, 0, "{told:?}");
         assert!(told.done > 300, "{told:?}");
     });
@@ -182,7 +182,7 @@
     play(Setup::default(), |scene| async move {
         let lag = Fault::Lag(db("db0b"), Span::from_secs(5));
         scene.fault(lag, 2_000, 20_000).await;
-        let told = scene.passes().await.told;
+        let told = scene.passes().await.counts;
         assert_eq!(told.not_run + told.failed + told.unanswered, 0, "{told:?}");
     });
 }
--- a/tests/direct_relay.rs
+++ b/tests/direct_relay.rs
@@ -47,7 +47,7 @@
 #[test]
 fn only_owners_connect_to_databases() {
     play(crowded(), |scene| async move {
-        let told = scene.passes().await.told;
+        let told = scene.passes().await.counts;
         let refused: Vec<_> = scene
             .said(0, 30_000)
             .into_iter()
@@ -116,7 +116,7 @@
         let stopped = owner(&scene, "db0a");
         let stop = Fault::Stop(stopped, Span::from_secs(6));
         scene.fault(stop, 5_000, 13_000).await;
-        let told = scene.passes().await.told;
+        let told = scene.passes().await.counts;
         assert_eq!(told.failed + told.unanswered, 0, "{told:?}");
     });
 }
--- a/tests/direct_vms.rs
+++ b/tests/direct_vms.rs
@@ -22,7 +22,7 @@
     play(Setup::default(), |scene| async move {
         let down = Fault::Store(Health::Silent, None);
         scene.fault(down, 5_000, 11_000).await;
-        let tally = scene.passes().await.told;
+        let tally = scene.passes().await.counts;
         assert_eq!(
             tally.not_run + tally.failed + tally.unanswered,
             0,
@@ -65,7 +65,7 @@
         let only = Some([scene.steward()].into());
         let down = Fault::Store(Health::Refusing, only);
         scene.fault(down, 5_000, 20_000).await;
-        let tally = scene.passes().await.told;
+        let tally = scene.passes().await.counts;
         assert_eq!(tally.failed + tally.unanswered, 0, "{tally:?}");
         assert!(tally.done > 50 * tally.not_run, "{tally:?}");
     });
@@ -263,7 +263,7 @@
             let from = 3_000 + turn * 8_000;
             scene.fault(stop, from, from + 6_500).await;
         }
-        let tally = scene.passes().await.told;
+        let tally = scene.passes().await.counts;
         assert_eq!((tally.failed, tally.unanswered), (0, 0), "{tally:?}");
     });
 }
