--- a/src/net/peer/handshake.rs
+++ b/src/net/peer/handshake.rs
@@ -45,14 +45,11 @@
         let response = rpc::open(channel, request).await?;
         let (vm, life) = read_identity(response.metadata())?;
         if vm != *expected {
-            return Err(Status::not_found(format!(
-                "{vm} listens there now"
-            )));
+            return Err(Status::not_found(format!("{vm} listens there now")));
         }
         Ok((life, response.into_inner(), frames))
     };
-    let timed_out =
-        |_| Status::deadline_exceeded("no answer to the attempt");
+    let timed_out = |_| Status::deadline_exceeded("no answer to the attempt");
     tokio::time::timeout(CONNECT_TIMEOUT, attempt)
         .await
         .map_err(timed_out)?
