--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -101,7 +101,7 @@
         status: watch::Sender::default(),
     };
     println!("ready {}", settings.callers);
-    proxy::run(setup, util::asked_to_stop().map_err(Error::failed)?).await;
+    proxy::run(setup, util::stop_signal().map_err(Error::failed)?).await;
     Ok(())
 }
 
--- a/src/net/direct.rs
+++ b/src/net/direct.rs
@@ -67,7 +67,7 @@
 
 /// Runs the VM until a planned stop is over.
 pub async fn run(place: Place, build: Build) -> io::Result<()> {
-    let stop = util::asked_to_stop()?;
+    let stop = util::stop_signal()?;
     let listeners = Listeners::open(&place)?;
     println!("ready {}", place.settings.callers);
     let adapter = build(Environment {
--- a/src/standin/demo.rs
+++ b/src/standin/demo.rs
@@ -289,7 +289,7 @@
 
     /// Runs until SIGTERM or SIGINT, then stops the proxies.
     pub async fn run_until_signal(self) -> io::Result<()> {
-        let asked = util::asked_to_stop()?;
+        let asked = util::stop_signal()?;
         tokio::select! {
             () = asked => {}
             () = self.kill_in_time() => {}
--- a/src/util.rs
+++ b/src/util.rs
@@ -26,7 +26,7 @@
 
 /// Installs handlers for SIGTERM and SIGINT, and returns a future that completes on either one.
 /// Both ask for a planned stop. Fails if a handler can't be installed.
-pub fn asked_to_stop() -> std::io::Result<impl Future<Output = ()> + 'static> {
+pub fn stop_signal() -> std::io::Result<impl Future<Output = ()> + 'static> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     Ok(async move {
