--- a/src/jsonc.rs
+++ b/src/jsonc.rs
@@ -170,7 +170,7 @@
     }
 }
 
-/// Walks to a path and fails there on purpose, because the parser's errors know their place.
+/// Walks to a path and fails there on purpose, because only the parser's errors have a location.
 #[derive(Clone, Copy)]
 struct Seek<'p>(&'p [Box<str>]);
 
