--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -71,7 +71,7 @@
         peers: shell.peers().open() as u64,
         version: shell.status().version.0,
         resident: process::resident().unwrap_or_default(),
-        processor: process::processor().map_or(0, |time| time.as_micros() as u64),
+        processor: process::cpu_time().map_or(0, |time| time.as_micros() as u64),
     };
     metrics::text(shell.inspect(|node| node.counters().clone()), gauges)
 }
--- a/src/net/direct/admin.rs
+++ b/src/net/direct/admin.rs
@@ -109,7 +109,7 @@
             register_age: summary.register_age.unwrap_or_default(),
             leads,
             resident: process::resident().unwrap_or_default(),
-            processor: process::processor().map_or(0, |used| used.as_micros() as u64),
+            processor: process::cpu_time().map_or(0, |used| used.as_micros() as u64),
             logs_dropped: logs::dropped(),
         };
         self.shared.meter.text(&levels).into()
--- a/src/process.rs
+++ b/src/process.rs
@@ -17,7 +17,7 @@
 }
 
 /// The processor time that this process has used in user and system mode, with a resolution of 10 ms.
-pub fn processor() -> Option<Duration> {
+pub fn cpu_time() -> Option<Duration> {
     let text = fs::read_to_string("/proc/self/stat").ok()?;
     // The second field is the program's name in brackets, which may hold any character.
     let (_, rest) = text.rsplit_once(')')?;
@@ -28,7 +28,7 @@
 }
 
 /// The processor time that this process's threads named `name` have used, with a resolution of 1 ns.
-pub fn thread(name: &str) -> Option<Duration> {
+pub fn thread_cpu_time(name: &str) -> Option<Duration> {
     let mut total = None;
     for task in fs::read_dir("/proc/self/task").ok()?.flatten() {
         let path = task.path();
--- a/src/slopes/path.rs
+++ b/src/slopes/path.rs
@@ -291,6 +291,6 @@
 }
 
 fn processor() -> Result<[Duration; 2], Error> {
-    let thread = |name| process::thread(name).ok_or(Error::NoProcessorTime(name));
+    let thread = |name| process::thread_cpu_time(name).ok_or(Error::NoProcessorTime(name));
     Ok([thread(PROXIES[0])?, thread(PROXIES[1])?])
 }
