--- a/src/cmd/slopes/callers.rs
+++ b/src/cmd/slopes/callers.rs
@@ -51,8 +51,8 @@
     crate::util::log(log::LevelFilter::Warn);
     let print = |row| println!("{row}");
     let mut state = Ok(());
-    let then = || state = measure_cores(&sessions, &vms, &groups);
-    let measured = actix_rt::System::new().block_on(callers::run(&plan, print, then));
+    let measure_state = || state = measure_cores(&sessions, &vms, &groups);
+    let measured = actix_rt::System::new().block_on(callers::run(&plan, print, measure_state));
     measured.map_err(Error::failed)?;
     state.map_err(Error::failed)
 }
--- a/src/jsonc.rs
+++ b/src/jsonc.rs
@@ -64,11 +64,11 @@
     text: &str,
     check: impl FnOnce(&T) -> Result<(), Fault>,
 ) -> Result<T, Error> {
-    let plain = strip(text)?;
-    parse(&plain, UniqueKeys)?;
-    let value: T = serde_json::from_str(&plain).map_err(|error| convert(&error))?;
+    let without_comments = strip(text)?;
+    parse(&without_comments, UniqueKeys)?;
+    let value: T = serde_json::from_str(&without_comments).map_err(|error| convert(&error))?;
     check(&value).map_err(|fault| Error {
-        location: locate(&plain, &fault.path),
+        location: locate(&without_comments, &fault.path),
         message: fault.to_string().into(),
     })?;
     Ok(value)
