--- a/src/net/direct.rs
+++ b/src/net/direct.rs
@@ -69,7 +69,7 @@
 
 /// Runs the VM until a planned stop is complete.
 pub async fn run(startup: Startup, build: Build) -> io::Result<()> {
-    let stop = util::asked_to_stop()?;
+    let stop = util::stop_signal()?;
     let listeners = Listeners::open(&startup)?;
     println!("ready {}", startup.settings.callers);
     let adapter = build(Environment {
--- a/src/standin/demo.rs
+++ b/src/standin/demo.rs
@@ -293,7 +293,7 @@
     /// Runs until SIGTERM or SIGINT, then stops the proxies. Returns an error if the signals can't be
     /// handled.
     pub async fn run_until_signal(self) -> io::Result<()> {
-        let stop_signal = util::asked_to_stop()?;
+        let stop_signal = util::stop_signal()?;
         tokio::select! {
             () = stop_signal => {}
             () = self.kill_primary() => {}
