--- a/src/standin/demo.rs
+++ b/src/standin/demo.rs
@@ -1,4 +1,4 @@
-//! A whole deployment in one process: groups of databases, and proxies on threads of their own.
+//! Runs a deployment in one process: groups of databases, and one thread for each proxy.
 
 use crate::clock::Span;
 use crate::config::{Document, Durability, Pool};
@@ -22,30 +22,32 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-/// How long a demo may take until it serves.
-const START_LIMIT: Duration = Duration::from_secs(20);
+/// How long a demo may take to start until all groups accept transactions.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-const START_CHECK: Duration = Duration::from_millis(50);
+/// The interval between two checks whether a group accepts transactions.
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a demo is to be.
+/// The options of a demo.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Where the first proxy listens for callers; port 0 takes free ports.
+    /// The address on which the first proxy listens for callers; port 0 selects free ports.
     pub listen: SocketAddr,
-    /// How many proxies.
+    /// The number of proxies.
     pub proxies: u8,
-    /// Which deployment.
+    /// The deployment to run.
     pub deployment: Deployment,
     /// When to kill the primary of the first group, in seconds from the start.
     pub kill_primary_after: Option<u64>,
-    /// Whether databases answer at once, never lag, bear much, and all are in the first proxy's
-    /// failure domain, so that it holds them and the others forward to it: to measure what the
-    /// proxies cost. The caller [`PRIMARY_CALLER`] then has durability `primary`.
+    /// Whether to run ideal databases, to measure the overhead of the proxies: they have no latency or
+    /// lag and many slots, and all are in the first proxy's failure domain, so that it is their
+    /// holder and the others forward to it. The caller [`PRIMARY_CALLER`] then has durability
+    /// `primary`.
     pub ideal: bool,
 }
 
 impl Plan {
-    /// The association's deployment on ports of this machine that are free.
+    /// Returns a plan for the association's deployment on free ports of this machine.
     pub fn on_free_ports(proxies: u8) -> Self {
         Self {
             listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
@@ -60,7 +62,7 @@
 /// The caller whose writes need only the primary, in an ideal deployment.
 pub const PRIMARY_CALLER: &str = "primary";
 
-/// Slots and connections of a database in an ideal deployment.
+/// The number of slots, and of connections, of a database in an ideal deployment.
 const IDEAL_SLOTS: u32 = 64;
 
 /// A running demo.
@@ -81,10 +83,10 @@
     thread: JoinHandle<()>,
 }
 
-/// Why a demo does not start.
+/// The reason why a demo did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address can't be bound, or a thread not be started.
+    /// An address can't be bound, or a thread can't be started.
     #[error("{0}; another demo may be running: stop it or choose another --listen")]
     Io(#[from] io::Error),
     /// The deployment's configuration was not accepted.
@@ -95,11 +97,11 @@
     Name(#[from] Invalid),
 }
 
-/// Starts the databases and proxies of `plan`.
+/// Starts the databases and proxies of `plan`, and waits up to 20 s until all groups are served.
 pub async fn start(plan: &Plan) -> Result<Demo, Error> {
     let mut document = plan.deployment.document()?;
     if plan.ideal {
-        idealize(plan.deployment, &mut document)?;
+        make_ideal(plan.deployment, &mut document)?;
     }
     let groups = start_groups(plan, &mut document)?;
     let platform = Platform::start(SocketAddr::new(plan.listen.ip(), 0))?;
@@ -109,7 +111,7 @@
         document,
     };
     let client = Client::new([platform.address()]);
-    let verdict = settle(&client, &proposal, Instant::now() + START_LIMIT).await;
+    let verdict = settle(&client, &proposal, Instant::now() + START_TIMEOUT).await;
     if !matches!(verdict, Verdict::Accepted(_)) {
         return Err(Error::Config(format!("{verdict:?}").into()));
     }
@@ -125,11 +127,11 @@
         proxies,
         kill_primary_after: plan.kill_primary_after,
     };
-    demo.wait_until_served().await;
+    demo.wait_until_serving().await;
     Ok(demo)
 }
 
-fn idealize(deployment: Deployment, document: &mut Document) -> Result<(), Error> {
+fn make_ideal(deployment: Deployment, document: &mut Document) -> Result<(), Error> {
     let domain: Domain = deployment.places()[0].domain.parse()?;
     for group in document.groups.values_mut() {
         for database in group.databases.values_mut() {
@@ -200,7 +202,7 @@
         leaving: false,
     };
     let (stop, stopped) = oneshot::channel();
-    let (status, known) = watch::channel(Status::default());
+    let (status, status_receiver) = watch::channel(Status::default());
     let build = move || {
         Ok(Setup {
             identity,
@@ -219,18 +221,19 @@
     let proxy = Proxy {
         callers: callers_address,
         admin: admin_address,
-        status: known,
+        status: status_receiver,
         stop,
         thread,
     };
     Ok((member, proxy))
 }
 
-/// Runs one proxy on this thread. Its setup is built here, where its listeners are served.
+/// Runs one proxy on this thread. The setup is built here because the listeners must be registered
+/// on the thread that serves them.
 fn run_proxy(build: impl FnOnce() -> io::Result<Setup>, stopped: oneshot::Receiver<()>) {
     actix_rt::System::new().block_on(async {
         match build() {
-            // A demo that is dropped ends its proxies too.
+            // If the demo is dropped, its sender is dropped too, and the proxy stops.
             Ok(setup) => proxy::run(setup, async { stopped.await.unwrap_or_default() }).await,
             Err(error) => log::error!("a listener can't be used: {error}; free its port"),
         }
@@ -238,27 +241,27 @@
 }
 
 impl Demo {
-    /// Where the proxies listen for callers.
+    /// Returns the addresses on which the proxies listen for callers.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.running().map(|proxy| proxy.callers).collect()
     }
 
-    /// Where the proxies listen for operators.
+    /// Returns the addresses on which the proxies listen for operators.
     pub fn admins(&self) -> Vec<SocketAddr> {
         self.running().map(|proxy| proxy.admin).collect()
     }
 
-    /// What each proxy is in, as it changes.
+    /// Returns a receiver of each proxy's status.
     pub fn statuses(&self) -> Vec<watch::Receiver<Status>> {
         self.running().map(|proxy| proxy.status.clone()).collect()
     }
 
-    /// The databases, for faults.
+    /// Returns the database groups, for fault injection.
     pub fn groups(&self) -> &BTreeMap<GroupId, Handle> {
         &self.groups
     }
 
-    /// The platform, for faults.
+    /// Returns the platform, for fault injection.
     pub fn platform(&self) -> &platform::Handle {
         &self.platform
     }
@@ -267,38 +270,39 @@
         self.proxies.iter().flatten()
     }
 
-    async fn wait_until_served(&self) {
-        let deadline = Instant::now() + START_LIMIT;
+    async fn wait_until_serving(&self) {
+        let deadline = Instant::now() + START_TIMEOUT;
         for address in self.callers() {
             for group in self.groups.keys() {
-                while Instant::now() < deadline && !served(address, group).await {
-                    tokio::time::sleep(START_CHECK).await;
+                while Instant::now() < deadline && !accepts_transaction(address, group).await {
+                    tokio::time::sleep(START_CHECK_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// Asks one proxy to stop, counted from 0, and returns its thread; the proxy finishes what is
-    /// in flight.
+    /// Asks the proxy with this index, counted from 0, to stop, and returns its thread. The proxy
+    /// finishes the requests in progress.
     pub fn stop_proxy(&mut self, index: usize) -> Option<JoinHandle<()>> {
         let proxy = self.proxies.get_mut(index)?.take()?;
-        // One that ended already needs no telling.
+        // Sending fails if the proxy has already ended.
         let _ = proxy.stop.send(());
         Some(proxy.thread)
     }
 
-    /// Runs until SIGTERM or SIGINT, then stops the proxies.
+    /// Runs until SIGTERM or SIGINT, then stops the proxies. Returns an error if the signals can't be
+    /// handled.
     pub async fn run_until_signal(self) -> io::Result<()> {
-        let asked = util::asked_to_stop()?;
+        let stop_signal = util::asked_to_stop()?;
         tokio::select! {
-            () = asked => {}
-            () = self.kill_in_time() => {}
+            () = stop_signal => {}
+            () = self.kill_primary() => {}
         }
         self.stop();
         Ok(())
     }
 
-    async fn kill_in_time(&self) {
+    async fn kill_primary(&self) {
         if let Some(secs) = self.kill_primary_after {
             tokio::time::sleep(Duration::from_secs(secs)).await;
             if let Some((group, handle)) = self.groups.iter().next()
@@ -311,7 +315,7 @@
         std::future::pending().await
     }
 
-    /// Stops the proxies and waits for them.
+    /// Stops the proxies and waits until their threads have ended.
     pub fn stop(mut self) {
         let indexes = 0..self.proxies.len();
         let threads: Vec<_> = indexes.filter_map(|index| self.stop_proxy(index)).collect();
@@ -323,8 +327,8 @@
     }
 }
 
-/// Whether the primary of `group` takes a transaction through the proxy at `address`.
-async fn served(address: SocketAddr, group: &GroupId) -> bool {
+/// Whether the primary of `group` accepts a transaction through the proxy at `address`.
+async fn accepts_transaction(address: SocketAddr, group: &GroupId) -> bool {
     let mut config = tokio_postgres::Config::new();
     config.host(address.ip().to_string()).port(address.port());
     config.user("demo").dbname(group.as_str());
@@ -332,8 +336,8 @@
         return false;
     };
     let connection = actix_rt::spawn(connection);
-    let served = client.batch_execute("BEGIN").await.is_ok()
+    let accepts_transaction = client.batch_execute("BEGIN").await.is_ok()
         && client.batch_execute("ROLLBACK").await.is_ok();
     connection.abort();
-    served
+    accepts_transaction
 }
--- a/src/standin/deployment.rs
+++ b/src/standin/deployment.rs
@@ -1,4 +1,5 @@
-//! The users' two deployments in small: places, latencies, groups and sizes of today.
+//! The users' two deployments at a small scale, with their current failure domains, latencies, groups
+//! and sizes.
 
 use crate::clock::Span;
 use crate::config::{Database, Document, Durability, Group, Pool, Timing};
@@ -8,32 +9,32 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::str::FromStr;
 
-/// How many groups each deployment has.
+/// The number of groups, and of failure domains, of each deployment.
 pub const GROUPS: usize = 3;
 
-/// How long a new connection to a database takes.
+/// How long opening a connection to a database takes.
 pub const CONNECT: Span = Span::from_millis(10);
 
-/// How long an entry takes from a primary into a replica's log, beside the latency. Taken small:
-/// shipping is prompt, what lags is the replay.
+/// How long an entry takes from a primary into a replica's log, in addition to the latency. It is
+/// short because log shipping is prompt and replay causes most of the lag.
 pub const RECEIVE_LAG: Span = Span::from_millis(1);
 
-/// How far a replica's readers are behind its log.
+/// How far reads on a replica are behind its log.
 pub const APPLY_LAG: Span = Span::from_millis(100);
 
 /// How long a statement holds a slot.
 pub const SERVICE: Span = Span::from_millis(1);
 
-/// The caller whose work runs long, such as a reconciliation at night.
+/// The caller with long-running work, such as a nightly reconciliation.
 pub const LONG_CALLER: &str = "reconcile";
 
-/// Which deployment.
+/// One of the users' deployments.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Deployment {
-    /// The traders' association: 3 slots and 25 connections a database.
+    /// The traders' association: 3 slots and 25 connections per database.
     Association,
-    /// The permit desk: 2 slots and 30 connections a database.
+    /// The permit desk: 2 slots and 30 connections per database.
     Permits,
 }
 
@@ -58,7 +59,7 @@
 ];
 
 impl Deployment {
-    /// Its failure domains; two share a region, the third is a region of its own.
+    /// Returns its failure domains: two share a region, the third is in another region.
     pub fn places(self) -> [Place; GROUPS] {
         match self {
             Self::Association => ASSOCIATION,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Statements that really run at once on a database.
+    /// Returns the number of statements that a database runs concurrently.
     pub fn slots(self) -> u32 {
         match self {
             Self::Association => 3,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Connections that a database accepts.
+    /// Returns the number of connections that a database accepts.
     pub fn connections(self) -> u32 {
         match self {
             Self::Association => 25,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The one-way latency between two of its places, by their numbers.
+    /// Returns the one-way latency between two of its places, given by their indexes.
     pub fn latency(self, a: usize, b: usize) -> Span {
         let places = self.places();
         let region = |index: usize| places.get(index).map(|place| place.region);
@@ -94,8 +95,8 @@
         }
     }
 
-    /// The number of the place that `address` belongs to in the demo, which gives each failure
-    /// domain a network 127.0.N.0/24 with N from 1.
+    /// Returns the index of the place of a demo address. The demo gives each failure domain a network
+    /// 127.0.N.0/24, with N from 1.
     pub fn place_of(address: IpAddr) -> Option<usize> {
         match address {
             IpAddr::V4(address) => usize::from(address.octets()[2]).checked_sub(1),
@@ -103,13 +104,13 @@
         }
     }
 
-    /// The address that host `host` of place `place` has in the demo.
+    /// Returns the demo address of host `host` in the place with index `place`.
     pub fn address(place: usize, host: u8) -> IpAddr {
         let network = u8::try_from(place + 1).unwrap_or(u8::MAX);
         IpAddr::V4(Ipv4Addr::new(127, 0, network, host))
     }
 
-    /// The one-way latency between a demo address and a failure domain.
+    /// Returns the one-way latency between a demo address and a failure domain; zero if one is unknown.
     pub fn latency_to(self, address: IpAddr, domain: &Domain) -> Span {
         let places = self.places();
         let target = places
@@ -121,8 +122,9 @@
         }
     }
 
-    /// Its configuration. Databases get port 0 at addresses of their failure domains; group
-    /// `ledger1` has its first database, which is its first primary, in the first place, and so on.
+    /// Returns its configuration. Databases get port 0 at addresses of their failure domains. The first
+    /// database of a group is its first primary; that of `ledger1` is in the first place, that of
+    /// `ledger2` in the second, and so on. Returns an error if a name is invalid.
     pub fn document(self) -> Result<Document, Invalid> {
         let mut groups = BTreeMap::new();
         for number in 0..GROUPS {
@@ -184,7 +186,7 @@
     }
 }
 
-/// No deployment of this name.
+/// The error for a name that is not that of a deployment.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("no deployment `{0}`: write association or permits")]
 pub struct Unknown(Box<str>);
--- a/src/standin/fake/base.rs
+++ b/src/standin/fake/base.rs
@@ -1,4 +1,4 @@
-//! A database with its connections, and its faults.
+//! A simulated database with its connections and faults.
 
 use super::log::{Log, Row};
 use crate::clock::{Span, Time};
@@ -6,43 +6,43 @@
 use crate::types::{ConnId, DatabaseId, Life, Position, RequestId, RequestKey, VmId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long an order to reach a position is kept waiting.
-const REACH: Span = Span::from_secs(1);
+/// How long an order to reach a position may wait before it is answered.
+const REACH_TIMEOUT: Span = Span::from_secs(1);
 
-/// A connection, as the database knows it.
+/// Identifies a connection: its VM, the life of that VM's process, and the connection's id.
 pub(super) type Owner = (VmId, Life, ConnId);
 
-/// One database.
+/// One simulated database.
 #[derive(Debug)]
 pub struct Base {
     /// Its name.
     pub id: DatabaseId,
     /// Whether its process runs.
     pub up: bool,
-    /// Takes everything and answers nothing until it thaws.
+    /// Whether it is paused: it accepts commands but answers none until it resumes.
     pub frozen: bool,
-    /// Receives nothing of the primary's log.
+    /// Whether replication from the primary is stopped.
     pub stalled: bool,
-    /// How long a row that it received takes to be applied.
+    /// The delay between receiving a row and applying it.
     pub lag: Span,
-    /// How many connections it accepts.
+    /// The maximum number of connections.
     pub limit: usize,
-    /// The next answers that are lost after their effect.
+    /// How many of the next answers are lost after the statement has taken effect.
     pub lose_answers: u32,
-    /// What it has written and received.
+    /// The rows it has written and received.
     pub log: Log,
-    /// Every row that it ever wrote itself.
+    /// Every row that it has written itself as primary, even if its log has lost it since.
     pub(super) ran: Vec<Row>,
     replay: VecDeque<(Time, usize)>,
-    /// The open connections, each with the rows of its transaction.
+    /// The open connections, each with the uncommitted rows of its transaction.
     pub(super) connections: BTreeMap<Owner, Option<Vec<Row>>>,
-    /// Connections that something between the two ends has lost track of.
+    /// Connections that the network has dropped without notifying either end.
     pub(super) silent: Vec<Owner>,
-    pub(super) held: VecDeque<(VmId, Life, crate::core::database::Command)>,
+    pub(super) deferred: VecDeque<(VmId, Life, crate::core::database::Command)>,
     waits: Vec<Wait>,
 }
 
-/// What a primary offers those that follow it.
+/// A copy of a primary's log for its replicas.
 #[derive(Debug)]
 pub(super) struct Offer {
     pub from: DatabaseId,
@@ -59,11 +59,11 @@
     until: Time,
 }
 
-/// What a statement did.
+/// The effect of a statement.
 struct Effect {
     body: String,
     wrote: Option<Position>,
-    /// The rows of the transaction that is open now.
+    /// The uncommitted rows of the transaction that is open afterwards.
     open: Option<Vec<Row>>,
 }
 
@@ -82,12 +82,12 @@
             replay: VecDeque::new(),
             connections: BTreeMap::new(),
             silent: Vec::new(),
-            held: VecDeque::new(),
+            deferred: VecDeque::new(),
             waits: Vec::new(),
         }
     }
 
-    /// Its connections go silent for good; new ones work.
+    /// Makes its open connections silent permanently; new ones work.
     pub fn silence(&mut self) {
         self.silent.extend(self.connections.keys().cloned());
     }
@@ -111,14 +111,14 @@
                 life: owner.1,
                 id,
                 position,
-                until: now + REACH,
+                until: now + REACH_TIMEOUT,
             });
         }
         let result = Some(result?);
         Some(Event::Controlled { id, result })
     }
 
-    /// Runs work; `None` if the connection is gone or nothing is heard of it.
+    /// Runs a statement; `None` if the connection is not open.
     pub(super) fn run(&mut self, owner: &Owner, run: Run) -> Option<Event> {
         let conn = owner.2;
         let request = run.request;
@@ -132,7 +132,7 @@
             return Some(refused(Refusal::Term(self.log.term)));
         }
         let text = String::from_utf8_lossy(&run.body).into_owned();
-        let effect = match self.perform(open, &text, run.key) {
+        let effect = match self.execute(open, &text, run.key) {
             Ok(effect) => effect,
             Err(refusal) => return Some(refused(refusal)),
         };
@@ -147,8 +147,8 @@
         Some(Event::Answered { conn, reply })
     }
 
-    /// Does what a statement says, on a connection whose transaction holds `open`.
-    fn perform(
+    /// Executes a statement on a connection whose open transaction, if any, holds the rows `open`.
+    fn execute(
         &mut self,
         open: Option<Vec<Row>>,
         text: &str,
@@ -194,7 +194,7 @@
         Ok(effect)
     }
 
-    /// The row of `KEY=VALUE`.
+    /// Builds a row from `KEY=VALUE`.
     fn row(&self, text: &str, request: Option<RequestKey>) -> Row {
         let (key, value) = text.split_once('=').unwrap_or((text, ""));
         Row {
@@ -211,7 +211,7 @@
         format!("{key}: {}", values.join(","))
     }
 
-    /// Appends a row, unless its request key is there already.
+    /// Appends a row unless the log already holds its request key.
     fn append(&mut self, row: Row) -> Position {
         if self.log.find(row.request.as_ref()).is_none() {
             self.ran.push(row.clone());
@@ -220,15 +220,15 @@
         self.log.end()
     }
 
-    /// Takes over the log of a primary of this database's term.
+    /// Copies the log of the primary of this database's term and schedules its replay.
     pub(super) fn follow(&mut self, now: Time, offer: &Offer) {
-        let (mine, theirs) = (&self.log, &offer.log);
-        let same = mine.rows == theirs.rows && mine.lineage == theirs.lineage;
-        if theirs.term != mine.term || mine.open || same {
+        let (own, offered) = (&self.log, &offer.log);
+        let unchanged = own.rows == offered.rows && own.lineage == offered.lineage;
+        if offered.term != own.term || own.open || unchanged {
             return;
         }
-        let same = self.log.replace(theirs);
-        self.replay.retain(|(_, length)| *length <= same);
+        let common = self.log.replace(offered);
+        self.replay.retain(|(_, length)| *length <= common);
         let length = self.log.rows.len();
         self.replay.push_back((now + self.lag, length));
     }
@@ -241,8 +241,8 @@
         })
     }
 
-    /// Applies what is due, and answers orders whose position is reached or that waited long.
-    pub(super) fn pump(&mut self, now: Time) -> Vec<(VmId, Life, Event)> {
+    /// Applies the rows that are due, and answers orders whose position is reached or that timed out.
+    pub(super) fn replicate(&mut self, now: Time) -> Vec<(VmId, Life, Event)> {
         while let Some((due, length)) = self.replay.front().copied()
             && due <= now
         {
@@ -250,8 +250,8 @@
             self.log.apply(length);
         }
         let (state, log) = (self.log.state(), &self.log);
-        let over = |wait: &mut Wait| wait.until <= now || log.holds(wait.position);
-        let ended = self.waits.extract_if(.., over);
+        let finished = |wait: &mut Wait| wait.until <= now || log.holds(wait.position);
+        let ended = self.waits.extract_if(.., finished);
         let event = |wait: Wait| {
             let id = wait.id;
             let result = Some(Ok(state.clone()));
--- a/src/standin/fake/caller.rs
+++ b/src/standin/fake/caller.rs
@@ -1,64 +1,64 @@
-//! Callers: what they ask, and what they are told.
+//! Callers: their requests and the answers they receive.
 
-use super::{PATIENCE, System, name};
+use super::{REQUEST_TIMEOUT, System, name};
 use crate::clock::{Span, Time};
 use crate::core::node::Input;
 use crate::core::request::{Kind, Outcome, Request};
 use crate::types::{CallerId, GroupId, Link, PoolId, Position, RequestKey, SessionId, VmId};
 
-/// One request of a caller and what it was told.
+/// One request of a caller and its answer.
 #[derive(Debug, Clone)]
 pub struct Ticket {
-    /// The session that asked.
+    /// The session that sent it.
     pub session: Box<str>,
-    /// The proxy that it asked.
+    /// The VM of the proxy that received it.
     pub vm: VmId,
-    /// What it asked for.
+    /// The statement.
     pub body: Box<str>,
-    /// Whether it is acknowledged as soon as the primary alone has it.
+    /// Whether a write is acknowledged as soon as the primary alone has it.
     pub fast: bool,
-    /// When it asked.
+    /// When it was sent.
     pub asked: Time,
-    /// What it was told, and when; `None` while it waits.
+    /// The answer and when it arrived; `None` while the request is pending.
     pub told: Option<(Time, Answer)>,
-    /// The floor in the token that it was shown with the answer.
+    /// The floor (the lowest log position that later reads must see) in the answer's session token.
     pub(super) floor: Option<Position>,
     link: Link,
 }
 
-/// What a caller sees in the end.
+/// The final result of a request, as the caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// It was told this.
+    /// The proxy answered with this outcome.
     Outcome(Outcome),
-    /// Its connection broke without an answer.
+    /// The connection broke before an answer arrived.
     Cut,
 }
 
-/// What a caller asks for.
+/// A request to be sent by a caller.
 #[derive(Debug, Clone)]
 pub struct Ask {
-    /// The session.
+    /// The session that sends it.
     pub session: Box<str>,
-    /// The proxy.
+    /// The VM of the proxy that receives it.
     pub vm: VmId,
-    /// What its batch does.
+    /// The kind of its batch.
     pub kind: Kind,
     /// The statement: `write KEY=VALUE`, `read KEY`, `begin`, `commit` or `rollback`.
     pub body: Box<str>,
-    /// The age that it accepts.
+    /// The maximum age of the data that a read accepts.
     pub max_age: Option<Span>,
     /// Its request key.
     pub key: Option<RequestKey>,
-    /// Whether it uses the pool whose writes are done once the primary has them.
+    /// Whether it uses the pool whose writes are acknowledged once the primary alone has them.
     pub fast: bool,
 }
 
 impl System {
-    /// A caller asks; the answer comes to the ticket of the number returned.
+    /// Sends a request. Returns the index of its ticket, which receives the answer.
     pub fn ask(&mut self, ask: Ask) -> usize {
         let link = self.link_of(&ask);
-        // Only where a write may be lost does a caller need its token, to hear of that.
+        // A caller needs its token only where a write may be lost, to be notified of the loss.
         let last = self
             .tickets
             .iter()
@@ -92,19 +92,19 @@
             max_age: ask.max_age,
             key: ask.key,
             token_floor,
-            deadline: self.now + PATIENCE,
+            deadline: self.now + REQUEST_TIMEOUT,
             body: ask.body.to_string().into(),
         };
         self.input(&ask.vm, Span::ZERO, Input::Submit(request));
         number
     }
 
-    /// The session's connection to the proxy, or a new one while that is busy.
+    /// Returns the session's connection to the proxy, or a new one while that is busy or lost.
     fn link_of(&mut self, ask: &Ask) -> Link {
         let same = |t: &&Ticket| t.session == ask.session && t.vm == ask.vm;
         let last = self.tickets.iter().rev().find(same);
-        let usable = last.filter(|t| matches!(t.told, Some((_, Answer::Outcome(_)))));
-        match usable {
+        let reusable = last.filter(|t| matches!(t.told, Some((_, Answer::Outcome(_)))));
+        match reusable {
             Some(ticket) => ticket.link,
             None => {
                 self.links += 1;
@@ -121,8 +121,8 @@
         floor: Option<Position>,
     ) {
         let now = self.now;
-        let waits = |t: &&mut Ticket| t.link == link && t.vm == *vm && t.told.is_none();
-        match self.tickets.iter_mut().rev().find(waits) {
+        let is_pending = |t: &&mut Ticket| t.link == link && t.vm == *vm && t.told.is_none();
+        match self.tickets.iter_mut().rev().find(is_pending) {
             Some(ticket) => {
                 ticket.told = Some((now, Answer::Outcome(outcome)));
                 ticket.floor = floor;
--- a/src/standin/fake/link.rs
+++ b/src/standin/fake/link.rs
@@ -1,11 +1,12 @@
-//! Streams between two proxies, and cuts.
+//! Message streams between two proxies, and network partitions.
 
-use super::{Coming, LATENCY, NOTICE, System};
+use super::{DETECTION_DELAY, LATENCY, Scheduled, System};
 use crate::core::message::Message;
 use crate::core::node::Input;
 use crate::types::VmId;
 
-/// The stream between two VMs. Messages of an earlier epoch are lost with their stream.
+/// The stream between two VMs. The epoch changes when it opens and closes; messages sent in an earlier
+/// epoch are lost.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Stream {
     epoch: u64,
@@ -17,12 +18,12 @@
     #[default]
     Down,
     Up,
-    /// What is sent is lost; both ends are about to notice.
-    Dying,
+    /// Broken: messages are lost, and both ends are notified after a delay.
+    Broken,
 }
 
 impl System {
-    /// Cuts two names off from each other.
+    /// Drops all traffic between two VMs or databases, given by their names.
     pub fn cut(&mut self, one: &str, other: &str) {
         self.cuts.insert(pair(one.into(), other.into()));
         if let (Some(one), Some(other)) = (super::name(one), super::name(other)) {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Ends every cut.
+    /// Ends every partition.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
@@ -47,9 +48,9 @@
         if stream.state != State::Up {
             return;
         }
-        stream.state = State::Dying;
+        stream.state = State::Broken;
         let epoch = stream.epoch;
-        self.later(NOTICE, Coming::Broken(key.0, key.1, epoch));
+        self.schedule(DETECTION_DELAY, Scheduled::Broken(key.0, key.1, epoch));
     }
 
     pub(super) fn broken(&mut self, one: VmId, other: VmId, epoch: u64) {
@@ -71,20 +72,20 @@
         self.input(&other, crate::clock::Span::ZERO, Input::PeerDown(one));
     }
 
-    /// Sends a message, opening the stream if there is none.
+    /// Sends a message, and opens the stream first if it is closed.
     pub(super) fn send(&mut self, from: &VmId, to: &VmId, message: Message) {
         let reachable = self.machines.contains_key(to) && !self.is_cut(from.as_str(), to.as_str());
         let key = pair(from.clone(), to.clone());
         let stream = self.streams.entry(key).or_default();
         match (stream.state, reachable) {
-            (State::Dying, _) => return,
+            (State::Broken, _) => return,
             (State::Up, true) => {}
             (State::Up, false) => return self.break_stream(from, to),
             (State::Down, false) => {
-                stream.state = State::Dying;
+                stream.state = State::Broken;
                 let epoch = stream.epoch;
                 let key = pair(from.clone(), to.clone());
-                return self.later(NOTICE, Coming::Broken(key.0, key.1, epoch));
+                return self.schedule(DETECTION_DELAY, Scheduled::Broken(key.0, key.1, epoch));
             }
             (State::Down, true) => {
                 stream.state = State::Up;
@@ -95,8 +96,8 @@
         }
         let key = pair(from.clone(), to.clone());
         let epoch = self.streams.get(&key).map_or(0, |stream| stream.epoch);
-        let coming = Coming::Message(from.clone(), to.clone(), epoch, message);
-        self.later(LATENCY, coming);
+        let scheduled = Scheduled::Message(from.clone(), to.clone(), epoch, message);
+        self.schedule(LATENCY, scheduled);
     }
 
     pub(super) fn delivers(&self, from: &VmId, to: &VmId, epoch: u64) -> bool {
--- a/src/standin/fake/log.rs
+++ b/src/standin/fake/log.rs
@@ -1,4 +1,4 @@
-//! A database's log, and the term in which it stands.
+//! A simulated database's log and its term.
 
 use crate::core::database::{Order, Refusal, Reply, State};
 use crate::core::lineage::Lineage;
@@ -6,31 +6,31 @@
 use crate::core::term::may_raise;
 use crate::types::{Offset, Position, RequestId, RequestKey, Term};
 
-/// An entry of the log.
+/// A row that was written, which is one entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// The term that wrote it.
+    /// The term in which it was written.
     pub term: Term,
-    /// What it is about.
+    /// The key of the row.
     pub key: Box<str>,
-    /// What was written.
+    /// The value written.
     pub value: Box<str>,
-    /// The key of the request.
+    /// The key of the request that wrote it.
     pub request: Option<RequestKey>,
 }
 
-/// What one database has, and what it is in its group.
+/// One database's log, its term, and whether it is the primary.
 #[derive(Debug, Clone)]
 pub struct Log {
-    /// The term that it was raised to last.
+    /// The term that it was last raised to.
     pub term: Term,
     /// Whether it is the primary of its term.
     pub open: bool,
     /// All rows, applied or not.
     pub rows: Vec<Row>,
-    /// How many rows readers see.
+    /// The number of rows that are visible to reads.
     pub applied: usize,
-    /// Which rows of former terms are in it.
+    /// The position at which each term began, which determines the earlier terms' rows that it holds.
     pub lineage: Lineage,
 }
 
@@ -47,12 +47,12 @@
 }
 
 impl Log {
-    /// The position of its last row.
+    /// Returns the position of its last row.
     pub fn end(&self) -> Position {
         self.position(self.rows.len())
     }
 
-    /// The position up to which it is applied.
+    /// Returns the position up to which it is applied.
     pub fn reached(&self) -> Position {
         self.position(self.applied)
     }
@@ -63,7 +63,7 @@
         Position::new(term, Offset(length as u64))
     }
 
-    /// What the database tells of itself.
+    /// Returns the state that the database reports.
     pub fn state(&self) -> State {
         State {
             term: self.term,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The answer to a statement that may have written up to `wrote`.
+    /// Returns the answer to a statement; `wrote` is the position of its last write, if any.
     pub fn reply(
         &self,
         request: RequestId,
@@ -91,17 +91,17 @@
         }
     }
 
-    /// The rows that readers see.
+    /// Returns the rows that are visible to reads.
     pub fn seen(&self) -> &[Row] {
         &self.rows[..self.applied]
     }
 
-    /// Whether `position` is in it.
+    /// Whether the log holds `position`.
     pub fn holds(&self, position: Position) -> bool {
         self.lineage.holds(self.end(), position)
     }
 
-    /// Carries out an order; `None` if it asks for a position that is not in the log yet.
+    /// Carries out an order; `None` if it waits for a position that is not in the log yet.
     pub fn order(&mut self, order: Order) -> Option<Result<State, Refusal>> {
         match order {
             Order::Report => {}
@@ -123,7 +123,7 @@
         Some(Ok(self.state()))
     }
 
-    /// Where the row of this request key is, once it was written.
+    /// Returns the position of the row with this request key, if the log holds it.
     pub fn find(&self, request: Option<&RequestKey>) -> Option<Position> {
         let written = |row: &Row| row.request.as_ref() == request;
         let index = self.rows.iter().position(written);
@@ -132,15 +132,15 @@
             .map(|index| self.position(index + 1))
     }
 
-    /// Writes a row, which readers see at once.
+    /// Appends a row, which is visible to reads immediately. Returns its position.
     pub fn push(&mut self, row: Row) -> Position {
         self.rows.push(row);
         self.applied = self.rows.len();
         self.end()
     }
 
-    /// Takes over the rows of `source`; tells how many stay as they were. What is applied beyond
-    /// those is undone, and nothing new is applied yet.
+    /// Replaces the rows by those of `source`. Returns the length of the common prefix; rows applied
+    /// beyond it are undone, and new rows are not applied yet.
     pub fn replace(&mut self, source: &Self) -> usize {
         let pairs = self.rows.iter().zip(&source.rows);
         let same = pairs.take_while(|(a, b)| a == b).count();
@@ -150,7 +150,7 @@
         same
     }
 
-    /// Applies its first `length` rows, as far as there are so many.
+    /// Applies its first `length` rows, or all rows if it has fewer.
     pub fn apply(&mut self, length: usize) {
         self.applied = self.applied.max(length.min(self.rows.len()));
     }
--- a/src/standin/fake/mod.rs
+++ b/src/standin/fake/mod.rs
@@ -1,8 +1,9 @@
-//! A whole small system on virtual time: proxies' cores, a group of databases, the network
-//! between them, and the platform's list and store. Faults are plain calls.
+//! A deterministic simulation of a small system in virtual time: proxies' cores, a group of
+//! databases, the network between them, and the platform's list and store. Faults are injected by
+//! method calls.
 //!
-//! The proxies are real [`Node`]s; everything else is as simple as its faults allow. The same
-//! calls give the same run, so that a failing run can be kept as a test.
+//! The proxies are real [`Node`]s; everything else is only as detailed as its faults require. The
+//! same calls give the same run, so that a failing run can be kept as a test.
 
 mod base;
 mod caller;
@@ -28,16 +29,16 @@
 use platform::Store;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One way between any two ends.
+/// The one-way latency between any two endpoints.
 const LATENCY: Span = Span(500);
-/// How long a broken stream or connection takes to be noticed.
-const NOTICE: Span = Span::from_millis(200);
-/// Between two rounds of replication.
-const PUMP: Span = Span::from_millis(5);
-/// Between two readings of the platform's list and store.
-const POLL: Span = Span::from_secs(1);
-/// How long a caller has a use for its answer.
-const PATIENCE: Span = Span::from_secs(5);
+/// How long it takes to detect a broken stream or connection.
+const DETECTION_DELAY: Span = Span::from_millis(200);
+/// The interval between two rounds of replication.
+const REPLICATION_INTERVAL: Span = Span::from_millis(5);
+/// The interval at which a proxy reads the platform's list and store.
+const POLL_INTERVAL: Span = Span::from_secs(1);
+/// The time from a request to its deadline.
+const REQUEST_TIMEOUT: Span = Span::from_secs(5);
 
 const DOMAINS: [&str; 3] = ["x", "y", "z"];
 const DOCUMENT: &str = r#"{
@@ -50,69 +51,71 @@
         "fast": {"groups": ["ledger"], "callers": ["fast"], "durability": "primary"}}
 }"#;
 
-/// Something that is going to happen.
+/// A scheduled event of the simulation.
 #[derive(Debug)]
-enum Coming {
+enum Scheduled {
     Input(VmId, Life, Input),
     Message(VmId, VmId, u64, Message),
     Broken(VmId, VmId, u64),
     Command(VmId, Life, Command),
     Event(DatabaseId, VmId, Life, Event),
     Forget(VmId, Life),
-    ThawVm(VmId, Life),
-    ThawBase(DatabaseId),
-    Pump,
+    ResumeVm(VmId, Life),
+    ResumeDatabase(DatabaseId),
+    Replicate,
     Poll(VmId, Life),
 }
 
-/// One VM's process.
+/// The proxy process of one VM.
 #[derive(Debug)]
 struct Machine {
     node: Node,
     life: Life,
     paused: bool,
-    held: VecDeque<Input>,
+    deferred: VecDeque<Input>,
     /// The highest version that was in force in this life.
     version: Version,
 }
 
-/// The whole system.
+/// The simulated system.
 #[derive(Debug)]
 pub struct System {
     now: Time,
     machines: BTreeMap<VmId, Machine>,
     bases: BTreeMap<DatabaseId, Base>,
-    /// Every request so far.
+    /// All requests so far.
     pub tickets: Vec<Ticket>,
-    /// Broken promises that were seen on the way.
+    /// Violations of guarantees that were detected during the run.
     pub wrong: Vec<Box<str>>,
     cuts: BTreeSet<(Box<str>, Box<str>)>,
     streams: BTreeMap<(VmId, VmId), Stream>,
     owners: BTreeMap<(VmId, Life, ConnId), DatabaseId>,
-    queue: BTreeMap<(Time, u64), Coming>,
+    queue: BTreeMap<(Time, u64), Scheduled>,
     sequence: u64,
     lives: u64,
     links: u64,
-    /// The platform's list as it was from each time on.
+    /// The versions of the platform's list, each with the time from which it was current.
     list: Vec<(Time, Vec<Member>)>,
     list_lag: Span,
     store: Store,
 }
 
-/// A name that the fakes themselves give, or a script's.
+/// Parses a name that the simulation or a script gives; `None` if it is invalid.
 fn name<T: std::str::FromStr>(text: &str) -> Option<T> {
     text.parse().ok()
 }
 
-/// A group `ledger` of `a`, `b` and `c` in domains `x`, `y`, `z`; pools `safe` (majority) and
-/// `fast` (primary). `None` if the built-in configuration does not parse.
+/// Returns a configuration with a group `ledger` of the databases `a`, `b` and `c` in domains `x`, `y`
+/// and `z`, and the pools `safe` (durability majority) and `fast` (durability primary). `None` if the
+/// built-in configuration does not parse.
 pub fn document() -> Option<Document> {
     serde_json::from_str(DOCUMENT).ok()
 }
 
 impl System {
-    /// `vms` proxies named `vm1` on, one a failure domain in turn, and databases `a`, `b`, `c`
-    /// of group `ledger`. `None` if the built-in configuration does not parse.
+    /// Starts `vms` proxies named `vm1`, `vm2` and so on, distributed over the failure domains in turn,
+    /// and the databases `a`, `b` and `c` of group `ledger`. `None` if the built-in configuration does
+    /// not parse.
     pub fn new(vms: usize) -> Option<Self> {
         let document = document()?;
         let ids = document.groups.values().flat_map(|g| g.databases.keys());
@@ -140,37 +143,37 @@
             let vm = member(index)?.vm;
             system.start(&vm);
         }
-        system.later(PUMP, Coming::Pump);
+        system.schedule(REPLICATION_INTERVAL, Scheduled::Replicate);
         Some(system)
     }
 
-    /// The virtual time.
+    /// Returns the virtual time.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// The VMs that run.
+    /// Returns the VMs whose processes run.
     pub fn vms(&self) -> Vec<VmId> {
         self.machines.keys().cloned().collect()
     }
 
-    /// The databases.
+    /// Returns the ids of the databases.
     pub fn databases(&self) -> Vec<DatabaseId> {
         self.bases.keys().cloned().collect()
     }
 
-    /// A database, for its faults and its log.
+    /// Returns a database, to inject faults or read its log.
     pub fn base(&mut self, id: &DatabaseId) -> Option<&mut Base> {
         self.bases.get_mut(id)
     }
 
-    /// The database that is open in the highest term.
+    /// Returns the open database with the highest term.
     pub fn primary(&self) -> Option<&Base> {
         let open = self.bases.values().filter(|base| base.log.open);
         open.max_by_key(|base| base.log.term)
     }
 
-    /// The state of every proxy, as JSON.
+    /// Returns the state of every proxy as JSON.
     pub fn dump(&self) -> String {
         let states = self.machines.iter();
         let states = states.map(|(vm, machine)| (vm, machine.node.state()));
@@ -178,7 +181,7 @@
         serde_json::to_string_pretty(&states).unwrap_or_default()
     }
 
-    /// The VM that leads the group in the highest term.
+    /// Returns the steward (the VM elected to coordinate promotions) with the highest term.
     pub fn steward(&self) -> Option<VmId> {
         let leads = |machine: &Machine| {
             let state = serde_json::to_value(machine.node.state()).ok()?;
@@ -191,7 +194,7 @@
         leaders.max().map(|(_, vm)| vm.clone())
     }
 
-    /// Every write that any database ever ran.
+    /// Returns every row that any database has written as primary, also those lost since.
     pub fn ran(&self) -> impl Iterator<Item = &Row> {
         self.bases.values().flat_map(|base| &base.ran)
     }
@@ -202,7 +205,7 @@
         found.any(|base| base.up)
     }
 
-    /// The databases' logs.
+    /// Returns the databases' logs.
     pub fn logs(&self) -> impl Iterator<Item = &[Row]> {
         self.bases.values().map(|base| base.log.rows.as_slice())
     }
@@ -212,13 +215,13 @@
         self.machines.get(vm).is_some_and(|m| !m.paused)
     }
 
-    /// The version in force at a VM.
+    /// Returns the configuration version in force at a VM.
     pub fn version(&self, vm: &VmId) -> Option<Version> {
         let accepted = self.machines.get(vm)?.node.accepted()?;
         Some(accepted.version)
     }
 
-    /// Starts a VM's process afresh.
+    /// Starts a VM's process with a new life, unless it runs.
     pub fn start(&mut self, vm: &VmId) {
         if self.machines.contains_key(vm) {
             return;
@@ -247,14 +250,14 @@
             node: Node::new(identity, self.now),
             life,
             paused: false,
-            held: VecDeque::new(),
+            deferred: VecDeque::new(),
             version: Version::default(),
         };
         self.machines.insert(vm.clone(), machine);
-        self.later(Span::ZERO, Coming::Poll(vm.clone(), life));
+        self.schedule(Span::ZERO, Scheduled::Poll(vm.clone(), life));
     }
 
-    /// Ends a VM's process at once.
+    /// Ends a VM's process immediately.
     pub fn kill(&mut self, vm: &VmId) {
         let Some(machine) = self.machines.remove(vm) else {
             return;
@@ -271,26 +274,29 @@
         let mut members = self.members();
         members.retain(|member| member.vm != *vm);
         self.list.push((now, members));
-        // What is on its way to the databases still arrives.
-        self.later(LATENCY + LATENCY, Coming::Forget(vm.clone(), machine.life));
+        // Commands already sent to the databases still arrive.
+        self.schedule(
+            LATENCY + LATENCY,
+            Scheduled::Forget(vm.clone(), machine.life),
+        );
     }
 
-    /// Pauses a VM's process; its clock runs on, and what comes to it waits.
+    /// Pauses a VM's process for `span`; its clock advances, and its inputs wait.
     pub fn freeze(&mut self, vm: &VmId, span: Span) {
         let Some(machine) = self.machines.get_mut(vm) else {
             return;
         };
         machine.paused = true;
         let life = machine.life;
-        self.later(span, Coming::ThawVm(vm.clone(), life));
+        self.schedule(span, Scheduled::ResumeVm(vm.clone(), life));
     }
 
-    /// Asks a VM's process to stop in an orderly way.
+    /// Asks a VM's process to shut down gracefully.
     pub fn stop(&mut self, vm: &VmId) {
         self.input(vm, Span::ZERO, Input::Stop);
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time by `span`.
     pub fn run(&mut self, span: Span) {
         let until = self.now + span;
         while self.step(until) {}
@@ -308,32 +314,33 @@
             if at > until {
                 return false;
             }
-            // A wake-up that was due already still takes a moment.
+            // Advances the time by at least 1 µs, so that an overdue wake-up can't repeat forever.
             self.now = at.max(self.now + Span(1));
-            self.happen(Coming::Input(vm, life, Input::Tick));
+            self.process(Scheduled::Input(vm, life, Input::Tick));
             return true;
         }
-        let Some((key, coming)) = self.queue.pop_first() else {
+        let Some((key, scheduled)) = self.queue.pop_first() else {
             return false;
         };
         if key.0 > until {
-            self.queue.insert(key, coming);
+            self.queue.insert(key, scheduled);
             return false;
         }
         self.now = self.now.max(key.0);
-        self.happen(coming);
+        self.process(scheduled);
         true
     }
 
-    fn later(&mut self, span: Span, coming: Coming) {
+    fn schedule(&mut self, span: Span, scheduled: Scheduled) {
         self.sequence += 1;
-        self.queue.insert((self.now + span, self.sequence), coming);
+        self.queue
+            .insert((self.now + span, self.sequence), scheduled);
     }
 
     fn input(&mut self, vm: &VmId, span: Span, input: Input) {
         if let Some(machine) = self.machines.get(vm) {
             let life = machine.life;
-            self.later(span, Coming::Input(vm.clone(), life, input));
+            self.schedule(span, Scheduled::Input(vm.clone(), life, input));
         }
     }
 
@@ -347,7 +354,7 @@
             Output::Dismiss(_) => {}
             Output::Send { to, message } => self.send(vm, &to, message),
             Output::Database(command) => {
-                self.later(LATENCY, Coming::Command(vm.clone(), life, command));
+                self.schedule(LATENCY, Scheduled::Command(vm.clone(), life, command));
             }
             Output::Stopped => self.kill(vm),
         }
--- a/src/standin/fake/platform.rs
+++ b/src/standin/fake/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: its late list of VMs, and its store with the configuration.
+//! The simulated platform: its delayed list of VMs, and its store with the configuration.
 
 use super::System;
 use crate::clock::Span;
@@ -12,16 +12,16 @@
 pub(super) struct Store {
     pub(super) accepted: Arc<Accepted>,
     pub(super) down: bool,
-    /// The next answers that are lost after the write took effect.
-    lose: u32,
+    /// How many of the next answers are lost after the write has taken effect.
+    lose_answers: u32,
 }
 
-/// What an operator hears of a configuration.
+/// The result of an operator's configuration change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Applied {
     /// It is accepted as this version.
     Accepted(Version),
-    /// Another version came first.
+    /// Another change was accepted before, as this version.
     Lost(Version),
     /// The store did not answer, and nothing was accepted.
     Refused,
@@ -30,19 +30,19 @@
 }
 
 impl Store {
-    /// A store that has accepted `document` as its first version.
+    /// Returns a store that has accepted `document` as its first version.
     pub(super) fn new(document: Document) -> Self {
         let version = Version(1);
         Self {
             accepted: Arc::new(Accepted { version, document }),
             down: false,
-            lose: 0,
+            lose_answers: 0,
         }
     }
 }
 
 impl System {
-    /// The platform lists a VM as leaving.
+    /// Lists a VM as leaving.
     pub fn leave(&mut self, vm: &VmId) {
         let mut members = self.members();
         for member in members.iter_mut().filter(|member| member.vm == *vm) {
@@ -51,22 +51,22 @@
         self.list.push((self.now, members));
     }
 
-    /// The platform's list is late by `lag` from now on.
+    /// Sets the delay of the platform's list.
     pub fn lag_list(&mut self, lag: Span) {
         self.list_lag = lag;
     }
 
-    /// The store is down, or up again.
+    /// Makes the store unavailable, or available again.
     pub fn store_down(&mut self, down: bool) {
         self.store.down = down;
     }
 
-    /// The store's next answer to a write is lost after the write took effect.
+    /// Loses one more answer to a write after the write has taken effect.
     pub fn store_loses_answer(&mut self) {
-        self.store.lose += 1;
+        self.store.lose_answers += 1;
     }
 
-    /// An operator changes the configuration that was in force as version `base`.
+    /// Applies an operator's change to the configuration of version `base`.
     pub fn apply(&mut self, base: Version, change: impl FnOnce(&mut Document)) -> Applied {
         if self.store.down {
             return Applied::Refused;
@@ -79,14 +79,14 @@
         change(&mut document);
         let version = base.next();
         self.store.accepted = Arc::new(Accepted { version, document });
-        if self.store.lose > 0 {
-            self.store.lose -= 1;
+        if self.store.lose_answers > 0 {
+            self.store.lose_answers -= 1;
             return Applied::Unknown;
         }
         Applied::Accepted(version)
     }
 
-    /// The version that the store holds.
+    /// Returns the configuration version in the store.
     pub fn stored(&self) -> Version {
         self.store.accepted.version
     }
@@ -95,11 +95,11 @@
         self.list.last().map(|(_, m)| m.clone()).unwrap_or_default()
     }
 
-    /// The list as the platform shows it now.
+    /// Returns the list of VMs as the platform currently shows it, with its delay.
     pub(super) fn listed(&self) -> Vec<Member> {
-        let shown = self.now - self.list_lag;
+        let visible_since = self.now - self.list_lag;
         let mut known = self.list.iter().rev();
-        let found = known.find(|(from, _)| *from <= shown);
+        let found = known.find(|(from, _)| *from <= visible_since);
         found.map(|(_, m)| m.clone()).unwrap_or_default()
     }
 }
--- a/src/standin/fake/script.rs
+++ b/src/standin/fake/script.rs
@@ -1,4 +1,4 @@
-//! The language of the scenarios: one line a step, played on a [`System`].
+//! The language of the scenarios: one step per line, run on a [`System`].
 //!
 //! Callers: `write SESSION at VM KEY=VALUE [key REQUEST] [fast]`,
 //! `read SESSION at VM KEY [age SPAN]`, `begin`, `commit` and `rollback SESSION at VM`, and
@@ -6,7 +6,7 @@
 //! Faults: `cut NAME from NAME`, `heal`, `freeze VM|DATABASE for SPAN`, `kill VM|DATABASE`,
 //! `start VM|DATABASE`, `silence DATABASE`, `lag DATABASE SPAN`, `stall DATABASE`,
 //! `flow DATABASE`, `limit DATABASE N`, `lose DATABASE`, `store down|up|loses`,
-//! `list lags SPAN`, `leave VM`, `stop VM`, `apply VERSION leaving|staying DATABASE`. To look:
+//! `list lags SPAN`, `leave VM`, `stop VM`, `apply VERSION leaving|staying DATABASE`. Queries:
 //! `log`, `versions`, `primary`. `DATABASE` may be `primary`, and `VM` may be `steward`.
 
 use super::{Answer, Applied, Ask, System, name};
@@ -15,44 +15,46 @@
 use crate::types::{DatabaseId, Version, VmId};
 use std::fmt::Write;
 
-/// Why a step can't be played.
+/// The error for a step that can't be parsed or names an unknown VM or database.
 #[derive(Debug, thiserror::Error)]
 #[error("can't play `{0}`: see the list of steps in `standin::fake::script`")]
 pub struct Unclear(Box<str>);
 
-/// A scenario under way.
+/// Runs the steps of a scenario.
 #[derive(Debug)]
 pub struct Player {
     system: System,
-    told: Vec<bool>,
+    reported: Vec<bool>,
     wrong: usize,
     text: String,
 }
 
 impl Player {
-    /// A scenario with `vms` proxies that have had time to elect a steward.
+    /// Starts a system with `vms` proxies and runs it for 5 s, so that they elect a steward. `None` if
+    /// the built-in configuration does not parse.
     pub fn new(vms: usize) -> Option<Self> {
         let mut system = System::new(vms)?;
         system.run(Span::from_secs(5));
         Some(Self {
             system,
-            told: Vec::new(),
+            reported: Vec::new(),
             wrong: 0,
             text: String::new(),
         })
     }
 
-    /// The system that it is played on.
+    /// Returns the system that the scenario runs on.
     pub fn system(&self) -> &System {
         &self.system
     }
 
-    /// Plays the steps, and tells what callers got meanwhile.
+    /// Runs the steps. Returns their output and the answers that callers received meanwhile, or an error
+    /// that quotes the first step that can't be run.
     pub fn play(&mut self, steps: &str) -> Result<String, Unclear> {
         for line in steps.lines().map(str::trim) {
             if !line.is_empty() && !line.starts_with('#') {
                 self.step(line).ok_or_else(|| Unclear(line.into()))?;
-                self.note();
+                self.report_new();
             }
         }
         Ok(std::mem::take(&mut self.text))
@@ -104,12 +106,12 @@
     }
 
     fn run(&mut self, span: Span) {
-        // In small pieces, so that what callers get is told in order.
+        // Runs in steps of 1 ms, so that the answers are reported in the order they arrive.
         let end = self.system.now() + span;
         while self.system.now() < end {
-            let piece = end.since(self.system.now()).0.min(1_000);
-            self.system.run(Span(piece));
-            self.note();
+            let step_span = end.since(self.system.now()).0.min(1_000);
+            self.system.run(Span(step_span));
+            self.report_new();
         }
     }
 
@@ -156,7 +158,7 @@
             _ => return None,
         }
         self.system.ask(ask);
-        self.told.push(false);
+        self.reported.push(false);
         Some(())
     }
 
@@ -205,16 +207,16 @@
             Applied::Refused => "refused: the store does not answer".into(),
             Applied::Unknown => "no answer".into(),
         };
-        self.say(&format!("operator: {text}"));
+        self.print(&format!("operator: {text}"));
         Some(())
     }
 
-    /// What `log`, `versions` and `primary` show.
+    /// Reports the primary's log.
     fn log(&mut self) {
         let rows = self.system.primary().map(|base| &base.log.rows);
         let rows = rows.into_iter().flatten();
         let texts: Vec<String> = rows.map(|r| format!("{}={}", r.key, r.value)).collect();
-        self.say(&format!("log: {}", texts.join(" ")));
+        self.print(&format!("log: {}", texts.join(" ")));
     }
 
     fn versions(&mut self) {
@@ -224,22 +226,22 @@
             format!("{vm}: {}", version.unwrap_or_default())
         };
         let texts: Vec<String> = vms.into_iter().map(shown).collect();
-        self.say(&format!("versions: {}", texts.join(", ")));
+        self.print(&format!("versions: {}", texts.join(", ")));
     }
 
     fn primary(&mut self) {
         let primary = self.system.primary().map(|base| base.id.to_string());
         let primary = primary.unwrap_or_else(|| "none".into());
-        self.say(&format!("primary: {primary}"));
+        self.print(&format!("primary: {primary}"));
     }
 
-    /// Tells what has been answered since the last look.
-    fn note(&mut self) {
-        for (ticket, told) in self.system.tickets.iter().zip(&mut self.told) {
+    /// Reports the answers and violations since the last call.
+    fn report_new(&mut self) {
+        for (ticket, reported) in self.system.tickets.iter().zip(&mut self.reported) {
             let Some((_, answer)) = &ticket.told else {
                 continue;
             };
-            if !std::mem::replace(told, true) {
+            if !std::mem::replace(reported, true) {
                 let answer = words(answer);
                 let _ = writeln!(
                     self.text,
@@ -254,7 +256,7 @@
         self.wrong = self.system.wrong.len();
     }
 
-    fn say(&mut self, text: &str) {
+    fn print(&mut self, text: &str) {
         self.text.push_str(text);
         self.text.push('\n');
     }
@@ -286,7 +288,7 @@
     }
 }
 
-/// What a caller was told, in a few words.
+/// Describes an answer briefly.
 pub fn words(answer: &Answer) -> String {
     match answer {
         Answer::Cut => "connection lost".into(),
--- a/src/standin/fake/wire.rs
+++ b/src/standin/fake/wire.rs
@@ -1,40 +1,40 @@
-//! What happens at each moment: inputs to proxies, commands to databases, replication.
+//! Processes the scheduled events: inputs to proxies, commands to databases, replication.
 
 use super::base::{Base, Offer};
-use super::{Coming, LATENCY, NOTICE, POLL, PUMP, System};
+use super::{DETECTION_DELAY, LATENCY, POLL_INTERVAL, REPLICATION_INTERVAL, Scheduled, System};
 use crate::clock::Span;
 use crate::core::database::{Command, Event};
 use crate::core::node::Input;
 use crate::types::{DatabaseId, Life, VmId};
 
 impl System {
-    pub(super) fn happen(&mut self, coming: Coming) {
-        match coming {
-            Coming::Input(vm, life, input) => self.take(&vm, life, input),
-            Coming::Message(from, to, epoch, message) => {
+    pub(super) fn process(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Input(vm, life, input) => self.deliver(&vm, life, input),
+            Scheduled::Message(from, to, epoch, message) => {
                 if self.delivers(&from, &to, epoch)
                     && let Some(life) = self.machines.get(&to).map(|machine| machine.life)
                 {
-                    self.take(&to, life, Input::Message { from, message });
+                    self.deliver(&to, life, Input::Message { from, message });
                 }
             }
-            Coming::Broken(one, other, epoch) => self.broken(one, other, epoch),
-            Coming::Command(vm, life, command) => self.command(vm, life, command),
-            Coming::Event(database, vm, life, event) => self.event(&database, &vm, life, event),
-            Coming::Forget(vm, life) => {
+            Scheduled::Broken(one, other, epoch) => self.broken(one, other, epoch),
+            Scheduled::Command(vm, life, command) => self.command(vm, life, command),
+            Scheduled::Event(database, vm, life, event) => self.event(&database, &vm, life, event),
+            Scheduled::Forget(vm, life) => {
                 for base in self.bases.values_mut() {
                     base.connections
                         .retain(|owner, _| (&owner.0, owner.1) != (&vm, life));
                 }
             }
-            Coming::ThawVm(vm, life) => self.thaw_vm(&vm, life),
-            Coming::ThawBase(id) => self.thaw_base(&id),
-            Coming::Pump => self.pump(),
-            Coming::Poll(vm, life) => self.poll(&vm, life),
+            Scheduled::ResumeVm(vm, life) => self.resume_vm(&vm, life),
+            Scheduled::ResumeDatabase(id) => self.resume_database(&id),
+            Scheduled::Replicate => self.replicate(),
+            Scheduled::Poll(vm, life) => self.poll(&vm, life),
         }
     }
 
-    fn take(&mut self, vm: &VmId, life: Life, input: Input) {
+    fn deliver(&mut self, vm: &VmId, life: Life, input: Input) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(vm) else {
             return;
@@ -43,7 +43,7 @@
             return;
         }
         if machine.paused {
-            machine.held.push_back(input);
+            machine.deferred.push_back(input);
             return;
         }
         let mut out = Vec::new();
@@ -58,7 +58,7 @@
         }
     }
 
-    fn thaw_vm(&mut self, vm: &VmId, life: Life) {
+    fn resume_vm(&mut self, vm: &VmId, life: Life) {
         let Some(machine) = self.machines.get_mut(vm) else {
             return;
         };
@@ -66,8 +66,8 @@
             return;
         }
         machine.paused = false;
-        for input in std::mem::take(&mut machine.held) {
-            self.later(Span::ZERO, Coming::Input(vm.clone(), life, input));
+        for input in std::mem::take(&mut machine.deferred) {
+            self.schedule(Span::ZERO, Scheduled::Input(vm.clone(), life, input));
         }
     }
 
@@ -81,24 +81,24 @@
             let accepted = self.store.accepted.clone();
             self.input(vm, Span::ZERO, Input::Accepted(accepted));
         }
-        self.later(POLL, Coming::Poll(vm.clone(), life));
+        self.schedule(POLL_INTERVAL, Scheduled::Poll(vm.clone(), life));
     }
 
-    /// A database's process takes everything and does nothing for a while.
+    /// Pauses a database's process for `span`: it accepts commands but does nothing.
     pub fn freeze_database(&mut self, id: &DatabaseId, span: Span) {
         if let Some(base) = self.bases.get_mut(id) {
             base.frozen = true;
-            self.later(span, Coming::ThawBase(id.clone()));
+            self.schedule(span, Scheduled::ResumeDatabase(id.clone()));
         }
     }
 
-    fn thaw_base(&mut self, id: &DatabaseId) {
+    fn resume_database(&mut self, id: &DatabaseId) {
         let Some(base) = self.bases.get_mut(id) else {
             return;
         };
         base.frozen = false;
-        for (vm, life, command) in std::mem::take(&mut base.held) {
-            self.later(Span::ZERO, Coming::Command(vm, life, command));
+        for (vm, life, command) in std::mem::take(&mut base.deferred) {
+            self.schedule(Span::ZERO, Scheduled::Command(vm, life, command));
         }
     }
 
@@ -108,14 +108,14 @@
             return;
         };
         base.up = false;
-        base.held.clear();
+        base.deferred.clear();
         for ((vm, life, conn), _) in std::mem::take(&mut base.connections) {
             let event = Event::Closed { conn };
-            self.later(LATENCY, Coming::Event(id.clone(), vm, life, event));
+            self.schedule(LATENCY, Scheduled::Event(id.clone(), vm, life, event));
         }
     }
 
-    /// Starts a database's process again.
+    /// Restarts a database's process.
     pub fn revive_database(&mut self, id: &DatabaseId) {
         if let Some(base) = self.bases.get_mut(id) {
             base.up = true;
@@ -143,7 +143,7 @@
             return self.unreachable(&database, vm, life, command);
         }
         if base.frozen {
-            base.held.push_back((vm, life, command));
+            base.deferred.push_back((vm, life, command));
             return;
         }
         let now = self.now;
@@ -170,11 +170,12 @@
             Command::Control { id, order, .. } => base.order(now, (&vm, life), id, order),
         };
         if let Some(event) = event {
-            self.later(LATENCY, Coming::Event(database, vm, life, event));
+            self.schedule(LATENCY, Scheduled::Event(database, vm, life, event));
         }
     }
 
-    /// A cut swallows what is sent; a dead process refuses it.
+    /// Handles a command to a database that can't be reached: a partition drops it, a dead process
+    /// refuses it.
     fn unreachable(&mut self, id: &DatabaseId, vm: VmId, life: Life, command: Command) {
         let up = self.bases.get(id).is_some_and(|base| base.up);
         let event = match command {
@@ -190,10 +191,10 @@
             Command::Cancel { .. } | Command::Close { .. } => return,
         };
         let input = Input::Database(event);
-        self.later(NOTICE, Coming::Input(vm, life, input));
+        self.schedule(DETECTION_DELAY, Scheduled::Input(vm, life, input));
     }
 
-    /// A database's answer arrives, unless it is cut off or its connection has gone silent.
+    /// Delivers a database's answer unless a partition drops it or its connection is silent.
     fn event(&mut self, database: &DatabaseId, vm: &VmId, life: Life, event: Event) {
         let cut = self.is_cut(vm.as_str(), database.as_str());
         let conn = match &event {
@@ -211,19 +212,19 @@
                 Event::Connected { conn } => Event::ConnectFailed { conn, full: false },
                 _ => return,
             };
-            return self.later(
-                NOTICE,
-                Coming::Input(vm.clone(), life, Input::Database(event)),
+            return self.schedule(
+                DETECTION_DELAY,
+                Scheduled::Input(vm.clone(), life, Input::Database(event)),
             );
         }
         let silent = |owner| self.bases.get(database).map(|b| b.silent.contains(&owner));
         if owner.and_then(silent) == Some(true) {
             return;
         }
-        self.take(vm, life, Input::Database(event));
+        self.deliver(vm, life, Input::Database(event));
     }
 
-    fn pump(&mut self) {
+    fn replicate(&mut self) {
         let now = self.now;
         let ids = self.databases();
         let offers: Vec<Offer> = self.bases.values().filter_map(Base::offer).collect();
@@ -240,10 +241,10 @@
             let Some(base) = self.bases.get_mut(&id).filter(|b| b.up && !b.frozen) else {
                 continue;
             };
-            for (vm, life, event) in base.pump(now) {
-                self.later(LATENCY, Coming::Event(id.clone(), vm, life, event));
+            for (vm, life, event) in base.replicate(now) {
+                self.schedule(LATENCY, Scheduled::Event(id.clone(), vm, life, event));
             }
         }
-        self.later(PUMP, Coming::Pump);
+        self.schedule(REPLICATION_INTERVAL, Scheduled::Replicate);
     }
 }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the outside systems, for tests and the demo: a group of databases that speaks
-//! the PostgreSQL protocol, and the platform's services. Faults are set by plain calls.
+//! Test doubles of the external systems, for tests and the demo: a group of databases that speaks
+//! the PostgreSQL protocol, and the platform's services. Faults are injected by method calls.
 
 pub mod database;
 pub mod demo;
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,5 +1,5 @@
 //! The platform's services in one thread of this process: a table with compare-and-set, an
-//! object store, and a list of VMs that lags. Faults are set by plain calls.
+//! object store, and a delayed list of VMs. Faults are injected by method calls.
 
 use crate::clock::Span;
 use crate::core::member::Member;
@@ -19,11 +19,11 @@
 use tonic::Status;
 use tonic::transport::Server;
 
-/// Starts platforms.
+/// Starts stand-in platforms.
 #[derive(Debug)]
 pub struct Platform;
 
-/// A running platform. Each call takes effect at once.
+/// Controls a running platform. Each call takes effect immediately.
 #[derive(Debug)]
 pub struct Handle {
     address: SocketAddr,
@@ -32,10 +32,10 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// How the platform answers.
+/// How the platform answers calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Health {
-    /// At once.
+    /// Immediately.
     #[default]
     Well,
     /// After this long.
@@ -46,7 +46,7 @@
     Silent,
 }
 
-/// How often the platform was asked.
+/// The number of calls that the platform has received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Count {
     /// Reads of rows, objects and the list.
@@ -66,7 +66,7 @@
     rows: BTreeMap<Box<str>, Row>,
     objects: BTreeMap<Box<str>, Bytes>,
     members: Vec<Member>,
-    /// The lists of the past, oldest first, each with the time from which it was true.
+    /// The versions of the list, oldest first, each with the time from which it was current.
     lists: Vec<(Instant, Listed)>,
     list_lag: Duration,
     lost_answers: u32,
@@ -74,7 +74,8 @@
 }
 
 impl Platform {
-    /// Listens on `address`; port 0 takes a free one.
+    /// Listens on `address`; port 0 selects a free port. Returns an error if the address can't be bound
+    /// or the thread can't be started.
     pub fn start(address: SocketAddr) -> io::Result<Handle> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
@@ -129,7 +130,7 @@
             return Err(Status::unavailable("the platform was silent"));
         }
     }
-    shared.lock().carry_out(call)
+    shared.lock().handle(call)
 }
 
 impl Shared {
@@ -139,7 +140,7 @@
 }
 
 impl State {
-    fn carry_out(&mut self, call: Call) -> Result<Answer, Status> {
+    fn handle(&mut self, call: Call) -> Result<Answer, Status> {
         match call {
             Call::Read { key, known } => Ok(self.read(&key, known)),
             Call::List(known) => Ok(self.list(known)),
@@ -185,7 +186,7 @@
         Answer::Written(row.version)
     }
 
-    /// Counts a write that has taken effect, and loses its answer if it is to.
+    /// Counts a write that has taken effect, and drops its answer if that fault is set.
     fn written(&mut self, answer: Answer) -> Result<Answer, Status> {
         self.count.writes += 1;
         if self.lost_answers > 0 && matches!(answer, Answer::Written(_) | Answer::Row(_)) {
@@ -198,20 +199,20 @@
     fn list(&mut self, known: Version) -> Answer {
         self.count.reads += 1;
         let now = Instant::now();
-        let shown = self
+        let current = self
             .lists
             .iter()
             .rev()
             .find(|(since, _)| *since + self.list_lag <= now)
             .or(self.lists.first());
-        match shown {
+        match current {
             Some((_, listed)) if listed.version != known => Answer::Members(listed.clone()),
             _ => Answer::Unchanged,
         }
     }
 
     fn change_members(&mut self, change: impl FnOnce(&mut Vec<Member>)) {
-        const KEPT: usize = 1_000;
+        const MAX_LISTS: usize = 1_000;
         change(&mut self.members);
         let version = self
             .lists
@@ -222,34 +223,34 @@
             members: self.members.clone(),
         };
         self.lists.push((Instant::now(), listed));
-        if self.lists.len() > KEPT {
+        if self.lists.len() > MAX_LISTS {
             self.lists.remove(0);
         }
     }
 }
 
 impl Handle {
-    /// Where it listens.
+    /// Returns the address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets how it answers from now on.
+    /// Sets how it answers calls from now on.
     pub fn set_health(&self, health: Health) {
         self.shared.health.send_replace(health);
     }
 
-    /// Loses the answers to the next `count` writes of rows, after their effect.
+    /// Drops the answers to the next `count` writes of rows after the writes have taken effect.
     pub fn lose_answers(&self, count: u32) {
         self.shared.lock().lost_answers = count;
     }
 
-    /// Sets by how much the list of VMs lags.
+    /// Sets the delay of the list of VMs.
     pub fn set_list_lag(&self, lag: Span) {
         self.shared.lock().list_lag = lag.into();
     }
 
-    /// Adds a VM to the list, or replaces the one of that name.
+    /// Adds a VM to the list, or replaces the VM with the same name.
     pub fn join(&self, member: Member) {
         self.shared.lock().change_members(|members| {
             members.retain(|other| other.vm != member.vm);
@@ -265,13 +266,13 @@
         });
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove(&self, vm: &VmId) {
         let gone = |members: &mut Vec<Member>| members.retain(|member| member.vm != *vm);
         self.shared.lock().change_members(gone);
     }
 
-    /// How often it was asked so far.
+    /// Returns the number of calls so far.
     pub fn count(&self) -> Count {
         self.shared.lock().count
     }
