--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers through whole proxies to stand-in databases, over sockets.
+//! End-to-end tests: callers connect over sockets through whole proxies to stand-in databases.
 
 use lentilspoke::standin::demo::{self, Demo, Plan};
 use lentilspoke::types::GroupId;
@@ -7,13 +7,13 @@
 async fn start() -> Demo {
     let demo = demo::start(&Plan::on_free_ports(2)).await.unwrap();
     for proxy in 0..2 {
-        ready(&demo, proxy).await;
+        wait_until_serving(&demo, proxy).await;
     }
     demo
 }
 
-/// Writes until a proxy serves: until then it says that nothing was run.
-async fn ready(demo: &Demo, proxy: usize) {
+/// Retries a write until the proxy accepts it; until then, the proxy answers that it was not run.
+async fn wait_until_serving(demo: &Demo, proxy: usize) {
     loop {
         let Ok(client) = try_connect(demo, proxy, "").await else {
             tokio::task::yield_now().await;
@@ -66,8 +66,8 @@
     rows.count()
 }
 
-/// Six callers use the same prepared statements at once, and their transactions meet whichever
-/// connections are free. Each gets its own rows.
+/// Six callers use the same prepared statements concurrently, and each transaction runs on any free
+/// connection. Each caller gets its own rows.
 #[actix_rt::test]
 async fn prepared_statements_meet_any_connection() {
     let demo = start().await;
@@ -93,8 +93,8 @@
     demo.stop();
 }
 
-/// A broker writes at one proxy and looks at once at the other, while replicas lag. It sees
-/// each of its writes.
+/// A session writes at one proxy and immediately reads at the other while replicas lag. It sees each of
+/// its writes.
 #[actix_rt::test]
 async fn a_session_reads_its_writes_on_the_other_proxy() {
     let demo = start().await;
@@ -111,16 +111,16 @@
     demo.stop();
 }
 
-/// A caller's connection goes away in the middle of its transaction. What the transaction wrote
-/// is rolled back, and nobody else's work joins it.
+/// A caller disconnects in the middle of its transaction. The transaction's writes are rolled back, and
+/// no other caller's work becomes part of it.
 #[actix_rt::test]
 async fn a_transaction_ends_with_its_caller() {
     let demo = start().await;
-    let leaver = connect(&demo, 0, "").await;
-    leaver.batch_execute("BEGIN").await.unwrap();
+    let disconnecting = connect(&demo, 0, "").await;
+    disconnecting.batch_execute("BEGIN").await.unwrap();
     let text = "INSERT INTO ledger VALUES ('gone', '')";
-    leaver.batch_execute(text).await.unwrap();
-    drop(leaver);
+    disconnecting.batch_execute(text).await.unwrap();
+    drop(disconnecting);
     let other = connect(&demo, 0, "").await;
     // The other caller waits for the lock that the transaction held until it is rolled back.
     other.batch_execute(text).await.unwrap();
@@ -128,8 +128,8 @@
     demo.stop();
 }
 
-/// The answer to a booking is lost after the booking took effect. The caller books again under
-/// the same key until it is told a result, and there is one booking.
+/// The answer to a write is lost after the write has taken effect. The caller retries with the same
+/// request key until it receives a result, and the write has taken effect once.
 #[actix_rt::test]
 async fn a_booking_under_a_key_is_made_once() {
     let demo = start().await;
@@ -172,8 +172,8 @@
     demo.stop();
 }
 
-/// A proxy is asked to stop while a caller is in the middle of a transaction. The caller
-/// finishes it there, is then told to connect again, and sees its write on the other proxy.
+/// A proxy is asked to stop while a caller is in the middle of a transaction. The caller finishes it
+/// there, is then asked to reconnect, and sees its write on the other proxy.
 #[actix_rt::test]
 async fn a_planned_stop_lets_a_transaction_end() {
     let mut demo = start().await;
@@ -193,7 +193,7 @@
         }
         assert_eq!(code(&error), "LS105");
     }
-    // The demo counts the proxies that are left.
+    // Index 0 is now the remaining proxy: the demo counts only running proxies.
     let other = connect(&demo, 0, "clerk-3").await;
     while let Err(error) = other.batch_execute("SELECT 1").await {
         assert!(code(&error).starts_with("LS1"), "{error:?}");
@@ -202,8 +202,8 @@
     demo.stop();
 }
 
-/// A primary is killed while a broker books. It hears for each booking an answer, "not run", or
-/// "unknown outcome"; under a key it asks again until it is told, and each booking is there once.
+/// A primary is killed while a caller writes. Each write gets an answer, "not run" or "unknown outcome".
+/// The caller retries with the same request key until it gets an answer, and each write is there once.
 #[actix_rt::test]
 async fn bookings_go_on_after_a_primary_is_killed() {
     let demo = start().await;
--- a/tests/demo.rs
+++ b/tests/demo.rs
@@ -1,11 +1,11 @@
-//! `lentilspoke demo`, used as a newcomer would: a real client at both of its proxies.
+//! Tests `lentilspoke demo` as a first-time user runs it, with a real client at both proxies.
 
 mod command;
 
 use command::{Process, broker};
 use std::net::SocketAddr;
 
-/// A demo's process, and where its callers connect.
+/// A demo's process and the addresses that its callers connect to.
 struct Demo {
     callers: Vec<SocketAddr>,
     _process: Process,
@@ -13,8 +13,8 @@
 
 fn demo(deployment: &str) -> Demo {
     let listen = ["demo", "--listen", "127.0.0.1:0"];
-    let words = [&listen[..], &["--deployment", deployment]].concat();
-    let process = Process::start(&words);
+    let args = [&listen[..], &["--deployment", deployment]].concat();
+    let process = Process::start(&args);
     let mut words = process.line.split_whitespace();
     assert_eq!(words.next(), Some("ready"), "{}", process.line);
     Demo {
@@ -23,9 +23,10 @@
     }
 }
 
-/// A caller writes at the first proxy and reads its write at the second, by its session's name.
-/// A read that accepts an age is answered too, and what can't be pooled is refused by name.
-async fn a_first_visit(deployment: &str) {
+/// A caller writes at the first proxy and, with the same session name, reads its write at the second.
+/// A read with a maximum age is answered too, and a statement that can't be pooled is refused with
+/// SQLSTATE 0A000.
+async fn write_and_read_at_both_proxies(deployment: &str) {
     let demo = demo(deployment);
     assert_eq!(demo.callers.len(), 2);
     let session = "-c lentilspoke.session=broker-17";
@@ -47,10 +48,10 @@
 
 #[actix_rt::test]
 async fn association_is_visited() {
-    a_first_visit("association").await;
+    write_and_read_at_both_proxies("association").await;
 }
 
 #[actix_rt::test]
 async fn permits_are_visited() {
-    a_first_visit("permits").await;
+    write_and_read_at_both_proxies("permits").await;
 }
--- a/tests/fake/core.rs
+++ b/tests/fake/core.rs
@@ -1,4 +1,4 @@
-//! A core made of a few rules, for callers' connections.
+//! A simple fake of the proxy's core, to test callers' connections.
 
 use super::Session;
 use bytes::Bytes;
@@ -13,15 +13,15 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
-/// Answers every request at once, each from a fresh connection unless a transaction is open.
+/// Answers every request immediately, in a new session unless a transaction is open.
 #[derive(Default)]
 pub struct World {
     pub told: RefCell<HashMap<Link, UnboundedSender<Told>>>,
     pub transactions: RefCell<HashMap<Link, Session>>,
     pub requests: RefCell<Vec<Request>>,
-    /// Outcomes for the next requests, in place of answers.
+    /// Outcomes of the next requests, last one first, used instead of the session's answers.
     pub script: RefCell<Vec<Outcome>>,
-    /// Requests are left without an outcome.
+    /// Whether requests get no outcome.
     pub silent: Cell<bool>,
     pub cancelled: RefCell<Vec<Link>>,
     pub departed: RefCell<Vec<Link>>,
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! A database made of a few rules, at the level of protocol messages.
+//! A simple fake of a database at the level of protocol messages.
 
 #![allow(dead_code)]
 
@@ -16,12 +16,12 @@
 use pgwire::messages::response::{CommandComplete, ErrorResponse};
 use std::collections::HashMap;
 
-/// One connection's session. A query's answer is one row that holds the text of the query,
-/// except for transaction control, `INSERT`, and `FAIL`, which fails.
+/// One connection's session. It answers a query with one row that holds the query's text, except for
+/// transaction control, `INSERT`, and `FAIL`, which fails.
 #[derive(Debug)]
 pub struct Session {
     pub status: Status,
-    /// The texts run, and the names prepared, in order.
+    /// The statements run and the names prepared, in order.
     pub log: Vec<String>,
     /// Whether preparing a name twice is an error.
     pub strict: bool,
@@ -42,7 +42,7 @@
 }
 
 impl Session {
-    /// The answer to a whole batch, without ReadyForQuery.
+    /// Answers a whole batch, without ReadyForQuery.
     pub fn answer(&mut self, body: Bytes) -> Bytes {
         let mut out = BytesMut::new();
         for frame in split(body).unwrap() {
@@ -157,7 +157,7 @@
     }
 }
 
-/// A simple query.
+/// Encodes a simple query.
 pub fn query(text: &str) -> Bytes {
     let mut out = BytesMut::new();
     put_raw(&mut out, kind::QUERY, &[text.as_bytes(), &[0]]);
--- a/tests/fake/server.rs
+++ b/tests/fake/server.rs
@@ -1,4 +1,4 @@
-//! The rules of `fake`, behind a socket and with terms and request keys.
+//! Serves the fake database of `fake` on a socket, with terms and request keys.
 
 use super::{Session, error};
 use bytes::{Bytes, BytesMut};
@@ -23,18 +23,18 @@
 pub struct Database {
     pub term: u64,
     pub position: u64,
-    /// Request keys with work and answer.
+    /// The request keys, each with its work and its answer.
     pub rows: HashMap<String, (String, Option<String>)>,
-    /// The texts run on all connections, in order.
+    /// The statements run on all connections, in order.
     pub log: Vec<String>,
-    /// Connections accepted.
+    /// The number of connections accepted.
     pub accepted: usize,
     pub cancels: usize,
-    /// Logins are refused for want of connections.
+    /// Whether logins are refused because all connections are in use.
     pub full: bool,
-    /// Nothing is answered any more.
+    /// Whether all answers are suppressed.
     pub silent: bool,
-    /// Sent once right after the next ReadyForQuery: an answer that nobody asked for.
+    /// An unsolicited answer that is sent once, directly after the next ReadyForQuery.
     pub stray: Option<Bytes>,
 }
 
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A message of the extended protocol, or a plain query.
+    /// Handles a message of the extended protocol or an ordinary query; false if it fails.
     fn step(&mut self, frame: &Frame, out: &mut BytesMut) -> bool {
         let term = Term(self.database.borrow().term);
         if self.declared.is_some_and(|declared| declared != term) {
@@ -160,8 +160,8 @@
             return true;
         }
         if text.starts_with("UPDATE lentilspoke_requests") {
-            let row = database.rows.get_mut(&quoted[1..].join("/")).unwrap();
-            row.1 = Some(quoted[0].to_owned());
+            let data_row = database.rows.get_mut(&quoted[1..].join("/")).unwrap();
+            data_row.1 = Some(quoted[0].to_owned());
             self.session.status = Status::Idle;
             self.wrote = true;
             put(out, &CommandComplete::new("COMMIT".into()));
@@ -169,7 +169,7 @@
         }
         if text.starts_with("SELECT work, answer") {
             let (work, answer) = database.rows[&quoted.join("/")].clone();
-            put(out, &row(&[&work, &answer.unwrap()]));
+            put(out, &data_row(&[&work, &answer.unwrap()]));
             put(out, &CommandComplete::new("SELECT 1".into()));
             return true;
         }
@@ -197,7 +197,7 @@
                     open: true,
                     lineage: Lineage::default(),
                 };
-                put(out, &row(&[&encode_state(&state)]));
+                put(out, &data_row(&[&encode_state(&state)]));
             }
         }
         put(out, &CommandComplete::new("LENTIL".into()));
@@ -237,7 +237,7 @@
     info.into()
 }
 
-fn row(values: &[&str]) -> DataRow {
+fn data_row(values: &[&str]) -> DataRow {
     let mut data = BytesMut::new();
     for value in values {
         data.extend_from_slice(&(value.len() as u32).to_be_bytes());
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,6 +1,6 @@
-//! Scenarios: scripts of callers, faults and time, with what each caller gets.
+//! Runs the scenarios: scripts of requests, faults and time, with the answers that callers receive.
 //!
-//! `REWRITE=1 cargo test --test scenarios` writes the files anew; read the difference.
+//! `REWRITE=1 cargo test --test scenarios` rewrites the expected output; review the difference.
 
 use lentilspoke::standin::fake::script::Player;
 
--- a/tests/standin_database.rs
+++ b/tests/standin_database.rs
@@ -1,4 +1,4 @@
-//! The stand-in database keeps the promises that the proxy relies on.
+//! Tests that the stand-in database provides the guarantees that the proxy relies on.
 
 use lentilspoke::clock::Span;
 use lentilspoke::config;
@@ -104,8 +104,8 @@
     assert_eq!(code(&wrong), "42601");
 }
 
-/// Two sessions in transactions: the second neither sees what the first has not committed, nor
-/// overwrites it.
+/// Two concurrent transactions: the second neither reads uncommitted data of the first nor loses
+/// its update.
 #[actix_rt::test]
 async fn transactions_neither_read_dirty_nor_lose_updates() {
     let handle = start();
@@ -176,9 +176,9 @@
     assert_eq!(code(&refused), dialect::READ_ONLY);
 }
 
-/// The old primary is cut off from its replicas but not from its caller. A term is raised at the
-/// other two and one of them opens. The caller's next write on the old primary commits there.
-/// Once the cut heals, the old primary takes the new term and that write is gone from it.
+/// The old primary is partitioned from its replicas but not from its caller. The term is raised on the
+/// other two databases, and one of them opens. The caller's next write commits on the old primary. Once
+/// the partition ends, the old primary adopts the new term and truncates that write.
 #[actix_rt::test]
 async fn a_diverged_log_is_cut_back_to_the_new_terms_base() {
     let handle = start();
@@ -222,7 +222,8 @@
     assert_eq!(ids, ["new", "shared"]);
 }
 
-/// A replica has been raised, and the old primary, which has not, still reaches it.
+/// A replica's term has been raised; it must not apply the log of the old primary, which still reaches
+/// it in the old term.
 #[actix_rt::test]
 async fn a_raised_database_applies_no_older_log() {
     let handle = start();
@@ -238,8 +239,8 @@
     );
 }
 
-/// A caller's transaction is open when the term is raised: its COMMIT is refused and nothing of
-/// it stays, and statements of the old term are refused unrun from there on.
+/// A caller's transaction is open when the term is raised: its COMMIT is refused and its writes are
+/// rolled back, and later statements of the old term are refused without being run.
 #[actix_rt::test]
 async fn a_raise_fences_open_transactions() {
     let handle = start();
@@ -287,8 +288,8 @@
     assert_eq!(code(&long.unwrap_err()), "57014");
 }
 
-/// Something between proxy and database forgets the open connections: the statement on the old
-/// one gets no answer, while a new connection works.
+/// The network silently drops the open connections: a statement on an old connection gets no answer,
+/// while a new connection works.
 #[actix_rt::test]
 async fn silent_connections_stay_silent_while_new_ones_work() {
     let handle = start();
@@ -314,7 +315,7 @@
     assert_eq!(count(&client).await, 1);
 }
 
-/// A killed database resets its connections, refuses new ones, and has its log when it returns.
+/// A killed database resets its connections, refuses new ones, and still has its log after a restart.
 #[actix_rt::test]
 async fn a_killed_database_keeps_its_log() {
     let handle = start();
--- a/tests/support/caller.rs
+++ b/tests/support/caller.rs
@@ -1,4 +1,4 @@
-//! Callers' requests, in a few words each.
+//! Helpers that build and submit callers' requests.
 
 use super::{World, id};
 use lentilspoke::clock::Span;
@@ -7,7 +7,7 @@
 use lentilspoke::types::{Link, RequestKey};
 
 impl World {
-    /// A request at a proxy; the answer is in `told`.
+    /// Submits a request to a proxy; the answer is added to `told`.
     pub fn submit(&mut self, vm: &str, request: Request) {
         self.input(&id(vm), Input::Submit(request));
     }
@@ -38,7 +38,7 @@
         self.submit(vm, request);
     }
 
-    /// A statement of a transaction, or one that opens it.
+    /// Submits a statement that opens a transaction (`begin`) or belongs to one.
     pub fn say(&mut self, vm: &str, link: u64, body: &str) {
         let kind = if body == "begin" {
             Kind::Begin
@@ -49,7 +49,7 @@
         self.submit(vm, request);
     }
 
-    /// Opens a transaction that writes `text`, and waits for both answers.
+    /// Opens a transaction, writes `text` in it, and waits for both answers.
     pub fn begin(&mut self, vm: &str, link: u64, text: &str) {
         self.say(vm, link, "begin");
         self.wait(link, 1);
@@ -70,7 +70,7 @@
     }
 }
 
-/// An outcome in a few words.
+/// Describes an outcome briefly.
 pub fn short(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Done(done) => {
--- a/tests/support/database.rs
+++ b/tests/support/database.rs
@@ -1,4 +1,4 @@
-//! A database that keeps a log of texts, as the core's tests need it.
+//! A simulated database with a log of texts, for the tests of the core.
 
 use super::World;
 use lentilspoke::clock::Span;
@@ -7,23 +7,24 @@
 use lentilspoke::types::{ConnId, DatabaseId, Position, RequestId, RequestKey, VmId};
 use std::collections::BTreeMap;
 
-/// One database. `w TEXT` writes, `r` reads all, `begin`, `commit` and `rollback` do as named.
+/// One database. Its statements are `w TEXT`, which writes, `r`, which reads all texts, `begin`,
+/// `commit` and `rollback`.
 #[derive(Debug, Clone)]
 pub struct Database {
     pub name: DatabaseId,
     pub up: bool,
-    /// Takes everything and answers nothing.
+    /// Whether commands are dropped without an answer.
     pub frozen: bool,
-    /// Connections that are open get no answers any more; new ones do.
+    /// Whether statements get no answer and are not run; new connections and orders still get answers.
     pub silent: bool,
     pub log: Log,
     pub lag: Span,
-    /// How long a statement takes.
+    /// The execution time of a statement.
     pub work: Span,
     pub connections: BTreeMap<(VmId, ConnId), Option<Vec<String>>>,
-    /// The next answers that are lost after the effect.
+    /// How many of the next answers are lost after the statement has taken effect.
     pub lose_answers: u32,
-    /// The next statements that are refused unrun.
+    /// How many of the next statements are refused without being run.
     pub refuse: u32,
     pub runs: u64,
     waits: Vec<(VmId, RequestId, Position)>,
@@ -161,7 +162,8 @@
         Some(Event::Answered { conn, reply })
     }
 
-    /// The transaction that is open after a statement, and what the statement wrote.
+    /// Executes a statement. Returns the transaction that is open afterwards and the position of the
+    /// statement's last write.
     fn perform(
         &mut self,
         open: Option<Vec<String>>,
@@ -200,7 +202,8 @@
         })
     }
 
-    /// Takes over the log of `source`, if that is the primary of this database's term.
+    /// Copies the log of `source` if it is the primary of this database's term. Returns the answers to
+    /// orders whose position is reached.
     pub fn follow(&mut self, source: &Database) -> Vec<(VmId, Event)> {
         let leads = source.log.open && source.up && source.log.term == self.log.term;
         if !self.up || self.frozen || !leads {
@@ -230,21 +233,21 @@
 }
 
 impl World {
-    /// The VM that leads the group, and another one.
+    /// Returns the group's steward and another VM.
     pub fn steward_and_other(&self) -> (String, &'static str) {
         let steward = self.steward().unwrap().to_string();
         let other = if steward == "vm1" { "vm2" } else { "vm1" };
         (steward, other)
     }
 
-    /// Cuts the first primary off from both replicas.
+    /// Partitions the first primary from both replicas.
     pub fn cut_replicas(&mut self) {
         for replica in ["b", "c"] {
             self.cut("a", replica);
         }
     }
 
-    /// Lets both replicas apply what they receive this much later.
+    /// Sets the delay after which both replicas apply received entries.
     pub fn lag_replicas(&mut self, lag: Span) {
         for replica in ["b", "c"] {
             self.database(replica).lag = lag;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Proxies' cores and databases on one virtual clock, for tests of the core alone.
+//! A simulation of proxies' cores and databases in virtual time, for tests of the core alone.
 
 #![allow(dead_code)]
 
@@ -22,20 +22,20 @@
 use std::sync::Arc;
 use stream::Stream;
 
-/// One way between any two ends.
+/// The one-way latency between any two endpoints.
 pub const LATENCY: Span = Span(500);
-/// How long a broken stream takes to be noticed.
+/// How long it takes to detect a broken stream.
 pub const NOTICE: Span = Span::from_millis(200);
 
-/// Something that is going to happen.
+/// A scheduled event of the simulation.
 #[derive(Debug)]
 pub enum Coming {
     Input(VmId, Input),
-    /// A message on a pair's stream of a certain number.
+    /// A message on the stream between two VMs, with the stream's number.
     Message(VmId, VmId, u64, Message),
     /// A stream could not be opened.
     Down(VmId, VmId),
-    /// A pair's stream is noticed to be broken.
+    /// The break of a stream between two VMs is detected; the number identifies the stream.
     Break(VmId, VmId, u64),
     Command(VmId, Command),
     Event(DatabaseId, VmId, Event),
@@ -43,7 +43,7 @@
     Apply(DatabaseId, usize),
 }
 
-/// What a caller was told.
+/// An answer that a caller received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Told {
     pub at: Time,
@@ -51,7 +51,7 @@
     pub floor: Option<Position>,
 }
 
-/// The whole of a test.
+/// The simulated system of a test.
 pub struct World {
     pub now: Time,
     pub nodes: BTreeMap<VmId, Node>,
@@ -59,17 +59,17 @@
     pub told: BTreeMap<Link, Vec<Told>>,
     pub dismissed: Vec<Link>,
     pub stopped: BTreeSet<VmId>,
-    /// VMs that are paused: what comes to them waits.
+    /// VMs that are paused; their inputs wait.
     pub paused: BTreeSet<VmId>,
     held: BTreeMap<VmId, VecDeque<Input>>,
-    /// Pairs of names between which nothing passes, in either direction.
+    /// Pairs of names between which all traffic is dropped, in both directions.
     pub cut: BTreeSet<(String, String)>,
     pub sent: Vec<(Time, VmId, VmId, Message)>,
-    /// Messages that are swallowed.
+    /// Selects the messages that are dropped.
     pub swallow: Option<fn(&Message) -> bool>,
     streams: BTreeMap<(VmId, VmId), Stream>,
-    /// A VM and another whose stream broke, which the first has yet to be told; and whether
-    /// that has come to it already.
+    /// Pairs of a VM and a peer whose stream broke, which the VM has not processed yet. The value is
+    /// true once the notification is queued as an input of the VM.
     down: BTreeMap<(VmId, VmId), bool>,
     owners: BTreeMap<(VmId, ConnId), DatabaseId>,
     queue: BTreeMap<(Time, u64), Coming>,
@@ -87,7 +87,7 @@
     text.parse().unwrap()
 }
 
-/// The fakes' group and pools, with few connections, so that a test can use them all.
+/// Returns the fake configuration with few connections, so that a test can use them all.
 pub fn document() -> Document {
     let mut document = fake::document().unwrap();
     let groups = document.groups.values_mut();
@@ -98,7 +98,7 @@
 }
 
 impl World {
-    /// `vms` proxies, one a domain in turn, and the databases of `document`.
+    /// Starts `vms` proxies, distributed over the domains in turn, and the databases of `document`.
     pub fn new(vms: usize) -> Self {
         let document = document();
         let databases = document.groups.values().flat_map(|g| g.databases.keys());
@@ -135,7 +135,7 @@
         world
     }
 
-    /// As [`new`](Self::new), once the group is led.
+    /// As [`new`](Self::new), then runs until the group has a steward and a primary.
     pub fn ready(vms: usize) -> Self {
         let mut world = Self::new(vms);
         world.run(Span::from_secs(4));
@@ -143,13 +143,13 @@
         world
     }
 
-    /// What `link` was told, in order and in a few words.
+    /// Describes the answers that `link` received, in order.
     pub fn told(&self, link: u64) -> Vec<String> {
         let told = self.told.get(&Link(link)).into_iter().flatten();
         told.map(|told| short(&told.outcome)).collect()
     }
 
-    /// A counter of a proxy, by its path in the dump.
+    /// Returns a counter of a proxy, by its name in the dump.
     pub fn counter(&self, vm: &str, name: &str) -> u64 {
         self.dump(vm)["counters"][name].as_u64().unwrap()
     }
@@ -159,7 +159,7 @@
         self.start_with(vm, self.accepted());
     }
 
-    /// As [`start`](Self::start), with what the store shows.
+    /// As [`start`](Self::start), with the configuration read from the store.
     pub fn start_with(&mut self, vm: &VmId, accepted: Arc<Accepted>) {
         self.lives += 1;
         self.down.retain(|(from, _), _| from != vm);
@@ -190,14 +190,14 @@
         })
     }
 
-    /// A later configuration, not given to anybody yet.
+    /// Creates the next version of the configuration without sending it to any VM.
     pub fn change(&mut self, change: impl FnOnce(&mut Document)) -> Arc<Accepted> {
         self.version += 1;
         change(&mut self.document);
         self.accepted()
     }
 
-    /// Ends a VM's process at once; the others notice after a while.
+    /// Ends a VM's process immediately; the others detect it after a delay.
     pub fn kill(&mut self, vm: &str) {
         let vm: VmId = id(vm);
         self.nodes.remove(&vm);
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Cuts two names off from each other; streams are noticed to be broken after a while.
+    /// Drops all traffic between two names; the break of a stream is detected after a delay.
     pub fn cut(&mut self, one: &str, other: &str) {
         self.cut.insert((one.into(), other.into()));
         self.cut.insert((other.into(), one.into()));
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Ends every cut.
+    /// Ends every partition.
     pub fn heal(&mut self) {
         self.cut.clear();
     }
@@ -253,23 +253,26 @@
         self.queue.insert((self.now + span, self.sequence), coming);
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time by `span`.
     pub fn run(&mut self, span: Span) {
         let until = self.now + span;
         while self.step(until) {}
         self.now = until;
     }
 
-    /// Lets time pass until `link` has been told `count` things, or ten seconds are over.
+    /// Runs until `link` has received `count` answers; panics after ten seconds of virtual time.
     pub fn wait(&mut self, link: u64, count: usize) -> Outcome {
         let until = self.now + Span::from_secs(10);
         while self.told.get(&Link(link)).map_or(0, Vec::len) < count {
-            assert!(self.step(until), "nobody told {link} {count} things");
+            assert!(
+                self.step(until),
+                "link {link} did not receive {count} answers"
+            );
         }
         self.told[&Link(link)][count - 1].outcome.clone()
     }
 
-    /// Gives a VM that is paused no more what has come to it meanwhile, in order.
+    /// Delivers the waiting inputs of a VM that was resumed, in order; false if there are none.
     fn deliver_held(&mut self) -> bool {
         let awake = |vm: &VmId| !self.paused.contains(vm);
         let Some(vm) = self.held.keys().find(|vm| awake(vm)).cloned() else {
@@ -444,12 +447,12 @@
         self.cut.contains(&(one.into(), other.into()))
     }
 
-    /// The VM that leads the group, as most nodes' dumps say.
+    /// Returns the first VM whose dump shows it as the group's steward.
     pub fn steward(&self) -> Option<VmId> {
         self.leading(|_| true)
     }
 
-    /// The VM other than `but` that leads the group.
+    /// Returns the first VM other than `but` whose dump shows it as the group's steward.
     pub fn steward_but(&self, but: &VmId) -> Option<VmId> {
         self.leading(|vm| vm != but)
     }
@@ -470,7 +473,7 @@
         serde_json::to_value(self.nodes[&id::<VmId>(vm)].state()).unwrap()
     }
 
-    /// The database that is open in the highest term.
+    /// Returns the running open database with the highest term.
     pub fn primary(&self) -> Option<String> {
         let open = self.databases.iter().filter(|(_, db)| db.log.open && db.up);
         let primary = open.max_by_key(|(_, db)| db.log.term)?;
--- a/tests/support/stream.rs
+++ b/tests/support/stream.rs
@@ -1,4 +1,4 @@
-//! The streams between VMs, which open with the first message and break with a delay.
+//! The streams between VMs, which open with the first message; a break is detected after a delay.
 
 use super::{Coming, LATENCY, NOTICE, World};
 use lentilspoke::core::message::Message;
@@ -10,7 +10,7 @@
 pub struct Stream {
     pub number: u64,
     pub open: bool,
-    /// Nothing passes any more, which is not noticed yet.
+    /// Whether messages are lost because the stream broke, which is not detected yet.
     pub broken: bool,
 }
 
@@ -31,7 +31,7 @@
         stream.number += 1;
         (stream.open, stream.broken) = (true, false);
         for (vm, peer) in [(one, other), (other, one)] {
-            // What is known of an earlier stream comes first.
+            // A pending notification about an earlier stream is delivered first.
             if self.down.get(&(vm.clone(), peer.clone())) == Some(&false) {
                 self.tell_down(vm, peer);
             }
@@ -44,7 +44,7 @@
         self.input(vm, Input::PeerDown(peer.clone()));
     }
 
-    /// Breaks the stream between two VMs, if there is one; that is noticed after a while.
+    /// Breaks the stream between two VMs if it is open; this is detected after a delay.
     pub(super) fn sever(&mut self, one: &VmId, other: &VmId) {
         let stream = self.stream(one, other);
         if stream.open && !stream.broken {
