--- a/src/schedule/mod.rs
+++ b/src/schedule/mod.rs
@@ -8,7 +8,7 @@
 pub mod direct;
 mod draw;
 
-use crate::standin::fake::script::{Player, Unclear};
+use crate::standin::fake::script::{Player, UnknownStep};
 use std::fmt;
 
 /// How many steps a schedule has before everything is mended.
@@ -65,7 +65,7 @@
     Setup,
     /// A step is not in the language.
     #[error(transparent)]
-    Step(#[from] Unclear),
+    Step(#[from] UnknownStep),
 }
 
 /// Plays the schedule of `seed`.
--- a/src/standin/fake/script.rs
+++ b/src/standin/fake/script.rs
@@ -18,7 +18,7 @@
 /// The error for a step that can't be parsed or names an unknown VM or database.
 #[derive(Debug, thiserror::Error)]
 #[error("can't play `{0}`: see the list of steps in `standin::fake::script`")]
-pub struct Unclear(Box<str>);
+pub struct UnknownStep(Box<str>);
 
 /// Runs the steps of a scenario.
 #[derive(Debug)]
@@ -50,10 +50,10 @@
 
     /// Runs the steps. Returns their output and the answers that callers received meanwhile, or an error
     /// that quotes the first step that can't be run.
-    pub fn play(&mut self, steps: &str) -> Result<String, Unclear> {
+    pub fn play(&mut self, steps: &str) -> Result<String, UnknownStep> {
         for line in steps.lines().map(str::trim) {
             if !line.is_empty() && !line.starts_with('#') {
-                self.step(line).ok_or_else(|| Unclear(line.into()))?;
+                self.step(line).ok_or_else(|| UnknownStep(line.into()))?;
                 self.report_new();
             }
         }
