--- a/src/schedule/check.rs
+++ b/src/schedule/check.rs
@@ -37,7 +37,7 @@
         Self {
             system,
             told: Told::default(),
-            broken: system.wrong.clone(),
+            broken: system.violations.clone(),
             left,
             ran: system.ran().map(|row| (&*row.key, &*row.value)).collect(),
         }
--- a/src/standin/fake/caller.rs
+++ b/src/standin/fake/caller.rs
@@ -127,7 +127,9 @@
                 ticket.told = Some((now, Answer::Outcome(outcome)));
                 ticket.floor = floor;
             }
-            None => self.wrong.push("an answer that nobody waits for".into()),
+            None => self
+                .violations
+                .push("an answer that nobody waits for".into()),
         }
     }
 }
--- a/src/standin/fake/mod.rs
+++ b/src/standin/fake/mod.rs
@@ -86,7 +86,7 @@
     /// All requests so far.
     pub tickets: Vec<Ticket>,
     /// Violations of guarantees that were detected during the run.
-    pub wrong: Vec<Box<str>>,
+    pub violations: Vec<Box<str>>,
     cuts: BTreeSet<(Box<str>, Box<str>)>,
     streams: BTreeMap<(VmId, VmId), Stream>,
     owners: BTreeMap<(VmId, Life, ConnId), DatabaseId>,
@@ -127,7 +127,7 @@
             machines: BTreeMap::new(),
             bases,
             tickets: Vec::new(),
-            wrong: Vec::new(),
+            violations: Vec::new(),
             cuts: BTreeSet::new(),
             streams: BTreeMap::new(),
             owners: BTreeMap::new(),
--- a/src/standin/fake/script.rs
+++ b/src/standin/fake/script.rs
@@ -25,7 +25,7 @@
 pub struct Player {
     system: System,
     reported: Vec<bool>,
-    wrong: usize,
+    reported_violations: usize,
     text: String,
 }
 
@@ -38,7 +38,7 @@
         Some(Self {
             system,
             reported: Vec::new(),
-            wrong: 0,
+            reported_violations: 0,
             text: String::new(),
         })
     }
@@ -250,10 +250,10 @@
                 );
             }
         }
-        for wrong in self.system.wrong.iter().skip(self.wrong) {
-            let _ = writeln!(self.text, "WRONG: {wrong}");
+        for violation in self.system.violations.iter().skip(self.reported_violations) {
+            let _ = writeln!(self.text, "WRONG: {violation}");
         }
-        self.wrong = self.system.wrong.len();
+        self.reported_violations = self.system.violations.len();
     }
 
     fn print(&mut self, text: &str) {
--- a/src/standin/fake/wire.rs
+++ b/src/standin/fake/wire.rs
@@ -50,7 +50,7 @@
         machine.node.handle(now, input, &mut out);
         let version = machine.node.accepted().map(|accepted| accepted.version);
         if version < Some(machine.version) && machine.version.0 > 0 {
-            self.wrong.push("a configuration was reverted".into());
+            self.violations.push("a configuration was reverted".into());
         }
         machine.version = version.unwrap_or_default();
         for output in out {
