--- a/src/standin/fake/caller.rs
+++ b/src/standin/fake/caller.rs
@@ -37,7 +37,7 @@
 
 /// A request to be sent by a caller.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct Submission {
     /// The session that sends it.
     pub session: Box<str>,
     /// The VM of the proxy that receives it.
@@ -56,52 +56,54 @@
 
 impl System {
     /// Sends a request. Returns the index of its ticket, which receives the answer.
-    pub fn ask(&mut self, ask: Ask) -> usize {
-        let link = self.link_of(&ask);
+    pub fn submit(&mut self, submission: Submission) -> usize {
+        let link = self.link_of(&submission);
         // A caller needs its token only where a write may be lost, to be notified of the loss.
         let last = self
             .tickets
             .iter()
             .rev()
-            .filter(|t| t.session == ask.session);
-        let token_floor = last.filter(|_| ask.fast).find_map(|ticket| ticket.floor);
+            .filter(|t| t.session == submission.session);
+        let token_floor = last
+            .filter(|_| submission.fast)
+            .find_map(|ticket| ticket.floor);
         let number = self.tickets.len();
-        let gone = !self.machines.contains_key(&ask.vm);
+        let gone = !self.machines.contains_key(&submission.vm);
         self.tickets.push(Ticket {
-            session: ask.session.clone(),
-            vm: ask.vm.clone(),
-            body: ask.body.clone(),
-            fast: ask.fast,
+            session: submission.session.clone(),
+            vm: submission.vm.clone(),
+            body: submission.body.clone(),
+            fast: submission.fast,
             asked: self.now,
             told: gone.then_some((self.now, Answer::Cut)),
             floor: None,
             link,
         });
         let names = (name::<GroupId>("ledger"), name::<CallerId>("broker"));
-        let pool = name::<PoolId>(if ask.fast { "fast" } else { "safe" });
+        let pool = name::<PoolId>(if submission.fast { "fast" } else { "safe" });
         let ((Some(group), Some(caller)), Some(pool)) = (names, pool) else {
             return number;
         };
         let request = Request {
             link,
-            session: name::<SessionId>(&ask.session),
+            session: name::<SessionId>(&submission.session),
             caller,
             pool,
             group,
-            kind: ask.kind,
-            max_age: ask.max_age,
-            key: ask.key,
+            kind: submission.kind,
+            max_age: submission.max_age,
+            key: submission.key,
             token_floor,
             deadline: self.now + REQUEST_TIMEOUT,
-            body: ask.body.to_string().into(),
+            body: submission.body.to_string().into(),
         };
-        self.input(&ask.vm, Span::ZERO, Input::Submit(request));
+        self.input(&submission.vm, Span::ZERO, Input::Submit(request));
         number
     }
 
     /// Returns the session's connection to the proxy, or a new one while that is busy or lost.
-    fn link_of(&mut self, ask: &Ask) -> Link {
-        let same = |t: &&Ticket| t.session == ask.session && t.vm == ask.vm;
+    fn link_of(&mut self, submission: &Submission) -> Link {
+        let same = |t: &&Ticket| t.session == submission.session && t.vm == submission.vm;
         let last = self.tickets.iter().rev().find(same);
         let reusable = last.filter(|t| matches!(t.told, Some((_, Answer::Outcome(_)))));
         match reusable {
--- a/src/standin/fake/mod.rs
+++ b/src/standin/fake/mod.rs
@@ -22,7 +22,7 @@
 use crate::core::output::Output;
 use crate::types::{ConnId, DatabaseId, Domain, Life, Version, VmId};
 pub use base::Base;
-pub use caller::{Answer, Ask, Ticket};
+pub use caller::{Answer, Submission, Ticket};
 use link::Stream;
 use log::Row;
 pub use platform::Applied;
--- a/src/standin/fake/script.rs
+++ b/src/standin/fake/script.rs
@@ -9,7 +9,7 @@
 //! `list lags SPAN`, `leave VM`, `stop VM`, `apply VERSION leaving|staying DATABASE`. Queries:
 //! `log`, `versions`, `primary`. `DATABASE` may be `primary`, and `VM` may be `steward`.
 
-use super::{Answer, Applied, Ask, System, name};
+use super::{Answer, Applied, Submission, System, name};
 use crate::clock::Span;
 use crate::core::request::{Kind, Outcome};
 use crate::types::{DatabaseId, Version, VmId};
@@ -116,7 +116,7 @@
     }
 
     fn call(&mut self, verb: &str, session: &str, vm: &str, rest: &[&str]) -> Option<()> {
-        let mut ask = Ask {
+        let mut submission = Submission {
             session: session.into(),
             vm: self.vm(vm).or_else(|| vm.parse().ok())?,
             kind: Kind::Read,
@@ -127,37 +127,37 @@
         };
         let words = match (verb, rest) {
             ("write", [what, words @ ..]) => {
-                ask.kind = Kind::Write;
-                ask.body = format!("write {what}").into();
+                submission.kind = Kind::Write;
+                submission.body = format!("write {what}").into();
                 words
             }
             ("put", [what, words @ ..]) => {
-                ask.kind = Kind::Continue;
-                ask.body = format!("write {what}").into();
+                submission.kind = Kind::Continue;
+                submission.body = format!("write {what}").into();
                 words
             }
             ("read", [what, words @ ..]) => {
-                ask.body = format!("read {what}").into();
+                submission.body = format!("read {what}").into();
                 words
             }
             ("begin", words) => {
-                ask.kind = Kind::Begin;
+                submission.kind = Kind::Begin;
                 words
             }
             ("commit" | "rollback", words) => {
-                ask.kind = Kind::Continue;
+                submission.kind = Kind::Continue;
                 words
             }
             _ => return None,
         };
         match words {
             [] => {}
-            ["fast"] => ask.fast = true,
-            ["key", key] => ask.key = Some(key.parse().ok()?),
-            ["age", age] => ask.max_age = Some(age.parse().ok()?),
+            ["fast"] => submission.fast = true,
+            ["key", key] => submission.key = Some(key.parse().ok()?),
+            ["age", age] => submission.max_age = Some(age.parse().ok()?),
             _ => return None,
         }
-        self.system.ask(ask);
+        self.system.submit(submission);
         self.reported.push(false);
         Some(())
     }
