--- a/src/standin/fake/mod.rs
+++ b/src/standin/fake/mod.rs
@@ -22,7 +22,7 @@
 use crate::core::output::Output;
 use crate::types::{ConnId, DatabaseId, Domain, Life, Version, VmId};
 pub use base::Base;
-pub use caller::{Answer, Ask, Ticket};
+pub use caller::{Answer, Submission, Ticket};
 use link::Stream;
 use log::Row;
 pub use platform::Applied;
@@ -86,7 +86,7 @@
     /// All requests so far.
     pub tickets: Vec<Ticket>,
     /// Violations of guarantees that were detected during the run.
-    pub wrong: Vec<Box<str>>,
+    pub violations: Vec<Box<str>>,
     cuts: BTreeSet<(Box<str>, Box<str>)>,
     streams: BTreeMap<(VmId, VmId), Stream>,
     owners: BTreeMap<(VmId, Life, ConnId), DatabaseId>,
@@ -127,7 +127,7 @@
             machines: BTreeMap::new(),
             bases,
             tickets: Vec::new(),
-            wrong: Vec::new(),
+            violations: Vec::new(),
             cuts: BTreeSet::new(),
             streams: BTreeMap::new(),
             owners: BTreeMap::new(),
--- a/src/standin/fake/script.rs
+++ b/src/standin/fake/script.rs
@@ -9,7 +9,7 @@
 //! `list lags SPAN`, `leave VM`, `stop VM`, `apply VERSION leaving|staying DATABASE`. Queries:
 //! `log`, `versions`, `primary`. `DATABASE` may be `primary`, and `VM` may be `steward`.
 
-use super::{Answer, Applied, Ask, System, name};
+use super::{Answer, Applied, Submission, System, name};
 use crate::clock::Span;
 use crate::core::request::{Kind, Outcome};
 use crate::types::{DatabaseId, Version, VmId};
@@ -18,14 +18,14 @@
 /// The error for a step that can't be parsed or names an unknown VM or database.
 #[derive(Debug, thiserror::Error)]
 #[error("can't play `{0}`: see the list of steps in `standin::fake::script`")]
-pub struct Unclear(Box<str>);
+pub struct UnknownStep(Box<str>);
 
 /// Runs the steps of a scenario.
 #[derive(Debug)]
 pub struct Player {
     system: System,
     reported: Vec<bool>,
-    wrong: usize,
+    reported_violations: usize,
     text: String,
 }
 
@@ -38,7 +38,7 @@
         Some(Self {
             system,
             reported: Vec::new(),
-            wrong: 0,
+            reported_violations: 0,
             text: String::new(),
         })
     }
@@ -50,10 +50,10 @@
 
     /// Runs the steps. Returns their output and the answers that callers received meanwhile, or an error
     /// that quotes the first step that can't be run.
-    pub fn play(&mut self, steps: &str) -> Result<String, Unclear> {
+    pub fn play(&mut self, steps: &str) -> Result<String, UnknownStep> {
         for line in steps.lines().map(str::trim) {
             if !line.is_empty() && !line.starts_with('#') {
-                self.step(line).ok_or_else(|| Unclear(line.into()))?;
+                self.step(line).ok_or_else(|| UnknownStep(line.into()))?;
                 self.report_new();
             }
         }
@@ -116,7 +116,7 @@
     }
 
     fn call(&mut self, verb: &str, session: &str, vm: &str, rest: &[&str]) -> Option<()> {
-        let mut ask = Ask {
+        let mut submission = Submission {
             session: session.into(),
             vm: self.vm(vm).or_else(|| vm.parse().ok())?,
             kind: Kind::Read,
@@ -127,37 +127,37 @@
         };
         let words = match (verb, rest) {
             ("write", [what, words @ ..]) => {
-                ask.kind = Kind::Write;
-                ask.body = format!("write {what}").into();
+                submission.kind = Kind::Write;
+                submission.body = format!("write {what}").into();
                 words
             }
             ("put", [what, words @ ..]) => {
-                ask.kind = Kind::Continue;
-                ask.body = format!("write {what}").into();
+                submission.kind = Kind::Continue;
+                submission.body = format!("write {what}").into();
                 words
             }
             ("read", [what, words @ ..]) => {
-                ask.body = format!("read {what}").into();
+                submission.body = format!("read {what}").into();
                 words
             }
             ("begin", words) => {
-                ask.kind = Kind::Begin;
+                submission.kind = Kind::Begin;
                 words
             }
             ("commit" | "rollback", words) => {
-                ask.kind = Kind::Continue;
+                submission.kind = Kind::Continue;
                 words
             }
             _ => return None,
         };
         match words {
             [] => {}
-            ["fast"] => ask.fast = true,
-            ["key", key] => ask.key = Some(key.parse().ok()?),
-            ["age", age] => ask.max_age = Some(age.parse().ok()?),
+            ["fast"] => submission.fast = true,
+            ["key", key] => submission.key = Some(key.parse().ok()?),
+            ["age", age] => submission.max_age = Some(age.parse().ok()?),
             _ => return None,
         }
-        self.system.ask(ask);
+        self.system.submit(submission);
         self.reported.push(false);
         Some(())
     }
@@ -250,10 +250,10 @@
                 );
             }
         }
-        for wrong in self.system.wrong.iter().skip(self.wrong) {
-            let _ = writeln!(self.text, "WRONG: {wrong}");
+        for violation in self.system.violations.iter().skip(self.reported_violations) {
+            let _ = writeln!(self.text, "WRONG: {violation}");
         }
-        self.wrong = self.system.wrong.len();
+        self.reported_violations = self.system.violations.len();
     }
 
     fn print(&mut self, text: &str) {
