--- a/src/schedule/check.rs
+++ b/src/schedule/check.rs
@@ -1,4 +1,5 @@
-//! The properties that hold after a schedule, from what callers were told and what is left.
+//! Checks the properties that must hold after a schedule, from the answers that callers got and from the
+//! final log.
 
 use super::Told;
 use crate::clock::{Span, Time};
@@ -6,44 +7,44 @@
 use crate::standin::fake::{Answer, System, Ticket};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Checks a system that has been mended and given time.
+/// Checks a system whose faults were ended and that had time to recover.
 pub(super) fn check(system: &System) -> (Told, Vec<Box<str>>) {
     let mut history = History::new(system);
-    history.told_once();
-    history.writes();
-    history.transactions();
-    history.reads();
-    history.databases();
-    history.versions();
-    (history.told, history.broken)
+    history.check_answers();
+    history.check_writes();
+    history.check_transactions();
+    history.check_reads();
+    history.check_logs();
+    history.check_versions();
+    (history.outcomes, history.broken)
 }
 
 struct History<'a> {
     system: &'a System,
-    told: Told,
+    outcomes: Told,
     broken: Vec<Box<str>>,
-    /// How often each value of each key is in the log that is left.
-    left: BTreeMap<(&'a str, &'a str), usize>,
-    ran: BTreeSet<(&'a str, &'a str)>,
+    /// How many rows of the final log hold each pair of key and value.
+    remaining: BTreeMap<(&'a str, &'a str), usize>,
+    executed: BTreeSet<(&'a str, &'a str)>,
 }
 
 impl<'a> History<'a> {
     fn new(system: &'a System) -> Self {
-        let mut left = BTreeMap::new();
+        let mut remaining = BTreeMap::new();
         let log = system.primary().map(|base| &base.log.rows);
         for row in log.into_iter().flatten() {
-            *left.entry((&*row.key, &*row.value)).or_insert(0) += 1;
+            *remaining.entry((&*row.key, &*row.value)).or_insert(0) += 1;
         }
         Self {
             system,
-            told: Told::default(),
+            outcomes: Told::default(),
             broken: system.wrong.clone(),
-            left,
-            ran: system.ran().map(|row| (&*row.key, &*row.value)).collect(),
+            remaining,
+            executed: system.ran().map(|row| (&*row.key, &*row.value)).collect(),
         }
     }
 
-    fn breaks(&mut self, property: &str, ticket: &Ticket) {
+    fn add_broken(&mut self, property: &str, ticket: &Ticket) {
         let text = format!(
             "{property}: {} of {} at {}, asked at {} us, told {:?}",
             ticket.body, ticket.session, ticket.vm, ticket.asked.0, ticket.told
@@ -51,50 +52,50 @@
         self.broken.push(text.into());
     }
 
-    /// Everybody is told something, by a proxy that lives.
-    fn told_once(&mut self) {
+    /// Every request ends with an answer or a cut connection; counts requests by outcome.
+    fn check_answers(&mut self) {
         for ticket in &self.system.tickets {
             match &ticket.told {
-                Some((_, Answer::Outcome(Outcome::Done(_)))) => self.told.done += 1,
-                Some((_, Answer::Outcome(Outcome::NotRun(_)))) => self.told.not_run += 1,
-                Some(_) => self.told.unknown += 1,
-                None => self.breaks("never told", ticket),
+                Some((_, Answer::Outcome(Outcome::Done(_)))) => self.outcomes.done += 1,
+                Some((_, Answer::Outcome(Outcome::NotRun(_)))) => self.outcomes.not_run += 1,
+                Some(_) => self.outcomes.unknown += 1,
+                None => self.add_broken("never told", ticket),
             }
         }
     }
 
-    fn writes(&mut self) {
+    fn check_writes(&mut self) {
         let mut attempts: BTreeMap<(&str, &str), Vec<&Ticket>> = BTreeMap::new();
         for ticket in &self.system.tickets {
-            if let Some(what) = plain_write(ticket) {
-                attempts.entry(what).or_default().push(ticket);
+            if let Some(row) = plain_write(ticket) {
+                attempts.entry(row).or_default().push(ticket);
             }
         }
-        for (what, tickets) in attempts {
-            let left = self.left.get(&what).copied().unwrap_or(0);
+        for (row, tickets) in attempts {
+            let copies = self.remaining.get(&row).copied().unwrap_or(0);
             let Some(last) = tickets.last() else { continue };
-            if left > 1 {
-                self.breaks("doubled", last);
+            if copies > 1 {
+                self.add_broken("doubled", last);
             }
             let done = tickets.iter().find(|ticket| is_done(ticket));
             if let Some(done) = done
-                && left == 0
-                && !self.told_of_loss(done)
+                && copies == 0
+                && !self.loss_reported(done)
             {
-                self.breaks("lost", done);
+                self.add_broken("lost", done);
             }
-            let none_ran = tickets.iter().all(|ticket| is_not_run(ticket));
-            if none_ran && self.ran.contains(&what) {
-                self.breaks("told not run, and run", last);
+            let all_not_run = tickets.iter().all(|ticket| is_not_run(ticket));
+            if all_not_run && self.executed.contains(&row) {
+                self.add_broken("told not run, and run", last);
             }
         }
     }
 
-    /// Whether the session of a write that only its primary had was told of a loss later.
-    fn told_of_loss(&self, write: &Ticket) -> bool {
+    /// Whether the session of a write that only its primary had was later told that a write was lost.
+    fn loss_reported(&self, write: &Ticket) -> bool {
         let lost = |ticket: &&Ticket| match &ticket.told {
             Some((at, Answer::Outcome(Outcome::NotRun(not_run)))) => {
-                not_run.cause == Cause::Lost && *at >= told_at(write)
+                not_run.cause == Cause::Lost && *at >= answered_at(write)
             }
             _ => false,
         };
@@ -102,8 +103,8 @@
         write.fast && same.any(|ticket| ticket.session == write.session && lost(&ticket))
     }
 
-    /// Both rows of a transaction are left, or neither, as its commit was told.
-    fn transactions(&mut self) {
+    /// The final log has both rows of a transaction or neither, in agreement with the answer to its commit.
+    fn check_transactions(&mut self) {
         for ticket in &self.system.tickets {
             let Some(value) = ticket.session.strip_prefix("t-") else {
                 continue;
@@ -111,7 +112,7 @@
             if !matches!(&*ticket.body, "commit" | "rollback") {
                 continue;
             }
-            let count = |key| self.left.get(&(key, value)).copied().unwrap_or(0);
+            let count = |key| self.remaining.get(&(key, value)).copied().unwrap_or(0);
             let (left, right) = (count("left"), count("right"));
             let puts = self.system.tickets.iter();
             let puts = puts.filter(|t| t.session == ticket.session && is_done(t));
@@ -127,14 +128,14 @@
                 _ => None,
             };
             if let Some(wrong) = wrong {
-                self.breaks(wrong, ticket);
+                self.add_broken(wrong, ticket);
             }
         }
     }
 
-    /// A session sees its own writes, a phone what is older than the age that it accepts, and
-    /// both get the answer to what they asked.
-    fn reads(&mut self) {
+    /// A session reads its own writes, the session `phone` reads every write older than the age that it
+    /// accepts, and each answer belongs to the key that was asked for.
+    fn check_reads(&mut self) {
         for ticket in &self.system.tickets {
             let Some((body, values)) = answer_to_read(ticket) else {
                 continue;
@@ -143,28 +144,28 @@
                 continue;
             };
             if !body.starts_with(&format!("{key}:")) {
-                self.breaks("another caller's answer", ticket);
+                self.add_broken("another caller's answer", ticket);
             }
             let since = match ticket.session.as_ref() {
                 "phone" => ticket.asked - PHONE_AGE,
                 _ => ticket.asked,
             };
-            let known = |write: &&Ticket| {
+            let expected = |write: &&Ticket| {
                 let value = plain_write(write).filter(|(of, _)| *of == key);
-                let kept = value.is_some_and(|what| self.left.contains_key(&what));
-                kept && is_done(write) && told_at(write) < since
+                let kept = value.is_some_and(|row| self.remaining.contains_key(&row));
+                kept && is_done(write) && answered_at(write) < since
             };
-            let writes = self.system.tickets.iter().filter(known);
+            let writes = self.system.tickets.iter().filter(expected);
             let missed = writes.filter_map(plain_write);
             let missed = missed.filter(|(_, value)| !values.contains(value)).count();
             if missed > 0 {
-                self.breaks("stale", ticket);
+                self.add_broken("stale", ticket);
             }
         }
     }
 
-    /// All databases have come to one log.
-    fn databases(&mut self) {
+    /// All databases end with logs of the same length.
+    fn check_logs(&mut self) {
         let logs: BTreeSet<usize> = self.system.logs().map(|log| log.len()).collect();
         if logs.len() > 1 {
             self.broken
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Every proxy has the last version that was accepted.
-    fn versions(&mut self) {
+    /// Every proxy has the last accepted configuration version.
+    fn check_versions(&mut self) {
         let stored = self.system.stored();
         for vm in self.system.vms() {
             let version = self.system.version(&vm);
@@ -185,10 +186,10 @@
     }
 }
 
-/// The age that phones accept.
+/// The age of reads that the session `phone` accepts.
 const PHONE_AGE: Span = Span::from_millis(500);
 
-fn told_at(ticket: &Ticket) -> Time {
+fn answered_at(ticket: &Ticket) -> Time {
     ticket.told.as_ref().map_or(Time(u64::MAX), |(at, _)| *at)
 }
 
@@ -202,8 +203,8 @@
 
 /// The key and value of a write outside a transaction.
 fn plain_write(ticket: &Ticket) -> Option<(&str, &str)> {
-    let what = ticket.body.strip_prefix("write ")?;
-    what.split_once('=')
+    let row = ticket.body.strip_prefix("write ")?;
+    row.split_once('=')
         .filter(|_| !ticket.session.starts_with("t-"))
 }
 
--- a/src/schedule/direct.rs
+++ b/src/schedule/direct.rs
@@ -1,8 +1,8 @@
-//! Random schedules over whole worlds of direct access.
+//! Runs random schedules over whole simulated deployments of direct access.
 //!
-//! Callers of all kinds call on all VMs while a few faults, drawn from the seed, come and go,
-//! often aimed at the VM that last wrote to the store. Then all is mended, and after a while
-//! every caller has to be served again.
+//! Callers on every kind of route use the VMs while a few faults, drawn from the seed, begin and end;
+//! faults often hit the VM that last wrote to the store. Then all faults end, and after a recovery time
+//! callers must be served again.
 
 use crate::clock::Span;
 use crate::direct::table::Era;
@@ -26,47 +26,48 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How long the VMs have to start.
-const WARM: Duration = Duration::from_secs(4);
+/// Time for the VMs to start.
+const STARTUP_TIME: Duration = Duration::from_secs(4);
 
-/// For how long faults begin.
-const FAULTS: u64 = 20_000;
+/// Milliseconds after the start in which faults begin.
+const FAULT_WINDOW: u64 = 20_000;
 
-/// When all is mended.
-const MENDED: Duration = Duration::from_secs(30);
+/// The time after the start by which all faults have ended.
+const FAULTS_END: Duration = Duration::from_secs(30);
 
-/// How long the system has until it has to serve again.
-const RECOVERY: Duration = Duration::from_secs(15);
+/// Time that the system has to recover once all faults have ended.
+const RECOVERY_TIME: Duration = Duration::from_secs(15);
 
-/// For how long it is looked at then.
-const AFTERWARDS: Duration = Duration::from_secs(4);
+/// Duration of the final check, in which callers must be served.
+const CHECK_TIME: Duration = Duration::from_secs(4);
 
-/// How long callers pause between statements at most.
-const PAUSE: Duration = Duration::from_millis(160);
+/// Longest pause of a caller between statements.
+const MAX_PAUSE: Duration = Duration::from_millis(160);
 
-/// How long an answer may take: a route's time, which is 5 s, and a little.
-const ANSWERED: Duration = Duration::from_millis(5_500);
+/// Longest time to an answer: the route's timeout of 5 s and a margin.
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(5_500);
 
-/// The most faults of a schedule.
-const MOST: u64 = 5;
+/// Largest number of faults in a schedule.
+const MAX_FAULTS: u64 = 5;
 
-/// How many VMs more a fleet has: of 20 to 22 in three failure domains six read the store for all.
-const FLEET_VMS: usize = 18;
+/// Additional VMs of a fleet: six of its 20 to 22 VMs in three failure domains read the store for all.
+const EXTRA_FLEET_VMS: usize = 18;
 
-/// VMs more than usual, and connections that a database takes, where not all VMs have their own.
-const MORE_VMS: usize = 3;
-const FEW_CONNECTIONS: u32 = 8;
+/// Additional VMs, and connections per database, of a crowded schedule, in which some VMs have no
+/// connections of their own.
+const EXTRA_VMS: usize = 3;
+const CROWDED_CONNECTIONS: u32 = 8;
 
-/// What came of one seed.
+/// The result of one seed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// What was played and who came to lead, after its milliseconds since the world began.
+    /// Faults, promotion orders and changes of primary, each with its milliseconds since the start.
     pub script: Vec<Box<str>>,
-    /// What callers were told.
+    /// The number of statements by outcome.
     pub told: Count,
-    /// Properties that were broken.
+    /// Descriptions of the broken properties.
     pub broken: Vec<Box<str>>,
 }
 
@@ -80,7 +81,7 @@
     }
 }
 
-/// A fault, when it begins and when it ends.
+/// A fault with its begin and end, both since the start of the faults.
 #[derive(Debug, Clone)]
 struct Planned {
     begins: Duration,
@@ -88,55 +89,59 @@
     fault: Option<Fault>,
 }
 
-/// What a schedule has beyond its seed; the same faults come at the same moments with each.
+/// Options of a schedule beside its seed; the same faults come at the same moments with each of them.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Variant {
-    /// More VMs than have connections, so that most reach databases through others.
+    /// More VMs than have connections, so most reach databases through other VMs.
     pub crowded: bool,
-    /// A database that crashes starts again with nothing of before.
+    /// A database that crashes starts again without its data.
     pub reborn: bool,
-    /// As many VMs as let a few read the store for all.
+    /// Enough VMs that a few of them read the store for all.
     pub fleet: bool,
-    /// A store that would be down comes back from an older copy instead.
+    /// Faults of the store or of promotion orders become a restore of the store from an older copy.
     pub drill: bool,
 }
 
-/// Plays the schedule of `seed`.
+/// Plays the schedule of `seed` and checks it.
+///
+/// Fails with [`Error::Setup`] if the simulated deployment cannot be set up.
 pub fn play(seed: u64, variant: Variant) -> Result<Report, Error> {
     host::play(run(seed, variant)).map_err(|_| Error::Setup)?
 }
 
 async fn run(seed: u64, variant: Variant) -> Result<Report, Error> {
     let started = Instant::now();
-    let mut draw = Draw {
+    let mut generator = Generator {
         random: ChaCha8Rng::seed_from_u64(seed),
         reborn: variant.reborn,
         drill: variant.drill,
     };
-    let mut setup = draw.setup();
+    let mut setup = generator.setup();
     if variant.crowded {
-        setup.vms += MORE_VMS;
-        setup.connections = FEW_CONNECTIONS;
+        setup.vms += EXTRA_VMS;
+        setup.connections = CROWDED_CONNECTIONS;
     }
     if variant.fleet {
-        setup.vms += FLEET_VMS;
+        setup.vms += EXTRA_FLEET_VMS;
     }
     if variant.drill {
         setup.era = Era(1);
     }
     let world = World::start(setup, program()).map_err(|_| Error::Setup)?;
     let record = Record::default();
-    sleep(WARM).await;
+    sleep(STARTUP_TIME).await;
     let begun = Instant::now();
-    let over = begun + MENDED + RECOVERY + AFTERWARDS;
-    call(&world, &record, seed, over);
-    let (mut events, faults) = draw.play(&world, begun).await;
-    sleep_until(over).await;
-    // What is under way ends.
+    let end = begun + FAULTS_END + RECOVERY_TIME + CHECK_TIME;
+    spawn_callers(&world, &record, seed, end);
+    let (mut events, faults) = generator.play(&world, begun).await;
+    sleep_until(end).await;
+    // Statements in progress end.
     sleep(Duration::from_secs(11)).await;
-    let mut report = judge(&world, &record.borrow(), started, begun, &faults);
-    report.broken.extend(configured(&world, &record).await);
-    events.extend(changes(&world));
+    let mut report = check_run(&world, &record.borrow(), started, begun, &faults);
+    report
+        .broken
+        .extend(check_configuration(&world, &record).await);
+    events.extend(promotion_events(&world));
     events.sort_by_key(|(at, _)| *at);
     let script = events.iter().map(|(at, what)| {
         let at = at.duration_since(started).as_millis();
@@ -150,11 +155,11 @@
     })
 }
 
-/// What happened, and when.
+/// The time and the description of an event.
 type Event = (Instant, String);
 
-/// Orders and changes of primary.
-fn changes(world: &World) -> Vec<Event> {
+/// Promotion orders and changes of primary.
+fn promotion_events(world: &World) -> Vec<Event> {
     let journal = world.journal.borrow();
     let orders = journal.orders.iter().map(|order| {
         let (holder, token, database) = (&order.holder, order.token, &order.database);
@@ -166,37 +171,39 @@
     orders.chain(reigns).collect()
 }
 
-fn call(world: &Rc<World>, record: &Record, seed: u64, until: Instant) {
+fn spawn_callers(world: &Rc<World>, record: &Record, seed: u64, until: Instant) {
     let mut number = seed.wrapping_mul(1_000);
     for group in 0..world.setup.groups {
         for kind in ["primary", "bounded", "session"] {
             for domain in 0..3 {
                 number += 1;
                 let route = format!("{kind}{group}");
-                let caller = Caller::new(world, record, domain, &route, number, PAUSE);
+                let caller = Caller::new(world, record, domain, &route, number, MAX_PAUSE);
                 tokio::task::spawn_local(caller.run(until));
             }
         }
     }
 }
 
-/// What the callers were told, against what happened.
-fn judge(
+/// Checks the answers that callers got against what happened.
+fn check_run(
     world: &World,
-    said: &[Said],
+    statements: &[Said],
     started: Instant,
     begun: Instant,
     faults: &[Fault],
 ) -> check::Report {
-    let mut judged = check(world, started, said);
-    let last = begun + MENDED + RECOVERY;
-    judged.broken.extend(served(world, said, last));
-    judged.broken.extend(held(said, faults));
-    judged
+    let mut report = check(world, started, statements);
+    let last = begun + FAULTS_END + RECOVERY_TIME;
+    report
+        .broken
+        .extend(check_recovered(world, statements, last));
+    report.broken.extend(check_answer_times(statements, faults));
+    report
 }
 
-/// Each VM is ready and serves almost all once all was mended for a while.
-fn served(world: &World, said: &[Said], since: Instant) -> Vec<Box<str>> {
+/// After the recovery time each VM is ready and nine of ten statements are served.
+fn check_recovered(world: &World, statements: &[Said], since: Instant) -> Vec<Box<str>> {
     let mut broken: Vec<Box<str>> = Vec::new();
     for number in 0..world.setup.vms {
         let Ok(vm) = World::vm(number) else { continue };
@@ -204,9 +211,9 @@
             broken.push(format!("{vm} is not ready in the end").into());
         }
     }
-    let last = said.iter().filter(|said| said.sent > since);
-    let (all, done) = last.fold((0, 0), |(all, done), said| {
-        (all + 1, done + usize::from(said.is_done()))
+    let last = statements.iter().filter(|statement| statement.sent > since);
+    let (all, done) = last.fold((0, 0), |(all, done), statement| {
+        (all + 1, done + usize::from(statement.is_done()))
     });
     if done * 10 < all * 9 || all == 0 {
         broken.push(format!("{done} of {all} served in the end").into());
@@ -214,44 +221,47 @@
     broken
 }
 
-/// Every statement is answered about when its route's time is over, by a VM that ran all along
-/// and was reached by its callers.
-fn held(said: &[Said], faults: &[Fault]) -> Vec<Box<str>> {
-    let excused = |vm: &VmId| {
+/// Every statement ends within its route's timeout and a margin, unless a fault stopped its VM or its
+/// connections.
+fn check_answer_times(statements: &[Said], faults: &[Fault]) -> Vec<Box<str>> {
+    let is_excused = |vm: &VmId| {
         faults.iter().any(|fault| match fault {
-            Fault::Freeze(struck) | Fault::Kill(struck) | Fault::Stop(struck, _) => struck == vm,
-            Fault::Dark(Node::Vm(struck)) => struck == vm,
+            Fault::Freeze(affected) | Fault::Kill(affected) | Fault::Stop(affected, _) => {
+                affected == vm
+            }
+            Fault::Dark(Node::Vm(affected)) => affected == vm,
             Fault::Reset | Fault::Silence => true,
             _ => false,
         })
     };
-    let late = said.iter().filter(|said| {
-        let answered = said.told.as_ref().map(|(at, _)| *at);
-        let ended = answered.or(said.broke);
-        ended.is_some_and(|ended| ended - said.sent > ANSWERED) && !excused(&said.vm)
+    let late = statements.iter().filter(|statement| {
+        let answered = statement.told.as_ref().map(|(at, _)| *at);
+        let ended = answered.or(statement.broke);
+        ended.is_some_and(|ended| ended - statement.sent > MAX_ANSWER_TIME)
+            && !is_excused(&statement.vm)
     });
-    late.map(|said| format!("answered late or never: {said:?}").into())
+    late.map(|statement| format!("answered late or never: {statement:?}").into())
         .collect()
 }
 
-/// Each VM has the last configuration in force, and no older one.
-async fn configured(world: &Rc<World>, record: &Record) -> Vec<Box<str>> {
+/// Each VM uses the last configuration and none before it.
+async fn check_configuration(world: &Rc<World>, record: &Record) -> Vec<Box<str>> {
     let configs: Vec<_> = {
         let configs = world.configs.borrow();
         let configs = configs.iter().rev().take(2);
         configs.map(|(_, config)| config.clone()).collect()
     };
     let mut broken: Vec<Box<str>> = Vec::new();
-    let [last, before] = &configs[..] else {
+    let [last, previous] = &configs[..] else {
         return broken;
     };
     for number in 0..world.setup.vms {
         let Ok(vm) = World::vm(number) else { continue };
-        for route in last.routes.keys().chain(before.routes.keys()) {
-            let meant = last.routes.contains_key(route);
+        for route in last.routes.keys().chain(previous.routes.keys()) {
+            let expected = last.routes.contains_key(route);
             let opened = Session::open(world, record, 0, &vm, route).await.is_ok();
-            if opened != meant {
-                let text = format!("{vm} opens {route}: {opened}, and should: {meant}");
+            if opened != expected {
+                let text = format!("{vm} opens {route}: {opened}, and should: {expected}");
                 broken.push(text.into());
             }
         }
@@ -259,18 +269,18 @@
     broken
 }
 
-struct Draw {
+struct Generator {
     random: ChaCha8Rng,
     reborn: bool,
     drill: bool,
 }
 
-impl Draw {
+impl Generator {
     fn below(&mut self, bound: u64) -> u64 {
         self.random.next_u64() % bound.max(1)
     }
 
-    fn one<T: Clone>(&mut self, from: &[T]) -> Option<T> {
+    fn choose<T: Clone>(&mut self, from: &[T]) -> Option<T> {
         let index = self.below(from.len() as u64) as usize;
         from.get(index).cloned()
     }
@@ -284,47 +294,47 @@
         }
     }
 
-    /// Plays the faults, and ends them all.
+    /// Begins the drawn faults and ends all of them.
     async fn play(&mut self, world: &Rc<World>, begun: Instant) -> (Vec<Event>, Vec<Fault>) {
         let mut events = Vec::new();
         let mut faults = Vec::new();
-        let mut moments = self.moments();
+        let mut fault_times = self.fault_times();
         let mut open: Vec<(Duration, Fault)> = Vec::new();
         loop {
-            let begins = moments.first().map(|planned| planned.begins);
+            let begins = fault_times.first().map(|planned| planned.begins);
             let ends = open.iter().map(|(ends, _)| *ends).min();
             let Some(next) = begins.into_iter().chain(ends).min() else {
                 break;
             };
             sleep_until(begun + next).await;
-            let mut note = |what: &str, fault: &Fault| {
+            let mut record_event = |what: &str, fault: &Fault| {
                 events.push((begun + next, format!("{what} {fault:?}")));
             };
             if let Some(index) = open.iter().position(|(ends, _)| *ends <= next) {
                 let (_, fault) = open.remove(index);
                 fault.end(world);
-                note("end", &fault);
+                record_event("end", &fault);
                 continue;
             }
-            let mut planned = moments.remove(0);
+            let mut planned = fault_times.remove(0);
             planned.fault = self.fault(world);
             if let Some(fault) = planned.fault {
                 fault.begin(world);
-                note("begin", &fault);
+                record_event("begin", &fault);
                 faults.push(fault.clone());
                 open.push((planned.ends, fault));
             }
         }
-        sleep_until(begun + MENDED).await;
+        sleep_until(begun + FAULTS_END).await;
         (events, faults)
     }
 
-    fn moments(&mut self) -> Vec<Planned> {
-        let count = 1 + self.below(MOST);
-        // Faults that come close together find more.
-        let window = [150, 1_500, 6_000, FAULTS][self.below(4) as usize];
-        let first = self.below(FAULTS - window + 1);
-        let mut moments: Vec<_> = (0..count)
+    fn fault_times(&mut self) -> Vec<Planned> {
+        let count = 1 + self.below(MAX_FAULTS);
+        // Faults in a short window find more errors.
+        let window = [150, 1_500, 6_000, FAULT_WINDOW][self.below(4) as usize];
+        let first = self.below(FAULT_WINDOW - window + 1);
+        let mut fault_times: Vec<_> = (0..count)
             .map(|_| {
                 let begins = first + self.below(window);
                 let lasts = [300, 2_000, 9_500][self.below(3) as usize];
@@ -336,11 +346,11 @@
                 }
             })
             .collect();
-        moments.sort_by_key(|planned| planned.begins);
-        moments
+        fault_times.sort_by_key(|planned| planned.begins);
+        fault_times
     }
 
-    /// A VM; often the one that last wrote to the store.
+    /// Draws a running VM, often the one that last wrote to the store.
     fn vm(&mut self, world: &World) -> Option<VmId> {
         let running = world.running();
         let writers = world.store.log();
@@ -348,18 +358,18 @@
         let last = writers.find_map(|written| written.by.clone());
         match last {
             Some(last) if self.below(2) == 0 && running.contains(&last) => Some(last),
-            _ => self.one(&running),
+            _ => self.choose(&running),
         }
     }
 
-    /// A database; often the one that leads.
+    /// Draws a database, often the primary.
     fn database(&mut self, world: &World) -> Option<DatabaseId> {
-        let group = self.one(&world.groups)?;
+        let group = self.choose(&world.groups)?;
         if self.below(2) == 0 {
             return Some(group.leader());
         }
         let members = group.members();
-        Some(self.one(&members)?.make.id.clone())
+        Some(self.choose(&members)?.make.id.clone())
     }
 
     fn span(&mut self, bound: u64) -> Span {
@@ -369,7 +379,7 @@
     fn fault(&mut self, world: &World) -> Option<Fault> {
         let (vm, database) = (self.vm(world)?, self.database(world)?);
         let (node, at) = (Node::Vm(vm.clone()), Node::Database(database.clone()));
-        let fault = match self.drawn(world, vm, database, node, at)? {
+        let fault = match self.draw_fault(world, vm, database, node, at)? {
             Fault::Crash(database) if self.reborn => Fault::Reborn(database),
             Fault::Store(..) | Fault::StoreSlow(_) | Fault::Forget | Fault::Orders(_)
                 if self.drill =>
@@ -378,11 +388,11 @@
             }
             fault => fault,
         };
-        // A machine reaches itself.
+        // A VM or database always reaches itself.
         (!matches!(&fault, Fault::Cut(a, b) if a == b)).then_some(fault)
     }
 
-    fn drawn(
+    fn draw_fault(
         &mut self,
         world: &World,
         vm: VmId,
@@ -409,9 +419,9 @@
             16 | 17 => Fault::Kill(vm),
             18 => Fault::Stop(vm, Span::from_secs(6)),
             19 | 20 => Fault::Freeze(vm),
-            21 => self.store(world)?,
+            21 => self.store_fault(world)?,
             22 => Fault::StoreSlow(self.span(600)),
-            23 => self.losing(),
+            23 => self.store_losing_fault(),
             24 => match self.below(4) {
                 0 => Fault::Forget,
                 1 => Fault::Jump(vm, self.span(5_000)),
@@ -426,7 +436,7 @@
         })
     }
 
-    fn store(&mut self, world: &World) -> Option<Fault> {
+    fn store_fault(&mut self, world: &World) -> Option<Fault> {
         use store::Health::{Refusing, Reset, Silent};
         let health = [Refusing, Silent, Reset][self.below(3) as usize];
         let only = match self.below(2) {
@@ -436,7 +446,7 @@
         Some(Fault::Store(health, only))
     }
 
-    fn losing(&mut self) -> Fault {
+    fn store_losing_fault(&mut self) -> Fault {
         let later = Span::from_millis(1_000 + self.below(5_000));
         let losing = [Losing::Now, Losing::Later(later)][self.below(2) as usize];
         Fault::StoreLosing(losing)
--- a/src/schedule/draw.rs
+++ b/src/schedule/draw.rs
@@ -1,17 +1,17 @@
-//! Draws callers' requests, faults and pauses from a seed.
+//! Draws requests, faults and pauses from a seed.
 
 use crate::standin::fake::{Answer, System};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Proxies in a schedule.
+/// Number of proxies in a schedule.
 pub(super) const VMS: usize = 3;
 const DATABASES: [&str; 3] = ["a", "b", "c"];
-/// Sessions; the last uses the pool whose writes are done once the primary has them.
+/// Sessions; the last one uses the pool that acknowledges a write once the primary has it.
 const SESSIONS: [&str; 4] = ["s1", "s2", "s3", "quick"];
 
-/// Ends every fault, and gives the system time.
-pub(super) const MEND: &[&str] = &[
+/// The lines that end every fault and give the system time to recover.
+pub(super) const REPAIR: &[&str] = &[
     "heal",
     "store up",
     "list lags 0s",
@@ -31,15 +31,15 @@
     "run 30s",
 ];
 
-/// What has been drawn so far.
+/// Draws the lines of a schedule; remembers the values written and the proxies being stopped.
 #[derive(Debug)]
-pub(super) struct Draw {
+pub(super) struct Generator {
     random: ChaCha8Rng,
     written: u64,
     stopping: Vec<String>,
 }
 
-impl Draw {
+impl Generator {
     pub fn new(seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -51,7 +51,7 @@
     /// The next lines: a request or a fault, and a pause.
     pub fn steps(&mut self, system: &System) -> Vec<String> {
         let mut lines = match self.below(10) {
-            0..=6 => self.call(system),
+            0..=6 => self.request(system),
             _ => self.fault(system).into_iter().collect(),
         };
         let pause = match self.below(6) {
@@ -63,20 +63,20 @@
         lines
     }
 
-    /// A write and a read of each session once all is mended.
-    pub fn last_calls(&mut self) -> Vec<String> {
+    /// Two reads and a write of each session, after all faults have ended.
+    pub fn final_requests(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
         for session in SESSIONS {
             for _ in 0..2 {
                 let vm = self.vm();
                 lines.push(format!(
                     "read {session} at {vm} {session}{}",
-                    suffix(session)
+                    durability_suffix(session)
                 ));
                 lines.push("run 6s".into());
             }
             let (vm, value) = (self.vm(), self.value());
-            let fast = suffix(session);
+            let fast = durability_suffix(session);
             lines.push(format!("write {session} at {vm} {session}={value}{fast}"));
             lines.push("run 6s".into());
         }
@@ -84,9 +84,9 @@
         lines
     }
 
-    fn call(&mut self, system: &System) -> Vec<String> {
+    fn request(&mut self, system: &System) -> Vec<String> {
         let session = SESSIONS[self.below(SESSIONS.len() as u64) as usize];
-        let (vm, fast) = (self.vm(), suffix(session));
+        let (vm, fast) = (self.vm(), durability_suffix(session));
         match self.below(12) {
             0..=4 => {
                 let value = self.value();
@@ -94,13 +94,13 @@
             }
             5..=8 => vec![format!("read {session} at {vm} {session}{fast}")],
             9 => vec![format!("read phone at {vm} {session} age 500ms")],
-            10 => self.keyed(system, vm),
+            10 => self.keyed_write(system, vm),
             _ => self.transaction(vm),
         }
     }
 
-    /// A write under a key; one whose outcome is not known is asked for again.
-    fn keyed(&mut self, system: &System, vm: String) -> Vec<String> {
+    /// A write with a request key; often repeats the last one that was answered but not done.
+    fn keyed_write(&mut self, system: &System, vm: String) -> Vec<String> {
         let keyed = |session: &str| session.starts_with("keyed");
         let open = system.tickets.iter().rev().find(|ticket| {
             let answered = matches!(&ticket.told, Some((_, Answer::Outcome(outcome)))
@@ -136,29 +136,29 @@
 
     fn fault(&mut self, system: &System) -> Option<String> {
         let (vm, database) = (self.vm(), self.database());
-        let lives = system.vms().iter().any(|known| known.as_str() == vm);
+        let runs = system.vms().iter().any(|running| running.as_str() == vm);
         let up = system.database_is_up(&database);
         let span = 100 + self.below(4_000);
         Some(match self.below(20) {
             0 => format!("cut {database} from {}", self.database()),
             1 => format!("cut {vm} from {database}"),
-            2 if lives => {
+            2 if runs => {
                 let other = self.vm();
-                let both = other != vm && system.vms().iter().any(|v| v.as_str() == other);
-                return both.then(|| format!("cut {vm} from {other}"));
+                let both_run = other != vm && system.vms().iter().any(|v| v.as_str() == other);
+                return both_run.then(|| format!("cut {vm} from {other}"));
             }
             3..=5 => "heal".into(),
-            6 if lives => format!("freeze {vm} for {span}ms"),
+            6 if runs => format!("freeze {vm} for {span}ms"),
             7 => format!("freeze {database} for {span}ms"),
-            8 if lives => format!("kill {vm}"),
+            8 if runs => format!("kill {vm}"),
             9 if up => format!("kill {database}"),
-            10 if lives && self.stopping.iter().all(|known| *known != vm) => {
+            10 if runs && self.stopping.iter().all(|known| *known != vm) => {
                 self.stopping.push(vm.clone());
                 format!("stop {vm}")
             }
             8 | 10 | 11 => {
                 self.stopping.retain(|known| *known != vm);
-                match lives {
+                match runs {
                     true => return None,
                     false => format!("start {vm}"),
                 }
@@ -177,7 +177,7 @@
             19 => match self.below(2) {
                 0 => format!("list lags {span}ms"),
                 _ => {
-                    // A second operator may hold an older version.
+                    // A second operator may work from an older version.
                     let base = system.stored().0 - self.below(2).min(system.stored().0 - 1);
                     format!("apply {base} staying {database}")
                 }
@@ -204,7 +204,8 @@
     }
 }
 
-fn suffix(session: &str) -> &'static str {
+/// The script's mark for writes that are acknowledged by the primary alone.
+fn durability_suffix(session: &str) -> &'static str {
     match session {
         "quick" => " fast",
         _ => "",
--- a/src/schedule/mod.rs
+++ b/src/schedule/mod.rs
@@ -1,8 +1,8 @@
-//! Random schedules of callers and faults over the fakes, from a seed, and a check of what
-//! callers were told against what is left.
+//! Runs random schedules of requests and faults from a seed over the fakes, and checks the answers that
+//! callers got against the final log.
 //!
-//! A schedule is a script in the language of [`script`](crate::standin::fake::script), so that
-//! a failing seed can be read, shortened and kept as a scenario.
+//! A schedule is a script in the language of [`script`](crate::standin::fake::script), so a failing seed
+//! can be read, shortened and kept as a scenario.
 
 mod check;
 pub mod direct;
@@ -11,30 +11,30 @@
 use crate::standin::fake::script::{Player, Unclear};
 use std::fmt;
 
-/// How many steps a schedule has before everything is mended.
+/// Number of random steps before all faults end.
 const STEPS: usize = 80;
 
-/// What came of one seed.
+/// The result of one seed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// What was played.
+    /// The lines that were played.
     pub script: Vec<Box<str>>,
-    /// How many requests were done, not run, and of unknown outcome.
+    /// The number of requests by outcome.
     pub told: Told,
-    /// Properties that were broken.
+    /// Descriptions of the broken properties.
     pub broken: Vec<Box<str>>,
 }
 
-/// Requests by what their callers were told.
+/// Numbers of requests by the outcome that their callers got.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Told {
-    /// Answered.
+    /// Done and answered.
     pub done: usize,
-    /// Told that nothing was run.
+    /// Refused before anything was run.
     pub not_run: usize,
-    /// Told that the outcome is unknown, or cut off.
+    /// Answered with an unknown outcome, or cut off.
     pub unknown: usize,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Why a schedule can't be played.
+/// The reason that a schedule can't be played.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The fakes could not be set up.
@@ -68,22 +68,24 @@
     Step(#[from] Unclear),
 }
 
-/// Plays the schedule of `seed`.
+/// Plays the schedule of `seed` and checks it.
+///
+/// Fails if the fakes cannot be set up, or if a drawn line is not in the script language.
 pub fn play(seed: u64) -> Result<Report, Error> {
-    let mut draw = draw::Draw::new(seed);
+    let mut generator = draw::Generator::new(seed);
     let mut player = Player::new(draw::VMS).ok_or(Error::Setup)?;
     let mut script = Vec::new();
     for _ in 0..STEPS {
-        for line in draw.steps(player.system()) {
+        for line in generator.steps(player.system()) {
             player.play(&line)?;
             script.push(line.into());
         }
     }
-    for line in draw::MEND {
+    for line in draw::REPAIR {
         player.play(line)?;
         script.push((*line).into());
     }
-    for line in draw.last_calls() {
+    for line in generator.final_requests() {
         player.play(&line)?;
         script.push(line.into());
     }
