--- a/src/cmd/schedules.rs
+++ b/src/cmd/schedules.rs
@@ -75,24 +75,24 @@
         return direct(args);
     }
     let begun = Instant::now();
-    let (mut played, mut failed, mut told) = (0, 0, schedule::Told::default());
+    let (mut played, mut failed, mut outcomes) = (0, 0, schedule::Outcomes::default());
     for seed in args.seeds {
         let report = schedule::play(seed).map_err(Error::failed)?;
         played += 1;
-        told.done += report.told.done;
-        told.not_run += report.told.not_run;
-        told.unknown += report.told.unknown;
+        outcomes.done += report.outcomes.done;
+        outcomes.not_run += report.outcomes.not_run;
+        outcomes.unknown += report.outcomes.unknown;
         let fails = !report.broken.is_empty();
         failed += u64::from(fails);
         if fails || args.script {
             show(&report, &report.script);
         }
     }
-    let schedule::Told {
+    let schedule::Outcomes {
         done,
         not_run,
         unknown,
-    } = told;
+    } = outcomes;
     println!(
         "{played} seeds, {failed} failed; requests: {done} done, {not_run} not run, \
          {unknown} unknown; {:.1} s",
@@ -109,7 +109,7 @@
     for seed in args.seeds {
         let report = schedule::direct::play(seed, args.variant).map_err(Error::failed)?;
         played += 1;
-        done += report.told.done;
+        done += report.outcomes.done;
         let fails = !report.broken.is_empty();
         failed += u64::from(fails);
         if fails || args.script {
--- a/src/schedule/check.rs
+++ b/src/schedule/check.rs
@@ -1,14 +1,14 @@
 //! Checks the properties that must hold after a schedule, from the answers that callers got and from the
 //! final log.
 
-use super::Told;
+use super::Outcomes;
 use crate::clock::{Span, Time};
 use crate::core::request::{Cause, Outcome};
 use crate::standin::fake::{Answer, System, Ticket};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Checks a system whose faults were ended and that had time to recover.
-pub(super) fn check(system: &System) -> (Told, Vec<Box<str>>) {
+pub(super) fn check(system: &System) -> (Outcomes, Vec<Box<str>>) {
     let mut history = History::new(system);
     history.check_answers();
     history.check_writes();
@@ -21,7 +21,7 @@
 
 struct History<'a> {
     system: &'a System,
-    outcomes: Told,
+    outcomes: Outcomes,
     broken: Vec<Box<str>>,
     /// How many rows of the final log hold each pair of key and value.
     remaining: BTreeMap<(&'a str, &'a str), usize>,
@@ -37,7 +37,7 @@
         }
         Self {
             system,
-            outcomes: Told::default(),
+            outcomes: Outcomes::default(),
             broken: system.wrong.clone(),
             remaining,
             executed: system.ran().map(|row| (&*row.key, &*row.value)).collect(),
--- a/src/schedule/direct.rs
+++ b/src/schedule/direct.rs
@@ -66,14 +66,14 @@
     /// Faults, promotion orders and changes of primary, each with its milliseconds since the start.
     pub script: Vec<Box<str>>,
     /// The number of statements by outcome.
-    pub told: Count,
+    pub outcomes: Count,
     /// Descriptions of the broken properties.
     pub broken: Vec<Box<str>>,
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "seed {}: {}", self.seed, self.told)?;
+        write!(f, "seed {}: {}", self.seed, self.outcomes)?;
         for broken in &self.broken {
             write!(f, "\n  BROKEN: {broken}")?;
         }
@@ -150,7 +150,7 @@
     Ok(Report {
         seed,
         script: script.collect(),
-        told: report.told,
+        outcomes: report.told,
         broken: report.broken,
     })
 }
--- a/src/schedule/mod.rs
+++ b/src/schedule/mod.rs
@@ -22,14 +22,14 @@
     /// The lines that were played.
     pub script: Vec<Box<str>>,
     /// The number of requests by outcome.
-    pub told: Told,
+    pub outcomes: Outcomes,
     /// Descriptions of the broken properties.
     pub broken: Vec<Box<str>>,
 }
 
 /// Numbers of requests by the outcome that their callers got.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct Outcomes {
     /// Done and answered.
     pub done: usize,
     /// Refused before anything was run.
@@ -40,11 +40,11 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Told {
+        let Outcomes {
             done,
             not_run,
             unknown,
-        } = self.told;
+        } = self.outcomes;
         write!(
             f,
             "seed {}: {done} done, {not_run} not run, {unknown} unknown",
@@ -89,11 +89,11 @@
         player.play(&line)?;
         script.push(line.into());
     }
-    let (told, broken) = check::check(player.system());
+    let (outcomes, broken) = check::check(player.system());
     Ok(Report {
         seed,
         script,
-        told,
+        outcomes,
         broken,
     })
 }
--- a/tests/direct_random.rs
+++ b/tests/direct_random.rs
@@ -13,7 +13,7 @@
         "{report}\n{}",
         report.script.join("\n")
     );
-    assert!(report.told.done > 0, "{report}");
+    assert!(report.outcomes.done > 0, "{report}");
 }
 
 /// Callers of all kinds call on two to four VMs while databases, VMs, the store and the network
