--- a/src/soak/gap.rs
+++ b/src/soak/gap.rs
@@ -1,9 +1,9 @@
-//! For how long groups were without an acknowledged write, by kind of trouble.
+//! Measures how long groups were without an acknowledged write, by kind of trouble.
 
 use crate::direct::control::rows::lead_row;
 use crate::soak::report::{Gap, Split};
-use crate::soak::story::{Story, Struck};
-use crate::soak::tally::{SETTLES, histogram};
+use crate::soak::story::{History, Incident};
+use crate::soak::tally::{SETTLE_TIME, histogram};
 use crate::standin::direct::journal::{Ordered, Reign, Run};
 use crate::standin::direct::said::Said;
 use crate::types::GroupId;
@@ -12,23 +12,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after a trouble its gaps are looked at.
-const AFTER: Duration = Duration::from_secs(25);
+/// Time after a trouble until its gaps are measured.
+const MEASURE_DELAY: Duration = Duration::from_secs(25);
 
-/// What gaps between troubles are counted as.
+/// The kind under which gaps without a trouble are counted.
 const CALM: &str = "(calm)";
 
-/// What happened in a group.
+/// The times of the events of a group.
 #[derive(Debug, Default)]
-struct Course {
-    /// When writes were acknowledged.
+struct Timeline {
+    /// Acknowledged writes.
     writes: BTreeSet<Instant>,
-    /// When the lead's row was written.
+    /// Writes of the row that records the group's lead.
     rows: BTreeSet<Instant>,
-    /// When a promotion was ordered.
+    /// Promotion orders.
     orders: BTreeSet<Instant>,
-    /// When a primary took over.
-    reigns: BTreeSet<Instant>,
+    /// Changes of primary.
+    takeovers: BTreeSet<Instant>,
 }
 
 /// The gaps of one kind of trouble.
@@ -37,23 +37,23 @@
     alone: Histogram<u64>,
     together: Histogram<u64>,
     parts: [Histogram<u64>; 4],
-    /// The longest gap, its group, and since when.
+    /// The longest gap, its group and its begin.
     worst: (Duration, GroupId, Instant),
 }
 
-/// The gaps.
+/// Collects the events of all groups and the gaps found in them.
 #[derive(Debug)]
 pub struct Gaps {
     started: Instant,
-    groups: BTreeMap<GroupId, Course>,
+    groups: BTreeMap<GroupId, Timeline>,
     rows: BTreeMap<Box<str>, Row>,
     calms: BTreeSet<Instant>,
 }
 
 impl Gaps {
-    /// Nothing noted yet.
+    /// Creates one without events or gaps.
     pub fn new(groups: Vec<GroupId>, started: Instant) -> Self {
-        let groups = groups.into_iter().map(|group| (group, Course::default()));
+        let groups = groups.into_iter().map(|group| (group, Timeline::default()));
         Self {
             started,
             groups: groups.collect(),
@@ -62,77 +62,77 @@
         }
     }
 
-    /// Notes acknowledged writes.
-    pub fn acknowledged(&mut self, said: &[Said], runs: &[Run]) {
+    /// Records acknowledged writes.
+    pub fn record_writes(&mut self, statements: &[Said], runs: &[Run]) {
         let writes = runs.iter().filter(|run| run.commit.is_some());
         let writes: BTreeMap<&str, &Run> = writes.map(|run| (&*run.signature, run)).collect();
-        for said in said {
-            let run = said.signature().and_then(|s| writes.get(s));
-            if let (Some(run), Some(at)) = (run, said.acknowledged()) {
-                self.course(&run.group).writes.insert(at);
+        for statement in statements {
+            let run = statement.signature().and_then(|s| writes.get(s));
+            if let (Some(run), Some(at)) = (run, statement.acknowledged()) {
+                self.timeline(&run.group).writes.insert(at);
             }
         }
     }
 
-    /// Notes an order.
-    pub fn ordered(&mut self, order: &Ordered) {
-        self.course(&order.group).orders.insert(order.at);
+    /// Records a promotion order.
+    pub fn record_order(&mut self, order: &Ordered) {
+        self.timeline(&order.group).orders.insert(order.at);
     }
 
-    /// Notes that a primary took over.
-    pub fn reigns(&mut self, reign: &Reign) {
-        self.course(&reign.group).reigns.insert(reign.at);
+    /// Records a change of primary.
+    pub fn record_takeover(&mut self, reign: &Reign) {
+        self.timeline(&reign.group).takeovers.insert(reign.at);
     }
 
-    /// Notes that a lead's row was written.
-    pub fn written(&mut self, at: Instant, key: &str) {
-        for (group, course) in &mut self.groups {
+    /// Records a write to the store, if `key` is that of a group's lead row.
+    pub fn record_row(&mut self, at: Instant, key: &str) {
+        for (group, timeline) in &mut self.groups {
             if &*lead_row(group).key == key {
-                course.rows.insert(at);
+                timeline.rows.insert(at);
             }
         }
     }
 
-    fn course(&mut self, group: &GroupId) -> &mut Course {
+    fn timeline(&mut self, group: &GroupId) -> &mut Timeline {
         self.groups.entry(group.clone()).or_default()
     }
 
-    /// Counts the gaps of all troubles and calms that are over for long enough.
-    pub fn count(&mut self, story: &mut Story, settled: Instant, last: bool) {
-        let all = story.struck.clone();
-        for struck in &mut story.struck {
-            if struck.counted || !(last || struck.end + AFTER < settled) {
+    /// Counts the gaps of all troubles and calms that ended long enough ago, or of all when `last` is set.
+    pub fn count(&mut self, history: &mut History, settled: Instant, last: bool) {
+        let all = history.incidents.clone();
+        for incident in &mut history.incidents {
+            if incident.counted || !(last || incident.end + MEASURE_DELAY < settled) {
                 continue;
             }
-            struck.counted = true;
-            let alone = !all.iter().any(|other| overlaps(struck, other));
-            for group in &struck.groups {
-                self.note(
-                    &struck.kind,
+            incident.counted = true;
+            let alone = !all.iter().any(|other| overlaps(incident, other));
+            for group in &incident.groups {
+                self.record_gap(
+                    &incident.kind,
                     alone,
                     group,
-                    struck.begin,
-                    struck.end,
+                    incident.begin,
+                    incident.end,
                     settled,
                 );
             }
         }
-        for calm in &story.calms {
+        for calm in &history.calms {
             let Some(end) = calm.end.filter(|end| last || *end < settled) else {
                 continue;
             };
-            let begin = calm.begin + SETTLES;
+            let begin = calm.begin + SETTLE_TIME;
             if begin < end && self.calms.insert(calm.begin) {
                 let groups: Vec<_> = self.groups.keys().cloned().collect();
                 for group in groups {
-                    self.note(CALM, true, &group, begin, end, settled);
+                    self.record_gap(CALM, true, &group, begin, end, settled);
                 }
             }
         }
     }
 
-    /// Counts the longest gap of a group that is not over before a while begins.
-    fn note(
+    /// Counts the longest gap of a group that ends after `begin`.
+    fn record_gap(
         &mut self,
         kind: &str,
         alone: bool,
@@ -141,8 +141,8 @@
         end: Instant,
         settled: Instant,
     ) {
-        let course = self.groups.entry(group.clone()).or_default();
-        let Some((from, to)) = course.gap(begin, end, kind == CALM, settled) else {
+        let timeline = self.groups.entry(group.clone()).or_default();
+        let Some((from, to)) = timeline.gap(begin, end, kind == CALM, settled) else {
             return;
         };
         let row = self.rows.entry(kind.into()).or_insert_with(|| Row {
@@ -159,21 +159,21 @@
             true => row.alone.saturating_record(gap),
             false => row.together.saturating_record(gap),
         }
-        if let Some(parts) = course.parts(from, to) {
+        if let Some(parts) = timeline.parts(from, to) {
             for (histogram, part) in row.parts.iter_mut().zip(parts) {
                 histogram.saturating_record(part.as_millis() as u64);
             }
         }
     }
 
-    /// Forgets what was before a moment.
+    /// Discards events before the given time.
     pub fn forget(&mut self, before: Instant) {
-        for course in self.groups.values_mut() {
+        for timeline in self.groups.values_mut() {
             for moments in [
-                &mut course.writes,
-                &mut course.rows,
-                &mut course.orders,
-                &mut course.reigns,
+                &mut timeline.writes,
+                &mut timeline.rows,
+                &mut timeline.orders,
+                &mut timeline.takeovers,
             ] {
                 *moments = moments.split_off(&before);
             }
@@ -181,7 +181,7 @@
         self.calms = self.calms.split_off(&(before - Duration::from_secs(1)));
     }
 
-    /// The gaps for the report.
+    /// Returns the gaps for the report.
     pub fn rows(&self) -> BTreeMap<Box<str>, Gap> {
         let rows = self.rows.iter().map(|(kind, row)| {
             let median = |histogram: &Histogram<u64>| histogram.value_at_quantile(0.5);
@@ -209,9 +209,9 @@
     }
 }
 
-impl Course {
-    /// The longest gap between two writes that overlaps a while, or that ends within it: a gap that goes
-    /// on beyond a calm is that of the trouble which ended it.
+impl Timeline {
+    /// The longest gap between two writes that overlaps an interval. With `within`, for calms, it must also
+    /// end in the interval: a gap that goes on after a calm belongs to the trouble that ended the calm.
     fn gap(
         &self,
         begin: Instant,
@@ -236,20 +236,20 @@
         Some(longest)
     }
 
-    /// A gap's parts, if a primary took over in it: until the change was written down, until a
-    /// promotion was ordered, until it took effect, and until a write was acknowledged.
+    /// The parts of a gap with a change of primary: until the lead's row was written, until the promotion
+    /// was ordered, until it took effect, and until a write was acknowledged.
     fn parts(&self, from: Instant, to: Instant) -> Option<[Duration; 4]> {
-        let reign = *self.reigns.range(from..to).next_back()?;
+        let reign = *self.takeovers.range(from..to).next_back()?;
         let order = *self.orders.range(from..reign).next_back()?;
         let row = *self.rows.range(from..=order).next()?;
         Some([row - from, order - row, reign - order, to - reign])
     }
 }
 
-/// Whether another trouble hit one of the same groups meanwhile.
-fn overlaps(struck: &Struck, other: &Struck) -> bool {
-    let same = struck.begin == other.begin && struck.kind == other.kind;
-    let meanwhile = other.begin < struck.end && struck.begin < other.end;
-    let mut groups = struck.groups.iter();
-    !same && meanwhile && groups.any(|group| other.groups.contains(group))
+/// Whether another trouble affected one of the same groups at the same time.
+fn overlaps(incident: &Incident, other: &Incident) -> bool {
+    let is_same = incident.begin == other.begin && incident.kind == other.kind;
+    let overlap = other.begin < incident.end && incident.begin < other.end;
+    let mut groups = incident.groups.iter();
+    !is_same && overlap && groups.any(|group| other.groups.contains(group))
 }
--- a/src/soak/judge.rs
+++ b/src/soak/judge.rs
@@ -1,10 +1,10 @@
-//! Judges what callers were told, a window at a time, and forgets it.
+//! Checks the answers that callers got, one window at a time, and then discards them.
 
 use crate::direct::control::rows::TABLE;
 use crate::soak::Plan;
 use crate::soak::gap::Gaps;
 use crate::soak::report::{Broken, Report};
-use crate::soak::story::{Story, all_groups};
+use crate::soak::story::{History, all_groups};
 use crate::soak::tally::Tally;
 use crate::standin::direct::check::{Routes, compare_on};
 use crate::standin::direct::host;
@@ -17,29 +17,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How old an operation is when it is judged: all that a database may still do for it is done, as
-/// no connection outlives a trouble by that much.
-const SETTLED: Duration = Duration::from_secs(45);
+/// Age at which an operation is checked. By then no database works on it any more, as no connection
+/// outlives a trouble by that much.
+const SETTLED_AGE: Duration = Duration::from_secs(45);
 
-/// How long commits are remembered.
-const COMMITS: Duration = Duration::from_secs(120);
+/// Time for which commits are kept.
+const COMMIT_RETENTION: Duration = Duration::from_secs(120);
 
-/// How long the store remembers, as the platform's does.
-const HISTORY: Duration = Duration::from_secs(20);
+/// Time for which the store keeps its history, as the platform's store does.
+const STORE_RETENTION: Duration = Duration::from_secs(20);
 
-/// How much later than its route's time a statement may be answered.
-const LATE: Duration = Duration::from_millis(500);
+/// Margin over its route's timeout within which a statement must be answered.
+const ANSWER_MARGIN: Duration = Duration::from_millis(500);
 
-/// How long after a trouble a VM that it hit may answer late.
-const AFTERMATH: Duration = Duration::from_secs(2);
+/// Time after a trouble in which a VM affected by it may answer late.
+const RECOVERY_MARGIN: Duration = Duration::from_secs(2);
 
-/// How many broken properties are kept in full.
-const KEPT: usize = 20;
+/// Largest number of broken properties whose texts are kept.
+const MAX_BROKEN: usize = 20;
 
-/// How many configurations are kept.
-const CONFIGS: usize = 8;
+/// Largest number of configurations kept.
+const MAX_CONFIGS: usize = 8;
 
-/// The judge.
+/// Checks the operations of a soak and collects its report.
 #[derive(Debug)]
 pub struct Judge {
     started: Instant,
@@ -55,7 +55,7 @@
 }
 
 impl Judge {
-    /// One that has seen nothing yet.
+    /// Creates one for a world that has just started.
     pub fn new(world: &Rc<World>, plan: &Plan, started: Instant) -> Self {
         let manners = &world.setup.manners;
         let timeouts = manners.iter().map(|m| (m.name.clone(), m.timeout.into()));
@@ -73,77 +73,95 @@
         }
     }
 
-    /// Judges all operations that are old enough, or all that there are.
-    pub fn window(&mut self, world: &Rc<World>, record: &Record, story: &mut Story, last: bool) {
+    /// Checks all operations that are old enough, or all operations when `last` is set.
+    pub fn check_window(
+        &mut self,
+        world: &Rc<World>,
+        record: &Record,
+        history: &mut History,
+        last: bool,
+    ) {
         let now = Instant::now();
         let settled = match last {
             true => now,
-            false => now.checked_sub(SETTLED).unwrap_or(self.started),
+            false => now.checked_sub(SETTLED_AGE).unwrap_or(self.started),
         };
-        self.listen(world, story, now);
-        let said = record.borrow_mut().take(settled);
-        let mut book = world.journal.borrow_mut();
-        let rest = self.part(&mut book, &said, record, settled);
+        self.record_events(world, history, now);
+        let statements = record.borrow_mut().take(settled);
+        let mut journal = world.journal.borrow_mut();
+        let rest = self.take_settled_runs(&mut journal, &statements, record, settled);
         let routes = routes(world);
-        let report = compare_on(&mut self.known, &book, &routes, self.started, &said);
+        let report = compare_on(
+            &mut self.known,
+            &journal,
+            &routes,
+            self.started,
+            &statements,
+        );
         for text in report.broken {
-            self.breaks(settled, text, story);
+            self.add_broken(settled, text, history);
         }
-        self.late(&said, story);
-        self.tally.count(&said, &book.runs, story);
-        self.gaps.acknowledged(&said, &book.runs);
-        book.runs = rest;
-        // Orders were judged, and noted as events.
-        book.orders.clear();
-        book.reigns.clear();
-        book.openings.clear();
-        book.forget(now.checked_sub(COMMITS).unwrap_or(self.started));
-        drop(book);
-        for (at, text) in std::mem::take(&mut story.found) {
-            self.breaks(at, text, story);
+        self.check_answer_times(&statements, history);
+        self.tally.count(&statements, &journal.runs, history);
+        self.gaps.record_writes(&statements, &journal.runs);
+        journal.runs = rest;
+        // Orders were checked above and recorded as events.
+        journal.orders.clear();
+        journal.reigns.clear();
+        journal.openings.clear();
+        journal.forget(now.checked_sub(COMMIT_RETENTION).unwrap_or(self.started));
+        drop(journal);
+        for (at, text) in std::mem::take(&mut history.broken) {
+            self.add_broken(at, text, history);
         }
         let panics = host::panics();
         if panics > self.panics {
             let text = format!("{} tasks panicked", panics - self.panics);
-            self.breaks(now, text.into(), story);
+            self.add_broken(now, text.into(), history);
             self.panics = panics;
         }
-        for text in self.tally.unserved(story, settled, last) {
-            self.breaks(settled, text, story);
+        for text in self.tally.unserved(history, settled, last) {
+            self.add_broken(settled, text, history);
         }
-        self.gaps.count(story, settled, last);
-        self.forget(world, story, now, settled);
+        self.gaps.count(history, settled, last);
+        self.forget(world, history, now, settled);
     }
 
-    /// Puts the runs of what is judged into the book, and gives the others.
-    fn part(&self, book: &mut Book, said: &[Said], record: &Record, settled: Instant) -> Vec<Run> {
-        let ids: BTreeSet<&str> = said.iter().map(|said| &*said.id).collect();
+    /// Leaves the runs of the statements being checked in the journal and returns the others.
+    fn take_settled_runs(
+        &self,
+        journal: &mut Book,
+        statements: &[Said],
+        record: &Record,
+        settled: Instant,
+    ) -> Vec<Run> {
+        let ids: BTreeSet<&str> = statements.iter().map(|statement| &*statement.id).collect();
         let mut record = record.borrow_mut();
-        let mut is_asked = |run: &Run| {
+        let mut is_pending = |run: &Run| {
             let number = run.id.strip_prefix('q').and_then(|text| text.parse().ok());
             number.is_some_and(|number| record.find(number).is_some())
         };
-        let runs = std::mem::take(&mut book.runs);
-        let (part, rest) = runs.into_iter().partition(|run| {
-            // Nobody asked for it, or it ran long after its caller was judged.
-            ids.contains(&*run.id) || (run.at < settled && !is_asked(run))
+        let runs = std::mem::take(&mut journal.runs);
+        let (settled_runs, rest) = runs.into_iter().partition(|run| {
+            // It belongs to no statement of a caller, or ran long after its statement was checked.
+            ids.contains(&*run.id) || (run.at < settled && !is_pending(run))
         });
-        book.runs = part;
+        journal.runs = settled_runs;
         rest
     }
 
-    /// Notes what was ordered, who came to lead, and what was written about that.
-    fn listen(&mut self, world: &World, story: &mut Story, now: Instant) {
-        let book = world.journal.borrow();
-        for order in &book.orders {
+    /// Records promotion orders, changes of primary and writes of the lead rows.
+    fn record_events(&mut self, world: &World, history: &mut History, now: Instant) {
+        let journal = world.journal.borrow();
+        for order in &journal.orders {
             let (holder, token, database) = (&order.holder, order.token, &order.database);
             let text = format!("{holder} orders {database} to lead, token {token}");
-            story.event(order.at, text);
-            self.gaps.ordered(order);
+            history.event(order.at, text);
+            self.gaps.record_order(order);
         }
-        for reign in &book.reigns {
-            story.event(reign.at, format!("{} leads", reign.database));
-            self.gaps.reigns(reign);
+        for reign in &journal.reigns {
+            history.event(reign.at, format!("{} leads", reign.database));
+            self.gaps.record_takeover(reign);
         }
         for written in world.store.since(self.last) {
             for row in written.rows.iter().filter(|row| &*row.id.table == TABLE) {
@@ -151,20 +169,20 @@
                 if row.id.key.starts_with("lead.") {
                     let value = row.value.as_deref().unwrap_or_default();
                     let value = String::from_utf8_lossy(value);
-                    story.event(written.at, format!("{by} writes {} {value}", row.id.key));
-                    self.gaps.written(written.at, &row.id.key);
+                    history.event(written.at, format!("{by} writes {} {value}", row.id.key));
+                    self.gaps.record_row(written.at, &row.id.key);
                 }
             }
         }
         self.last = now;
     }
 
-    fn breaks(&mut self, at: Instant, text: Box<str>, story: &Story) {
+    fn add_broken(&mut self, at: Instant, text: Box<str>, history: &History) {
         if self.count == 0 {
-            self.events = story.events(self.started);
+            self.events = history.events(self.started);
         }
         self.count += 1;
-        if self.broken.len() < KEPT {
+        if self.broken.len() < MAX_BROKEN {
             let at = at.duration_since(self.started).as_millis() as u64;
             self.broken.push(Broken {
                 judged_ms: at,
@@ -173,24 +191,27 @@
         }
     }
 
-    /// Every statement is answered about when its route's time is over, by a VM that nothing hit.
-    fn late(&mut self, said: &[Said], story: &Story) {
-        let late = said.iter().filter(|said| {
-            let kind = said.route.trim_end_matches(|c: char| c.is_ascii_digit());
+    /// Every statement ends within its route's timeout and a margin, unless a trouble affected its VM.
+    fn check_answer_times(&mut self, statements: &[Said], history: &History) {
+        let late = statements.iter().filter(|statement| {
+            let kind = statement
+                .route
+                .trim_end_matches(|c: char| c.is_ascii_digit());
             let Some(timeout) = self.timeouts.get(kind) else {
                 return false;
             };
-            let answered = said.told.as_ref().map(|(at, _)| *at);
-            let Some(ended) = answered.or(said.broke) else {
+            let answered = statement.told.as_ref().map(|(at, _)| *at);
+            let Some(ended) = answered.or(statement.broke) else {
                 return false;
             };
-            let hit = story.has_hit(&said.vm, said.sent - AFTERMATH, ended);
-            ended - said.sent > *timeout + LATE && !hit
+            let affected =
+                history.is_affected(&statement.vm, statement.sent - RECOVERY_MARGIN, ended);
+            ended - statement.sent > *timeout + ANSWER_MARGIN && !affected
         });
         let texts: Vec<_> = late
-            .map(|said| {
+            .map(|statement| {
                 let at = |moment: Instant| (moment - self.started).as_millis();
-                let told = said
+                let told = statement
                     .told
                     .as_ref()
                     .map(|(when, answer)| (at(*when), &answer.end));
@@ -200,35 +221,35 @@
                     vm,
                     route,
                     ..
-                } = said;
-                let (sent, since) = (at(said.sent), at(said.since));
-                let broke = said.broke.map(at);
+                } = statement;
+                let (sent, since) = (at(statement.sent), at(statement.since));
+                let broke = statement.broke.map(at);
                 let text = format!(
                     "answered late or never: {id} `{text}` at {vm} on {route}, begun at {since}, \
                      sent at {sent}, told {told:?}, ended {broke:?}"
                 );
-                (said.sent, text)
+                (statement.sent, text)
             })
             .collect();
         for (at, text) in texts {
-            self.breaks(at, text.into(), story);
+            self.add_broken(at, text.into(), history);
         }
     }
 
-    fn forget(&mut self, world: &World, story: &mut Story, now: Instant, settled: Instant) {
+    fn forget(&mut self, world: &World, history: &mut History, now: Instant, settled: Instant) {
         let before = |span| settled.checked_sub(span).unwrap_or(self.started);
-        self.known.forget(before(SETTLED));
-        self.gaps.forget(before(COMMITS));
-        story.forget(before(COMMITS));
-        let history = now.checked_sub(HISTORY).unwrap_or(self.started);
-        world.store.forget_before(history);
+        self.known.forget(before(SETTLED_AGE));
+        self.gaps.forget(before(COMMIT_RETENTION));
+        history.forget(before(COMMIT_RETENTION));
+        let oldest = now.checked_sub(STORE_RETENTION).unwrap_or(self.started);
+        world.store.forget_before(oldest);
         let mut configs = world.configs.borrow_mut();
-        let old = configs.len().saturating_sub(CONFIGS);
+        let old = configs.len().saturating_sub(MAX_CONFIGS);
         configs.drain(..old);
     }
 
-    /// What came of it all.
-    pub fn report(self, plan: &Plan, story: &Story) -> Report {
+    /// Returns the report of the soak.
+    pub fn report(self, plan: &Plan, history: &History) -> Report {
         Report {
             profile: plan.name.clone(),
             seed: plan.seed,
@@ -237,7 +258,7 @@
             groups: plan.profile.groups,
             callers: plan.profile.callers,
             rate: plan.profile.rate,
-            played: story.played.clone(),
+            played: history.played.clone(),
             routes: self.tally.rows(),
             gaps: self.gaps.rows(),
             count: self.count,
--- a/src/soak/kind.rs
+++ b/src/soak/kind.rs
@@ -1,4 +1,4 @@
-//! Kinds of fault by their names, and the drawing of one.
+//! The named kinds of trouble, and how one is drawn.
 
 use crate::clock::Span;
 use crate::standin::direct::fault::Fault;
@@ -12,18 +12,18 @@
 use rand_chacha::ChaCha8Rng;
 use std::rc::Rc;
 
-/// What is played for a while.
+/// A disturbance that is played for a while: a fault, or additional callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Trouble {
-    /// Something fails.
+    /// A fault of the simulated deployment.
     World(Fault),
-    /// So many callers more.
+    /// This number of additional callers.
     Burst(usize),
-    /// So many callers that write in a transaction and leave it open.
+    /// This number of callers that write in a transaction and leave it open.
     Rest(usize),
 }
 
-/// All kinds, by their names.
+/// The names of all kinds, but those of [`CONNECTIONS`].
 pub const KINDS: [&str; 44] = [
     "primary-crash",
     "primary-dark",
@@ -71,50 +71,50 @@
     "callers-rest",
 ];
 
-/// Kinds that hit connections as such.
+/// Kinds that affect connections themselves.
 pub const CONNECTIONS: [&str; 3] = ["connections-reset", "connections-silent", "peers-silent"];
 
-/// Random numbers, by which all is drawn.
+/// The random numbers from which troubles are drawn.
 #[derive(Debug)]
-pub struct Draw(ChaCha8Rng);
+pub struct Generator(ChaCha8Rng);
 
-impl Draw {
-    /// Those of a seed.
+impl Generator {
+    /// Creates the generator of a seed.
     pub fn new(seed: u64) -> Self {
         Self(ChaCha8Rng::seed_from_u64(seed))
     }
 
-    /// A number below a bound.
+    /// Draws a number below `bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.0.next_u64() % bound.max(1)
     }
 
-    /// A span of some milliseconds, from one number up to another.
+    /// Draws a span of `from` to `to` milliseconds, both included.
     pub fn span(&mut self, from: u64, to: u64) -> Span {
         Span::from_millis(from + self.below(to - from + 1))
     }
 
-    /// One of several.
-    pub fn one<T: Clone>(&mut self, from: &[T]) -> Option<T> {
+    /// Draws one of the elements; none if there are none.
+    pub fn choose<T: Clone>(&mut self, from: &[T]) -> Option<T> {
         let index = self.below(from.len() as u64) as usize;
         from.get(index).cloned()
     }
 
-    /// A share of several, one at least, in their order.
-    fn some<T: Clone>(&mut self, from: &[T], percent: u64) -> Vec<T> {
+    /// Draws about `percent` of the elements, in their order, and at least one.
+    fn choose_share<T: Clone>(&mut self, from: &[T], percent: u64) -> Vec<T> {
         let mut chosen: Vec<T> = from
             .iter()
             .filter(|_| self.below(100) < percent)
             .cloned()
             .collect();
         if chosen.is_empty() {
-            chosen.extend(self.one(from));
+            chosen.extend(self.choose(from));
         }
         chosen
     }
 
     fn primary(&mut self, world: &World) -> Option<(Rc<Group>, DatabaseId)> {
-        let group = self.one(&world.groups)?;
+        let group = self.choose(&world.groups)?;
         let leader = group.leader();
         Some((group, leader))
     }
@@ -128,7 +128,7 @@
 
     fn replica(&mut self, world: &World) -> Option<DatabaseId> {
         let replicas = self.replicas(world)?;
-        self.one(&replicas)
+        self.choose(&replicas)
     }
 
     fn database(&mut self, world: &World) -> Option<DatabaseId> {
@@ -138,30 +138,30 @@
         }
     }
 
-    /// Draws a trouble of a kind; none if there is nothing that it could hit.
+    /// Draws a trouble of a kind; none if nothing can be affected by it.
     pub fn trouble(&mut self, world: &World, kind: &str) -> Option<Trouble> {
         let (family, _) = kind.split_once('-')?;
         let fault = match family {
-            "callers" => return Some(self.callers(world, kind)),
-            "primary" => self.of_primary(world, kind)?,
-            "replica" => self.of_replica(world, kind)?,
-            "database" => self.of_database(world, kind)?,
-            "vm" | "steward" => self.of_vm(world, kind)?,
-            "vms" => self.of_vms(world, kind)?,
-            _ => self.of_rest(world, kind)?,
+            "callers" => return Some(self.caller_trouble(world, kind)),
+            "primary" => self.primary_fault(world, kind)?,
+            "replica" => self.replica_fault(world, kind)?,
+            "database" => self.database_fault(world, kind)?,
+            "vm" | "steward" => self.vm_fault(world, kind)?,
+            "vms" => self.vms_fault(world, kind)?,
+            _ => self.other_fault(world, kind)?,
         };
         Some(Trouble::World(fault))
     }
 
-    fn callers(&mut self, world: &World, kind: &str) -> Trouble {
-        let few = world.setup.groups as u64;
+    fn caller_trouble(&mut self, world: &World, kind: &str) -> Trouble {
+        let groups = world.setup.groups as u64;
         match kind {
-            "callers-burst" => Trouble::Burst((20 * few + self.below(60 * few)) as usize),
-            _ => Trouble::Rest((few + self.below(14 * few)) as usize),
+            "callers-burst" => Trouble::Burst((20 * groups + self.below(60 * groups)) as usize),
+            _ => Trouble::Rest((groups + self.below(14 * groups)) as usize),
         }
     }
 
-    fn of_primary(&mut self, world: &World, kind: &str) -> Option<Fault> {
+    fn primary_fault(&mut self, world: &World, kind: &str) -> Option<Fault> {
         let (group, id) = self.primary(world)?;
         let node = Node::Database(id.clone());
         Some(match kind {
@@ -173,7 +173,7 @@
                 Fault::Sever(node, others.map(|member| member.node()).collect())
             }
             "primary-cut-vms" => {
-                let vms = self.some(&world.running(), 45);
+                let vms = self.choose_share(&world.running(), 45);
                 Fault::Sever(node, vms.into_iter().map(Node::Vm).collect())
             }
             "primary-cut-store" => Fault::Cut(node, Node::Store),
@@ -182,7 +182,7 @@
         })
     }
 
-    fn of_replica(&mut self, world: &World, kind: &str) -> Option<Fault> {
+    fn replica_fault(&mut self, world: &World, kind: &str) -> Option<Fault> {
         let id = self.replica(world)?;
         Some(match kind {
             "replica-crash" => Fault::Crash(id),
@@ -193,7 +193,7 @@
         })
     }
 
-    fn of_database(&mut self, world: &World, kind: &str) -> Option<Fault> {
+    fn database_fault(&mut self, world: &World, kind: &str) -> Option<Fault> {
         let id = self.database(world)?;
         Some(match kind {
             "database-slow" => Fault::Slow(id, self.span(20, 400)),
@@ -201,7 +201,7 @@
             "database-loses-answers" => Fault::LoseAnswers(id, 1 + self.below(20) as u32),
             "database-fails" => Fault::Fail(id, 1 + self.below(10) as u32),
             _ => {
-                let vm = self.one(&world.running())?;
+                let vm = self.choose(&world.running())?;
                 Fault::Cut(Node::Vm(vm), Node::Database(id))
             }
         })
@@ -212,11 +212,11 @@
         let last = world.store.last_writer();
         match last.filter(|last| kind.starts_with("steward") && running.contains(last)) {
             Some(last) => Some(last),
-            None => self.one(&running),
+            None => self.choose(&running),
         }
     }
 
-    fn of_vm(&mut self, world: &World, kind: &str) -> Option<Fault> {
+    fn vm_fault(&mut self, world: &World, kind: &str) -> Option<Fault> {
         let vm = self.vm(world, kind)?;
         let node = Node::Vm(vm.clone());
         Some(match kind {
@@ -234,26 +234,26 @@
             "vm-cut-store" | "steward-cut-store" => Fault::Cut(node, Node::Store),
             "vm-cut-orders" => Fault::Cut(node, Node::Orders),
             _ => {
-                let other = self.one(&world.running())?;
+                let other = self.choose(&world.running())?;
                 (other != vm).then_some(Fault::Cut(node, Node::Vm(other)))?
             }
         })
     }
 
-    fn of_vms(&mut self, world: &World, kind: &str) -> Option<Fault> {
+    fn vms_fault(&mut self, world: &World, kind: &str) -> Option<Fault> {
         let running = world.running();
         let chosen = match kind {
-            "vms-roll" => self.some(&running, 25),
-            "vms-some" => self.some(&running, 50),
+            "vms-roll" => self.choose_share(&running, 25),
+            "vms-some" => self.choose_share(&running, 50),
             "vms-all" => running,
             _ => {
                 let regions = world.setup.places.iter().map(|place| place.region).max()?;
                 let region = self.below(regions as u64 + 1) as usize;
-                let is_there = |vm: &VmId| {
+                let is_in_region = |vm: &VmId| {
                     let place = world.domain_of_vm(vm);
                     place.is_some_and(|place| world.setup.region(place) == region)
                 };
-                running.into_iter().filter(is_there).collect()
+                running.into_iter().filter(is_in_region).collect()
             }
         };
         Some(match kind {
@@ -262,14 +262,14 @@
         })
     }
 
-    fn of_rest(&mut self, world: &World, kind: &str) -> Option<Fault> {
+    fn other_fault(&mut self, world: &World, kind: &str) -> Option<Fault> {
         use store::Health::{Refusing, Reset, Silent};
         let health = [Refusing, Silent, Reset][self.below(3) as usize];
         Some(match kind {
             "store-down" => Fault::Store(health, None),
             "store-down-for-some" => {
-                let some = self.some(&world.running(), 33);
-                Fault::Store(health, Some(some.into_iter().collect()))
+                let some_vms = self.choose_share(&world.running(), 33);
+                Fault::Store(health, Some(some_vms.into_iter().collect()))
             }
             "store-slow" => Fault::StoreSlow(self.span(50, 600)),
             "store-loses" => match self.below(2) {
--- a/src/soak/mod.rs
+++ b/src/soak/mod.rs
@@ -1,9 +1,8 @@
-//! One long-lived world of direct access in the shape of a grown deployment, with callers at a
-//! stated rate, in which troubles of all kinds come and go as the seed draws them.
+//! Simulates one long-lived deployment of direct access, of the size of a grown one, with callers at a given
+//! rate, while troubles of all kinds, drawn from a seed, begin and end.
 //!
-//! What callers were told is judged in windows ([`judge`]): operations that are old enough are
-//! taken out, compared with what the databases ran, counted, and forgotten, so that they need no
-//! more memory in hours than in minutes.
+//! Answers are checked in windows ([`judge`]): operations that are old enough are removed, compared with
+//! what the databases ran, counted and discarded, so that memory does not grow with the length of a soak.
 
 pub mod gap;
 pub mod judge;
@@ -17,11 +16,11 @@
 
 use crate::clock::Span;
 use crate::soak::judge::Judge;
-use crate::soak::kind::Draw;
+use crate::soak::kind::Generator;
 use crate::soak::player::Player;
 use crate::soak::profile::Profile;
 use crate::soak::report::Report;
-use crate::soak::story::Story;
+use crate::soak::story::History;
 use crate::standin::direct::host;
 use crate::standin::direct::program::program;
 use crate::standin::direct::said::Record;
@@ -32,44 +31,44 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// How long the VMs have to start.
-const WARM: Duration = Duration::from_secs(8);
+/// Time for the VMs to start.
+const STARTUP_TIME: Duration = Duration::from_secs(8);
 
-/// How often a window is judged.
-const WINDOW: Duration = Duration::from_secs(5);
+/// Interval between the checks of two windows.
+const WINDOW_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long what is under way takes to end, once callers have stopped.
-const ENDING: Duration = Duration::from_secs(12);
+/// Time for statements in progress to end, once callers have stopped.
+const DRAIN_TIME: Duration = Duration::from_secs(12);
 
-/// What a soak is to play.
+/// The parameters of a soak.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// What the profile is called.
+    /// The name of the profile.
     pub name: Box<str>,
-    /// The world's shape.
+    /// The size and shape of the deployment.
     pub profile: Profile,
     /// The kinds of trouble, of [`kind::KINDS`] and [`kind::CONNECTIONS`].
     pub kinds: Vec<Box<str>>,
-    /// How long calms between troubles last, half of it to one and a half.
+    /// The average calm between troubles; each lasts half to one and a half of it.
     pub calm: Span,
-    /// How long troubles are played.
+    /// The time in which troubles are played.
     pub length: Span,
-    /// From which all is drawn.
+    /// The seed of all random numbers.
     pub seed: u64,
 }
 
-/// Why a soak was not played.
+/// The reason that a soak was not played.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The world can't be made.
+    /// The profile gives no valid deployment.
     #[error("the world can't be made: {0}: correct the profile")]
     Setup(#[from] Invalid),
-    /// No runtime.
+    /// The runtime for virtual time could not be created.
     #[error("no runtime for virtual time: {0}")]
     Runtime(#[from] std::io::Error),
 }
 
-/// Plays a soak.
+/// Plays a soak and returns its report.
 pub fn play(plan: Plan) -> Result<Report, Error> {
     host::play(run(Rc::new(plan)))?
 }
@@ -78,28 +77,28 @@
     let started = Instant::now();
     let world = World::start(plan.profile.setup(), program())?;
     let record = Record::default();
-    let story = Rc::new(RefCell::new(Story::default()));
-    let begun = started + WARM;
+    let history = Rc::new(RefCell::new(History::default()));
+    let begun = started + STARTUP_TIME;
     sleep_until(begun).await;
-    let over = begun + plan.length.into();
-    people::call(&world, &record, &plan, plan.seed, over);
+    let end = begun + plan.length.into();
+    people::spawn_callers(&world, &record, &plan, plan.seed, end);
     let player = Player {
         world: world.clone(),
         record: record.clone(),
-        story: story.clone(),
+        history: history.clone(),
         plan: plan.clone(),
-        draw: Draw::new(plan.seed),
+        generator: Generator::new(plan.seed),
     };
-    tokio::task::spawn_local(player.run(over));
+    tokio::task::spawn_local(player.run(end));
     let mut judge = Judge::new(&world, &plan, started);
-    let mut next = begun + WINDOW;
-    while next < over + ENDING {
+    let mut next = begun + WINDOW_INTERVAL;
+    while next < end + DRAIN_TIME {
         sleep_until(next).await;
-        judge.window(&world, &record, &mut story.borrow_mut(), false);
-        next += WINDOW;
+        judge.check_window(&world, &record, &mut history.borrow_mut(), false);
+        next += WINDOW_INTERVAL;
     }
-    sleep_until(over + ENDING).await;
-    judge.window(&world, &record, &mut story.borrow_mut(), true);
-    let story = story.borrow();
-    Ok(judge.report(&plan, &story))
+    sleep_until(end + DRAIN_TIME).await;
+    judge.check_window(&world, &record, &mut history.borrow_mut(), true);
+    let history = history.borrow();
+    Ok(judge.report(&plan, &history))
 }
--- a/src/soak/people.rs
+++ b/src/soak/people.rs
@@ -9,24 +9,24 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// How long steady writers pause at most.
-const STEADY: Duration = Duration::from_millis(80);
+/// Longest pause of a steady writer.
+const WRITER_MAX_PAUSE: Duration = Duration::from_millis(80);
 
-/// The callers that are there all along.
-pub fn call(world: &Rc<World>, record: &Record, plan: &Plan, seed: u64, until: Instant) {
-    spawn(world, record, plan, plan.profile.callers, seed, until);
+/// Spawns the callers that run for the whole soak, and the steady writers.
+pub fn spawn_callers(world: &Rc<World>, record: &Record, plan: &Plan, seed: u64, until: Instant) {
+    spawn_by_kind(world, record, plan, plan.profile.callers, seed, until);
     for number in 0..plan.profile.writers * world.setup.groups {
         let route = format!("{WRITER}{}", number % world.setup.groups);
         let domain = number / world.setup.groups % world.setup.places.len();
         let seed = !seed.wrapping_add(number as u64);
-        let mut caller = Caller::new(world, record, domain, &route, seed, STEADY);
+        let mut caller = Caller::new(world, record, domain, &route, seed, WRITER_MAX_PAUSE);
         caller.writes = 12;
         tokio::task::spawn_local(caller.run(until));
     }
 }
 
-/// Callers that come at once, and leave together.
-pub fn burst(
+/// Spawns additional callers, which all end at `until`.
+pub fn spawn_burst(
     world: &Rc<World>,
     record: &Record,
     plan: &Plan,
@@ -34,16 +34,23 @@
     seed: u64,
     until: Instant,
 ) {
-    spawn(world, record, plan, count, seed, until);
+    spawn_by_kind(world, record, plan, count, seed, until);
 }
 
-fn spawn(world: &Rc<World>, record: &Record, plan: &Plan, count: usize, seed: u64, until: Instant) {
+fn spawn_by_kind(
+    world: &Rc<World>,
+    record: &Record,
+    plan: &Plan,
+    count: usize,
+    seed: u64,
+    until: Instant,
+) {
     let kinds = plan.profile.kinds();
     let (groups, places) = (world.setup.groups, world.setup.places.len());
     for number in 0..count {
         let (kind, writes) = &kinds[number % kinds.len()];
         let route = format!("{kind}{}", number / kinds.len() % groups);
-        // Neighbours in the turn of kinds are in different failure domains.
+        // Consecutive callers are in different failure domains.
         let domain = (number + number / (kinds.len() * groups)) % places;
         let seed = seed.wrapping_mul(1_000_003).wrapping_add(number as u64);
         let mut caller = Caller::new(world, record, domain, &route, seed, plan.profile.pause());
@@ -52,8 +59,8 @@
     }
 }
 
-/// Callers that write in a transaction and then rest in it, until they leave.
-pub fn rest(world: &Rc<World>, record: &Record, count: usize, until: Instant) {
+/// Spawns callers that write in a transaction and leave it open and idle until `until`.
+pub fn spawn_idle_transactions(world: &Rc<World>, record: &Record, count: usize, until: Instant) {
     let vms = world.running();
     for number in 0..count {
         let (world, record) = (world.clone(), record.clone());
--- a/src/soak/player.rs
+++ b/src/soak/player.rs
@@ -1,8 +1,8 @@
 //! Plays troubles, one to three at a time, with calms between.
 
 use crate::clock::Span;
-use crate::soak::kind::{Draw, Trouble};
-use crate::soak::story::{Calm, Story, Struck, all_groups};
+use crate::soak::kind::{Generator, Trouble};
+use crate::soak::story::{Calm, History, Incident, all_groups};
 use crate::soak::{Plan, people};
 use crate::standin::direct::fault::Fault;
 use crate::standin::direct::network::Node;
@@ -14,27 +14,28 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// How long a trouble lasts that ends by itself.
-const PASSING: Duration = Duration::from_secs(3);
+/// Duration of a trouble that ends by itself.
+const TRANSIENT_DURATION: Duration = Duration::from_secs(3);
 
-/// How long callers may wait on connections that went silent, beside their pauses.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// Duration of a trouble with silent connections: the time that callers may wait on them, beside their
+/// pauses.
+const SILENCE_DURATION: Duration = Duration::from_secs(15);
 
-/// How much of a trouble an event tells.
-const SHOWN: usize = 160;
+/// Largest number of characters of a trouble in an event.
+const MAX_EVENT_CHARS: usize = 160;
 
-/// The player.
+/// Plays the troubles of a soak.
 pub struct Player {
-    /// The world.
+    /// The simulated deployment.
     pub world: Rc<World>,
-    /// What callers said.
+    /// The statements of callers.
     pub record: Record,
-    /// What was played.
-    pub story: Rc<RefCell<Story>>,
-    /// What to play.
+    /// The troubles that were played.
+    pub history: Rc<RefCell<History>>,
+    /// The parameters of the soak.
     pub plan: Rc<Plan>,
-    /// Random numbers.
-    pub draw: Draw,
+    /// The source of random numbers.
+    pub generator: Generator,
 }
 
 impl std::fmt::Debug for Player {
@@ -43,11 +44,11 @@
     }
 }
 
-/// A trouble that is to begin.
+/// A trouble that has not begun.
 #[derive(Debug, Clone)]
 struct Planned {
     begins: Instant,
-    lasts: Duration,
+    duration: Duration,
     kind: Box<str>,
 }
 
@@ -59,31 +60,31 @@
 }
 
 impl Player {
-    /// Plays until a moment; the last bout ends before it.
+    /// Plays troubles until the given time; the last round ends before it.
     pub async fn run(mut self, until: Instant) {
         loop {
             let begin = Instant::now();
-            self.story
+            self.history
                 .borrow_mut()
                 .calms
                 .push(Calm { begin, end: None });
             let calm = self.plan.calm.0;
-            let next = begin + Span(calm / 2 + self.draw.below(calm + 1)).into();
-            // The longest bout, that of a roll, has to end before.
+            let next = begin + Span(calm / 2 + self.generator.below(calm + 1)).into();
+            // The longest round, a rolling restart, must end in time.
             if next + Duration::from_secs(30) > until {
                 return;
             }
             sleep_until(next).await;
-            self.recovered(begin);
-            if let Some(calm) = self.story.borrow_mut().calms.last_mut() {
+            self.check_ready(begin);
+            if let Some(calm) = self.history.borrow_mut().calms.last_mut() {
                 calm.end = Some(Instant::now());
             }
-            self.bout().await;
+            self.play_round().await;
         }
     }
 
-    /// After a calm that was long enough each VM is ready.
-    fn recovered(&self, since: Instant) {
+    /// After a calm of at least the recovery time each VM must be ready.
+    fn check_ready(&self, since: Instant) {
         let now = Instant::now();
         if now < since + self.plan.profile.recovery.into() {
             return;
@@ -91,13 +92,13 @@
         for vm in self.world.all_vms() {
             if !self.world.is_ready(&vm) {
                 let text = format!("{vm} is not ready in a calm");
-                self.story.borrow_mut().found.push((now, text.into()));
+                self.history.borrow_mut().broken.push((now, text.into()));
             }
         }
     }
 
-    /// One to three troubles that come close together.
-    async fn bout(&mut self) {
+    /// Plays one to three troubles that begin close together.
+    async fn play_round(&mut self) {
         let mut planned = self.planned();
         let mut open: Vec<Open> = Vec::new();
         loop {
@@ -118,18 +119,18 @@
 
     fn planned(&mut self) -> Vec<Planned> {
         let now = Instant::now();
-        let window = [1, 150, 1_500, 5_000][self.draw.below(4) as usize];
+        let window = [1, 150, 1_500, 5_000][self.generator.below(4) as usize];
         let mut planned = Vec::new();
-        for _ in 0..1 + self.draw.below(3) {
-            let begins = now + Duration::from_millis(self.draw.below(window));
-            let most = [600, 2_500, 8_000][self.draw.below(3) as usize];
-            let lasts = self.draw.span(100, most).into();
-            let Some(kind) = self.draw.one(&self.plan.kinds) else {
+        for _ in 0..1 + self.generator.below(3) {
+            let begins = now + Duration::from_millis(self.generator.below(window));
+            let most = [600, 2_500, 8_000][self.generator.below(3) as usize];
+            let duration = self.generator.span(100, most).into();
+            let Some(kind) = self.generator.choose(&self.plan.kinds) else {
                 break;
             };
             planned.push(Planned {
                 begins,
-                lasts,
+                duration,
                 kind,
             });
         }
@@ -138,23 +139,25 @@
     }
 
     fn begin(&mut self, planned: &Planned, open: &[Open]) -> Option<Open> {
-        let trouble = self.draw.trouble(&self.world, &planned.kind)?;
-        if open.iter().any(|open| clash(&open.trouble, &trouble)) {
+        let trouble = self.generator.trouble(&self.world, &planned.kind)?;
+        if open.iter().any(|open| conflicts(&open.trouble, &trouble)) {
             return None;
         }
         let begin = Instant::now();
-        let ends = begin + lasts(&trouble, planned.lasts);
+        let ends = begin + duration(&trouble, planned.duration);
         match &trouble {
             Trouble::World(fault) => fault.begin(&self.world),
             Trouble::Burst(count) => {
-                let seed = self.draw.below(u64::MAX);
-                people::burst(&self.world, &self.record, &self.plan, *count, seed, ends);
+                let seed = self.generator.below(u64::MAX);
+                people::spawn_burst(&self.world, &self.record, &self.plan, *count, seed, ends);
+            }
+            Trouble::Rest(count) => {
+                people::spawn_idle_transactions(&self.world, &self.record, *count, ends)
             }
-            Trouble::Rest(count) => people::rest(&self.world, &self.record, *count, ends),
         }
-        let mut story = self.story.borrow_mut();
-        story.event(begin, show("begin", &trouble));
-        story.strikes(Struck {
+        let mut history = self.history.borrow_mut();
+        history.event(begin, describe("begin", &trouble));
+        history.add_incident(Incident {
             kind: planned.kind.clone(),
             groups: groups_of(&self.world, &trouble),
             vms: vms_of(&trouble),
@@ -170,50 +173,50 @@
             fault.end(&self.world);
         }
         let now = Instant::now();
-        let text = show("end", &open.trouble);
-        self.story.borrow_mut().event(now, text);
+        let text = describe("end", &open.trouble);
+        self.history.borrow_mut().event(now, text);
     }
 }
 
-/// A trouble for people: many VMs are cut short.
-fn show(what: &str, trouble: &Trouble) -> Box<str> {
+/// Describes a trouble in an event; a long list of VMs is truncated.
+fn describe(what: &str, trouble: &Trouble) -> Box<str> {
     let text = match trouble {
         Trouble::World(fault) => format!("{what} {fault:?}"),
         trouble => format!("{what} {trouble:?}"),
     };
-    match text.chars().count() > SHOWN {
+    match text.chars().count() > MAX_EVENT_CHARS {
         true => {
-            let short: String = text.chars().take(SHOWN).collect();
+            let short: String = text.chars().take(MAX_EVENT_CHARS).collect();
             format!("{short}...").into()
         }
         false => text.into(),
     }
 }
 
-/// How long a trouble lasts, given what was drawn for it.
-fn lasts(trouble: &Trouble, drawn: Duration) -> Duration {
+/// The duration of a trouble, given the drawn one.
+fn duration(trouble: &Trouble, drawn: Duration) -> Duration {
     let Trouble::World(fault) = trouble else {
         return drawn.max(Duration::from_secs(1));
     };
     match fault {
-        Fault::Leave(_, drain) => Duration::from(*drain) + PASSING,
+        Fault::Leave(_, drain) => Duration::from(*drain) + TRANSIENT_DURATION,
         Fault::Roll(vms, grace, gap) => {
-            Duration::from(*gap) * vms.len() as u32 + Duration::from(*grace) + PASSING
+            Duration::from(*gap) * vms.len() as u32 + Duration::from(*grace) + TRANSIENT_DURATION
         }
         Fault::Stop(_, grace) => Duration::from(*grace) + drawn / 4,
         Fault::Storm(count, gap) => Duration::from(*gap) * *count,
-        Fault::Flap(..) | Fault::Starve(..) => drawn.max(PASSING),
-        Fault::StoreLosing(_) => drawn.max(PASSING),
-        Fault::Replace(_) | Fault::Forget | Fault::Jump(..) => PASSING,
-        Fault::Reset => PASSING,
-        // Callers that pause say the next word on their silent connection.
-        Fault::Silence | Fault::SilencePeers => PATIENCE,
+        Fault::Flap(..) | Fault::Starve(..) => drawn.max(TRANSIENT_DURATION),
+        Fault::StoreLosing(_) => drawn.max(TRANSIENT_DURATION),
+        Fault::Replace(_) | Fault::Forget | Fault::Jump(..) => TRANSIENT_DURATION,
+        Fault::Reset => TRANSIENT_DURATION,
+        // Long enough for callers that pause to send the next statement on their silent connection.
+        Fault::Silence | Fault::SilencePeers => SILENCE_DURATION,
         _ => drawn,
     }
 }
 
 /// Whether two troubles can't be played at once, because the end of one would end the other.
-fn clash(a: &Trouble, b: &Trouble) -> bool {
+fn conflicts(a: &Trouble, b: &Trouble) -> bool {
     let (Trouble::World(a), Trouble::World(b)) = (a, b) else {
         return false;
     };
@@ -265,7 +268,7 @@
     }
 }
 
-/// The VMs that are hit by themselves; none stands for all.
+/// The VMs that a trouble affects directly; `None` means all.
 fn vms_of(trouble: &Trouble) -> Option<Vec<VmId>> {
     let Trouble::World(fault) = trouble else {
         return Some(Vec::new());
--- a/src/soak/profile.rs
+++ b/src/soak/profile.rs
@@ -1,4 +1,4 @@
-//! The shape of a soak's world: a named deployment, or a file of JSON with comments.
+//! The deployment that a soak simulates: a named profile, or a file of JSON with comments.
 
 use crate::clock::Span;
 use crate::direct::config::Kind;
@@ -10,115 +10,117 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The named profiles.
+/// The names and texts of the built-in profiles.
 pub const NAMED: [(&str, &str); 2] = [
     ("association", include_str!("profiles/association.jsonc")),
     ("permits", include_str!("profiles/permits.jsonc")),
 ];
 
-/// The kinds of route that there have to be, the one that goes first before the others.
+/// The kinds of route that every profile describes; steady writers use the settings of the first.
 const ROUTES: [&str; 3] = ["primary", "bounded", "session"];
 
-/// What the routes of steady writers begin with.
+/// The prefix of the names of steady writers' routes.
 pub const WRITER: &str = "writer";
 
-/// How many regions have databases: one database of each group each.
+/// Number of regions with databases; each has one database of each group.
 const REGIONS: usize = 3;
 
-/// About how long a statement takes, which its caller does not pause.
-const ANSWER: Duration = Duration::from_millis(30);
+/// Approximate duration of a statement, which shortens the pause of its caller.
+const ANSWER_TIME: Duration = Duration::from_millis(30);
 
-/// A kind of route.
+/// The settings of a kind of route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// How many of all callers name it.
+    /// Relative share of the callers that use it.
     pub share: u32,
-    /// Of twelve operations, how many are single writes.
+    /// Number of single writes in twelve operations.
     pub writes: u64,
-    /// Within what an answer is worth most.
+    /// The time within which an answer meets the objective.
     pub objective: Span,
-    /// How long a statement may take.
+    /// The timeout of a statement.
     pub timeout: Span,
-    /// How old its reads may be; none for those of the primary.
+    /// The largest age of its reads; not used for routes of the primary.
     #[serde(default)]
     pub age: Span,
 }
 
-/// A world's shape.
+/// The size, timing and load of a simulated deployment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Profile {
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// Failure domains with their regions, in order.
+    /// Failure domains with their regions, in the order of the file.
     #[serde(with = "ordered")]
     pub places: Vec<(Box<str>, Box<str>)>,
-    /// One way between failure domains.
+    /// One-way delay between failure domains.
     pub domain_delay: Span,
-    /// One way between regions.
+    /// One-way delay between regions.
     pub region_delay: Span,
-    /// Groups.
+    /// Number of groups.
     pub groups: usize,
-    /// Statements that run at once on a database.
+    /// Number of statements that a database runs at once.
     pub slots: u32,
-    /// Connections that a database takes.
+    /// Largest number of connections of a database.
     pub connections: u32,
-    /// How long a statement takes at a database.
+    /// Duration of a statement at a database.
     pub work: Span,
-    /// How far readers of a replica are behind.
+    /// The lag of a replica.
     pub lag: Span,
-    /// How long a promotion takes.
+    /// Duration of a promotion.
     pub promotion: Span,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// Callers of each group beside those, which write all the time so that gaps show.
+    /// Number of additional callers per group that write all the time, so that gaps can be measured.
     pub writers: usize,
-    /// Statements a second of all callers but the writers.
+    /// Statements per second of all callers but the steady writers.
     pub rate: u32,
-    /// After how long without faults callers have to be served.
+    /// Time without faults after which callers must be served.
     pub recovery: Span,
-    /// The kinds of route.
+    /// The settings of the kinds of route, by name.
     pub routes: BTreeMap<Box<str>, Route>,
 }
 
 impl Profile {
-    /// Reads a profile's text.
+    /// Reads and checks a profile.
+    ///
+    /// Fails with the place of the error if the text is malformed or a value is not allowed.
     pub fn read(text: &str) -> Result<Self, jsonc::Error> {
         jsonc::read(text, Self::check)
     }
 
-    /// A named one.
+    /// Reads a built-in profile; `None` if there is none of that name.
     pub fn named(name: &str) -> Option<Result<Self, jsonc::Error>> {
         let text = NAMED.iter().find(|(known, _)| *known == name);
         text.map(|(_, text)| Self::read(text))
     }
 
-    /// Whether a world can be made of it.
+    /// Checks that a deployment can be set up from it; fails with the wrong key.
     pub fn check(&self) -> Result<(), Fault> {
-        let wrong = |key: &str, text: &str| Err(Fault::new([key], text));
+        let fault = |key: &str, text: &str| Err(Fault::new([key], text));
         if !(1..=999).contains(&self.vms) {
-            return wrong("vms", "write 1 to 999");
+            return fault("vms", "write 1 to 999");
         }
         if !(1..=99).contains(&self.groups) {
-            return wrong("groups", "write 1 to 99");
+            return fault("groups", "write 1 to 99");
         }
         if self.callers == 0 || self.rate == 0 || self.slots == 0 || self.connections == 0 {
-            return wrong(
+            return fault(
                 "rate",
                 "write at least 1, also for callers, slots and connections",
             );
         }
         if self.places.len() < REGIONS {
-            return wrong("places", "name three failure domains or more");
+            return fault("places", "name three failure domains or more");
         }
         if !ROUTES.iter().all(|name| self.routes.contains_key(*name)) || self.routes.len() != 3 {
-            return wrong("routes", "describe primary, bounded and session");
+            return fault("routes", "describe primary, bounded and session");
         }
         Ok(())
     }
 
-    /// What the world is made of.
+    /// Returns the setup of the simulated deployment.
     pub fn setup(&self) -> Setup {
         let mut regions: Vec<&str> = Vec::new();
         let mut places = Vec::new();
@@ -152,7 +154,7 @@
         }
     }
 
-    /// How each kind of route serves, and that of the steady writers, like the primary's.
+    /// Returns the settings of each kind of route and of the steady writers, which have the primary's.
     pub fn manners(&self) -> Vec<Manner> {
         let known = ROUTES.iter().filter_map(|name| self.manner(name));
         let writer = self.manner(ROUTES[0]).map(|manner| Manner {
@@ -177,13 +179,16 @@
         })
     }
 
-    /// How long a caller pauses at most, so that all together come to the rate.
+    /// Returns the longest pause of a caller with which all callers together reach the rate.
     pub fn pause(&self) -> Duration {
         let cycle = Duration::from_secs(self.callers as u64) / self.rate;
-        2 * cycle.saturating_sub(ANSWER).max(Duration::from_millis(1))
+        2 * cycle
+            .saturating_sub(ANSWER_TIME)
+            .max(Duration::from_millis(1))
     }
 
-    /// The kind of route that each caller names, in turns by their shares.
+    /// Returns kinds of route with their numbers of writes, interleaved by their shares; callers take them
+    /// in turn.
     pub fn kinds(&self) -> Vec<(Box<str>, u64)> {
         let mut kinds = Vec::new();
         let all: i64 = self.routes.values().map(|r| i64::from(r.share)).sum();
@@ -192,8 +197,8 @@
             for (name, route) in &self.routes {
                 *owed.entry(name).or_default() += i64::from(route.share);
             }
-            let most = owed.iter().max_by_key(|(_, owed)| **owed);
-            let Some(name) = most.map(|(name, _)| *name) else {
+            let next = owed.iter().max_by_key(|(_, owed)| **owed);
+            let Some(name) = next.map(|(name, _)| *name) else {
                 break;
             };
             if let Some(owed) = owed.get_mut(name) {
@@ -205,7 +210,7 @@
     }
 }
 
-/// An object whose keys keep their order.
+/// Serialises pairs as an object and keeps the order of its keys.
 mod ordered {
     use serde::de::{MapAccess, Visitor};
     use serde::{Deserializer, Serializer};
--- a/src/soak/report.rs
+++ b/src/soak/report.rs
@@ -1,83 +1,83 @@
-//! What came of a soak, as a table and as JSON.
+//! The report of a soak, printed as tables or JSON.
 
 use crate::clock::Span;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What callers of one kind of route were told.
+/// Statements on one kind of route by their outcome.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Told {
-    /// Statements.
+pub struct Outcomes {
+    /// All statements.
     pub all: u64,
     /// Done.
     pub done: u64,
     /// Done within the route's objective.
     pub in_objective: u64,
-    /// The median until an answer, in milliseconds.
+    /// The median time to the answer of a statement that was done, in milliseconds.
     pub answer_ms: u64,
-    /// The longest.
+    /// The longest such time, in milliseconds.
     pub answer_worst_ms: u64,
-    /// Told that nothing is kept.
+    /// Refused: the answer says that no effect is kept.
     pub refused: u64,
-    /// The median until that.
+    /// The median time to a refusal, in milliseconds.
     pub refusal_ms: u64,
-    /// The longest.
+    /// The longest such time, in milliseconds.
     pub refusal_worst_ms: u64,
-    /// Told that the database failed it.
+    /// Failed by the database.
     pub failed: u64,
-    /// Told that it may have run.
+    /// Of unknown outcome: it may have run.
     pub unknown: u64,
-    /// Told nothing.
+    /// Without any answer.
     pub untold: u64,
-    /// The errors that were told, by their names in the code.
+    /// The number of each error, by its code's name in lower case.
     pub errors: BTreeMap<Box<str>, u64>,
-    /// Who served reads while all was calm.
+    /// Reads in calms, and how many replicas served.
     pub calm: Replicas,
 }
 
-/// Who served reads.
+/// Reads, and how many replicas served.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Replicas {
-    /// All that were done.
+    /// Reads that were done.
     pub reads: u64,
-    /// Those by replicas.
+    /// Reads served by replicas.
     pub by_replicas: u64,
 }
 
-/// Gaps without an acknowledged write, in each group that a kind of trouble hit.
+/// Gaps without an acknowledged write in the groups that a kind of trouble affected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Gap {
-    /// Gaps while no other trouble hit the group.
+    /// Number of gaps while no other trouble affected the group.
     pub alone: u64,
-    /// Their median.
+    /// Their median, in milliseconds.
     pub alone_ms: u64,
-    /// Their longest.
+    /// The longest of them, in milliseconds.
     pub alone_worst_ms: u64,
-    /// Gaps while another one did.
+    /// Number of gaps while another trouble affected the group.
     pub together: u64,
-    /// Their median.
+    /// Their median, in milliseconds.
     pub together_ms: u64,
-    /// Their longest.
+    /// The longest of them, in milliseconds.
     pub together_worst_ms: u64,
-    /// In which group the longest of all was.
+    /// The group with the longest gap of all.
     pub worst_group: Box<str>,
-    /// Since when, in milliseconds since the world began.
+    /// The begin of that gap, in milliseconds since the start.
     pub worst_since_ms: u64,
-    /// What they were made of.
+    /// The parts of the gaps.
     pub split: Split,
 }
 
-/// The medians of the parts of gaps in which a primary took over.
+/// The median parts of gaps with a change of primary, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Split {
-    /// How many gaps.
+    /// Number of such gaps.
     pub promotions: u64,
-    /// Until the change was written down.
+    /// Until the lead's row was written.
     pub detected_ms: u64,
-    /// Until leases were given up and the promotion was ordered.
+    /// Until leases were released and the promotion was ordered.
     pub given_up_ms: u64,
-    /// Until it took effect.
+    /// Until the promotion took effect.
     pub promoted_ms: u64,
     /// Until a write was acknowledged.
     pub published_ms: u64,
@@ -86,44 +86,44 @@
 /// A property that was broken.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Broken {
-    /// When it was found, since the world began; the text has the statement's own moment.
+    /// When it was found, in milliseconds since the start; the text has the statement's own time.
     pub judged_ms: u64,
-    /// What was found.
+    /// The description.
     pub text: Box<str>,
 }
 
-/// What came of a soak.
+/// The report of a soak.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// The profile.
+    /// The name of the profile.
     pub profile: Box<str>,
     /// The seed.
     pub seed: u64,
-    /// How long it was.
+    /// The time in which troubles were played.
     pub length: Span,
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// Groups.
+    /// Number of groups.
     pub groups: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// Statements a second that were meant.
+    /// Intended statements per second.
     pub rate: u32,
-    /// How often each kind of trouble was played.
+    /// Number of troubles played, by kind.
     pub played: BTreeMap<Box<str>, u64>,
-    /// What callers were told, by kind of route.
-    pub routes: BTreeMap<Box<str>, Told>,
+    /// Statements by kind of route.
+    pub routes: BTreeMap<Box<str>, Outcomes>,
     /// Gaps by kind of trouble.
     pub gaps: BTreeMap<Box<str>, Gap>,
-    /// How many properties were broken.
+    /// Number of broken properties.
     pub count: u64,
-    /// The first ones.
+    /// The first broken properties.
     pub broken: Vec<Broken>,
-    /// The last events before the first of them was found.
+    /// The last events before the first broken property was found.
     pub events: Vec<Box<str>>,
 }
 
-/// A share in hundredths of a percent, as text.
+/// Formats a share as a percentage with two decimals.
 fn percent(part: u64, all: u64) -> String {
     let share = part * 10_000 / all.max(1);
     format!("{}.{:02} %", share / 100, share % 100)
@@ -171,20 +171,20 @@
             "untold",
             "by replicas"
         )?;
-        for (name, told) in &self.routes {
-            let calm = told.calm;
+        for (name, outcomes) in &self.routes {
+            let calm = outcomes.calm;
             writeln!(
                 f,
                 "{name:<8} {:>9} {:>9} {:>9} {:>12} {:>8} {:>12} {:>7} {:>8} {:>7} {:>14}",
-                told.all,
-                percent(told.done, told.all),
-                percent(told.in_objective, told.all),
-                format!("{} ({})", told.answer_ms, told.answer_worst_ms),
-                told.refused,
-                format!("{} ({})", told.refusal_ms, told.refusal_worst_ms),
-                told.failed,
-                told.unknown,
-                told.untold,
+                outcomes.all,
+                percent(outcomes.done, outcomes.all),
+                percent(outcomes.in_objective, outcomes.all),
+                format!("{} ({})", outcomes.answer_ms, outcomes.answer_worst_ms),
+                outcomes.refused,
+                format!("{} ({})", outcomes.refusal_ms, outcomes.refusal_worst_ms),
+                outcomes.failed,
+                outcomes.unknown,
+                outcomes.untold,
                 percent(calm.by_replicas, calm.reads),
             )?;
         }
@@ -192,8 +192,8 @@
     }
 
     fn write_errors(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (name, told) in &self.routes {
-            let errors = told.errors.iter();
+        for (name, outcomes) in &self.routes {
+            let errors = outcomes.errors.iter();
             let errors: Vec<_> = errors.map(|(code, n)| format!("{code} {n}")).collect();
             writeln!(f, "errors of {name}: {}", errors.join(", "))?;
         }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Soaks in small: what they report, and that they find what is broken.
+//! Small soaks: their reports, and that they find broken properties.
 
 mod command;
 
@@ -6,7 +6,7 @@
 use lentilspoke::direct::config::Kind;
 use lentilspoke::soak::profile::Profile;
 use lentilspoke::soak::report::Report;
-use lentilspoke::soak::story::{Calm, Story};
+use lentilspoke::soak::story::{Calm, History};
 use lentilspoke::soak::tally::Tally;
 use lentilspoke::soak::{Plan, play};
 use lentilspoke::standin::direct::said::Said;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A small world of the association's shape.
+/// A plan with a small version of the profile `association`.
 fn plan(kinds: &[&str], change: impl FnOnce(&mut Profile)) -> Plan {
     let mut profile = Profile::named("association").unwrap().unwrap();
     (profile.vms, profile.groups) = (7, 2);
@@ -47,8 +47,8 @@
     assert_eq!(report.to_string(), again.to_string());
 }
 
-/// Databases take a third of a second for a statement, so that most callers are turned away all
-/// along: the soak says so, with what was played before.
+/// Databases take a third of a second for a statement, so that most statements are refused: the soak
+/// reports this, with the troubles that were played before.
 #[test]
 fn what_is_not_served_is_found() {
     let plan = plan(&["vms-all"], |profile| {
@@ -70,7 +70,7 @@
     assert_eq!(report.count, found.len() as u64);
 }
 
-/// A caller's statement that was sent at a moment and never answered.
+/// A statement that was sent at the given time and never answered.
 fn unanswered(number: u64, sent: Instant) -> Said {
     Said {
         number,
@@ -92,15 +92,15 @@
     }
 }
 
-/// What is under way when the next trouble begins may be its victim: it says nothing of the calm.
-/// What was sent long before does.
+/// A statement in progress when the next trouble begins may fail because of that trouble, so it does not
+/// count for the calm. A statement sent long before counts.
 #[test]
 fn only_what_ends_in_a_calm_is_judged_by_it() {
     let plan = plan(&[], |_| ());
     let begin = Instant::now();
     let end = begin + Duration::from_secs(20);
-    let mut story = Story::default();
-    story.calms.push(Calm {
+    let mut history = History::default();
+    history.calms.push(Calm {
         begin,
         end: Some(end),
     });
@@ -108,8 +108,8 @@
         let mut tally = Tally::new(&plan);
         let sent = end - Duration::from_millis(before);
         let said: Vec<_> = (0..40).map(|number| unanswered(number, sent)).collect();
-        tally.count(&said, &[], &story);
-        tally.unserved(&story, end + Duration::from_secs(60), false)
+        tally.count(&said, &[], &history);
+        tally.unserved(&history, end + Duration::from_secs(60), false)
     };
     assert_eq!(unserved(80), Vec::<Box<str>>::new());
     assert_eq!(unserved(4_000), ["0 of 40 served in a calm".into()]);
