--- a/src/soak/judge.rs
+++ b/src/soak/checker.rs
@@ -3,8 +3,8 @@
 use crate::direct::control::rows::TABLE;
 use crate::soak::Plan;
 use crate::soak::gap::Gaps;
+use crate::soak::history::{History, all_groups};
 use crate::soak::report::{Broken, Report};
-use crate::soak::story::{History, all_groups};
 use crate::soak::tally::Tally;
 use crate::standin::direct::check::{Routes, compare_on};
 use crate::standin::direct::host;
@@ -41,7 +41,7 @@
 
 /// Checks the operations of a soak and collects its report.
 #[derive(Debug)]
-pub struct Judge {
+pub struct Checker {
     started: Instant,
     known: Known,
     tally: Tally,
@@ -54,7 +54,7 @@
     panics: u64,
 }
 
-impl Judge {
+impl Checker {
     /// Creates one for a world that has just started.
     pub fn new(world: &Rc<World>, plan: &Plan, started: Instant) -> Self {
         let manners = &world.setup.manners;
--- a/src/soak/gap.rs
+++ b/src/soak/gap.rs
@@ -1,8 +1,8 @@
 //! Measures how long groups were without an acknowledged write, by kind of trouble.
 
 use crate::direct::control::rows::lead_row;
+use crate::soak::history::{History, Incident};
 use crate::soak::report::{Gap, Split};
-use crate::soak::story::{History, Incident};
 use crate::soak::tally::{SETTLE_TIME, histogram};
 use crate::standin::direct::journal::{Ordered, Reign, Run};
 use crate::standin::direct::said::Said;
--- a/src/soak/mod.rs
+++ b/src/soak/mod.rs
@@ -1,26 +1,26 @@
 //! Simulates one long-lived deployment of direct access, of the size of a grown one, with callers at a given
 //! rate, while troubles of all kinds, drawn from a seed, begin and end.
 //!
-//! Answers are checked in windows ([`judge`]): operations that are old enough are removed, compared with
+//! Answers are checked in windows ([`checker`]): operations that are old enough are removed, compared with
 //! what the databases ran, counted and discarded, so that memory does not grow with the length of a soak.
 
+pub mod callers;
+pub mod checker;
 pub mod gap;
-pub mod judge;
+pub mod history;
 pub mod kind;
-pub mod people;
 pub mod player;
 pub mod profile;
 pub mod report;
-pub mod story;
 pub mod tally;
 
 use crate::clock::Span;
-use crate::soak::judge::Judge;
+use crate::soak::checker::Checker;
+use crate::soak::history::History;
 use crate::soak::kind::Generator;
 use crate::soak::player::Player;
 use crate::soak::profile::Profile;
 use crate::soak::report::Report;
-use crate::soak::story::History;
 use crate::standin::direct::host;
 use crate::standin::direct::program::program;
 use crate::standin::direct::said::Record;
@@ -81,7 +81,7 @@
     let begun = started + STARTUP_TIME;
     sleep_until(begun).await;
     let end = begun + plan.length.into();
-    people::spawn_callers(&world, &record, &plan, plan.seed, end);
+    callers::spawn_callers(&world, &record, &plan, plan.seed, end);
     let player = Player {
         world: world.clone(),
         record: record.clone(),
@@ -90,15 +90,15 @@
         generator: Generator::new(plan.seed),
     };
     tokio::task::spawn_local(player.run(end));
-    let mut judge = Judge::new(&world, &plan, started);
+    let mut checker = Checker::new(&world, &plan, started);
     let mut next = begun + WINDOW_INTERVAL;
     while next < end + DRAIN_TIME {
         sleep_until(next).await;
-        judge.check_window(&world, &record, &mut history.borrow_mut(), false);
+        checker.check_window(&world, &record, &mut history.borrow_mut(), false);
         next += WINDOW_INTERVAL;
     }
     sleep_until(end + DRAIN_TIME).await;
-    judge.check_window(&world, &record, &mut history.borrow_mut(), true);
+    checker.check_window(&world, &record, &mut history.borrow_mut(), true);
     let history = history.borrow();
-    Ok(judge.report(&plan, &history))
+    Ok(checker.report(&plan, &history))
 }
--- a/src/soak/player.rs
+++ b/src/soak/player.rs
@@ -1,9 +1,9 @@
 //! Plays troubles, one to three at a time, with calms between.
 
 use crate::clock::Span;
+use crate::soak::history::{Calm, History, Incident, all_groups};
 use crate::soak::kind::{Generator, Trouble};
-use crate::soak::story::{Calm, History, Incident, all_groups};
-use crate::soak::{Plan, people};
+use crate::soak::{Plan, callers};
 use crate::standin::direct::fault::Fault;
 use crate::standin::direct::network::Node;
 use crate::standin::direct::said::Record;
@@ -149,10 +149,10 @@
             Trouble::World(fault) => fault.begin(&self.world),
             Trouble::Burst(count) => {
                 let seed = self.generator.below(u64::MAX);
-                people::spawn_burst(&self.world, &self.record, &self.plan, *count, seed, ends);
+                callers::spawn_burst(&self.world, &self.record, &self.plan, *count, seed, ends);
             }
             Trouble::Rest(count) => {
-                people::spawn_idle_transactions(&self.world, &self.record, *count, ends)
+                callers::spawn_idle_transactions(&self.world, &self.record, *count, ends)
             }
         }
         let mut history = self.history.borrow_mut();
--- a/src/soak/tally.rs
+++ b/src/soak/tally.rs
@@ -2,8 +2,8 @@
 
 use crate::direct::statement::Code;
 use crate::soak::Plan;
+use crate::soak::history::History;
 use crate::soak::report::{Outcomes, Replicas};
-use crate::soak::story::History;
 use crate::standin::direct::check::is_read;
 use crate::standin::direct::journal::Run;
 use crate::standin::direct::said::Said;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -4,9 +4,9 @@
 
 use lentilspoke::clock::Span;
 use lentilspoke::direct::config::Kind;
+use lentilspoke::soak::history::{Calm, History};
 use lentilspoke::soak::profile::Profile;
 use lentilspoke::soak::report::Report;
-use lentilspoke::soak::story::{Calm, History};
 use lentilspoke::soak::tally::Tally;
 use lentilspoke::soak::{Plan, play};
 use lentilspoke::standin::direct::said::Said;
