--- a/src/standin/direct/store.rs
+++ b/src/standin/direct/store.rs
@@ -521,7 +521,7 @@
 }
 
 /// Waits for an answer that has to begin to arrive within `span` and then must not pause for longer
-/// than `STALL`.
+/// than `STALL_TIMEOUT`.
 async fn await_answer<T>(answered: impl Future<Output = T>, hold: &Hold, span: Span) -> Option<T> {
     let mut answered = std::pin::pin!(answered);
     let mut due = Instant::now() + span.into();
