--- a/src/experiment/aim.rs
+++ b/src/experiment/aim.rs
@@ -1,4 +1,4 @@
-//! What the decisions are to reach, checked against runs.
+//! The goals that the routing and admission decisions must reach, checked against simulation runs.
 
 use crate::clock::Span;
 use crate::core::request::Class;
@@ -10,33 +10,33 @@
 use serde::Serialize;
 use std::fmt;
 
-/// Goodput at four times the slots' rate, against that at once the rate.
-const SATURATED: f64 = 0.95;
+/// Minimum goodput at four times the slots' rate, as a multiple of that at the rate itself.
+const MIN_SATURATED_GOODPUT: f64 = 0.95;
 
-/// A quiet caller's p99 beside greedy ones, against its p99 alone.
-const QUIET: f64 = 2.0;
+/// Maximum p99 of quiet callers beside greedy ones, as a multiple of their p99 alone.
+const MAX_QUIET_P99: f64 = 2.0;
 
-/// Short work's p99 beside long work, against its p99 alone.
-const BESIDE_LONG: f64 = 3.0;
+/// Maximum p99 of short work beside long work, as a multiple of its p99 alone.
+const MAX_SHORT_P99: f64 = 3.0;
 
-/// Aged reads served by replicas, in per cent.
-const BY_REPLICAS: f64 = 95.0;
+/// Minimum share of aged reads served by replicas, in percent.
+const MIN_AGED_BY_REPLICAS: f64 = 95.0;
 
-/// Session reads by replicas, against stickiness by time.
-const STICKINESS: f64 = 1.3;
+/// Minimum share of session reads served by replicas, as a multiple of that under time-based stickiness.
+const MIN_SESSION_BY_REPLICAS: f64 = 1.3;
 
-/// One aim and whether it was reached.
+/// A goal and whether a run reached it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Verdict {
-    /// What was compared.
+    /// The compared figures.
     pub aim: Box<str>,
-    /// What was found.
+    /// The measured figure.
     pub found: f64,
-    /// What it had to be.
+    /// The bound on the measured figure.
     pub bound: f64,
-    /// The same figure under the naive rules, where it exists.
+    /// The same figure under the naive policy, where it exists.
     pub naive: Option<f64>,
-    /// Whether the aim was reached.
+    /// Whether the goal was reached.
     pub met: bool,
 }
 
@@ -55,29 +55,29 @@
     }
 }
 
-/// Everything that an experiment found.
+/// All results of an experiment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Findings {
     /// The runs.
     pub reports: Vec<Report>,
-    /// The aims.
+    /// The goals.
     pub verdicts: Vec<Verdict>,
 }
 
-/// What an experiment is about.
+/// The parameters of an experiment.
 #[derive(Debug, Clone)]
 pub struct Setting {
-    /// The sizes.
+    /// The sizes of the deployment.
     pub deployment: Deployment,
-    /// What the draws start from.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// How long requests are counted.
+    /// The span over which requests are counted.
     pub length: Span,
-    /// Rules to leave out.
+    /// Rules that the full policy omits.
     pub without: Vec<Rule>,
 }
 
-/// One run under the proxy's rules and one under the naive ones, of the same requests.
+/// Runs of the same requests under the full policy and under the naive one.
 struct Pair {
     full: Report,
     naive: Report,
@@ -99,13 +99,17 @@
 }
 
 impl Setting {
-    /// Runs `pattern` under both policies, and under variants of itself where an aim compares those.
+    /// Runs `pattern` under both policies, and its variants where a goal compares them.
     pub fn findings(&self, pattern: Pattern) -> Findings {
         let mut findings = Findings::default();
         match pattern {
             Pattern::Saturation => self.saturation(&mut findings),
-            Pattern::Greedy => self.beside(&mut findings, pattern, "quiet callers' p99", QUIET),
-            Pattern::Long => self.beside(&mut findings, pattern, "short work's p99", BESIDE_LONG),
+            Pattern::Greedy => {
+                self.compare_with_alone(&mut findings, pattern, "quiet callers' p99", MAX_QUIET_P99)
+            }
+            Pattern::Long => {
+                self.compare_with_alone(&mut findings, pattern, "short work's p99", MAX_SHORT_P99)
+            }
             Pattern::Calm => self.calm(&mut findings),
             _ => {
                 self.pair(&mut findings, pattern, 1.0, false);
@@ -146,18 +150,24 @@
         let four = self.pair(findings, Pattern::Saturation, 4.0, false);
         let ratio = four.compare(&once, |report| Some(report.goodput));
         let aim = format!("{}: goodput at 4x against 1x", self.deployment);
-        findings.at_least(aim, ratio, SATURATED);
+        findings.at_least(aim, ratio, MIN_SATURATED_GOODPUT);
     }
 
-    fn beside(&self, findings: &mut Findings, pattern: Pattern, what: &str, bound: f64) {
+    fn compare_with_alone(
+        &self,
+        findings: &mut Findings,
+        pattern: Pattern,
+        what: &str,
+        bound: f64,
+    ) {
         let alone = self.pair(findings, pattern, 1.0, true);
-        let beside = self.pair(findings, pattern, 1.0, false);
+        let compare_with_alone = self.pair(findings, pattern, 1.0, false);
         for class in [Class::Confirm, Class::Session, Class::Aged] {
             let p99 = |report: &Report| {
                 let row = report.row(class).filter(|row| row.goodput > 0.0)?;
                 Some(row.answer_p99)
             };
-            let ratio = beside.compare(&alone, p99);
+            let ratio = compare_with_alone.compare(&alone, p99);
             let name = format!("{class:?}").to_lowercase();
             let aim = format!("{}: {what} beside against alone, {name}", self.deployment);
             findings.at_most(aim, ratio, bound);
@@ -172,7 +182,7 @@
             naive: by_replicas(&pair.naive, Class::Aged),
         });
         let aim = format!("{}: aged reads by replicas, per cent", self.deployment);
-        findings.at_least(aim, aged, BY_REPLICAS);
+        findings.at_least(aim, aged, MIN_AGED_BY_REPLICAS);
         let session = |report| by_replicas(report, Class::Session);
         let ratio = session(&pair.full)
             .zip(session(&pair.naive))
@@ -184,32 +194,38 @@
             "{}: session reads by replicas against stickiness by time",
             self.deployment
         );
-        findings.at_least(aim, ratio, STICKINESS);
+        findings.at_least(aim, ratio, MIN_SESSION_BY_REPLICAS);
     }
 }
 
 impl Findings {
-    /// Whether all aims were reached.
+    /// Whether all goals were reached.
     pub fn met(&self) -> bool {
         self.verdicts.iter().all(|verdict| verdict.met)
     }
 
-    /// Takes in another pattern's findings.
+    /// Appends the findings of another pattern.
     pub fn extend(&mut self, other: Findings) {
         self.reports.extend(other.reports);
         self.verdicts.extend(other.verdicts);
     }
 
     fn at_least(&mut self, aim: String, ratio: Option<Ratio>, bound: f64) {
-        self.judge(aim, ratio, bound, |found| found >= bound);
+        self.add_verdict(aim, ratio, bound, |found| found >= bound);
     }
 
     fn at_most(&mut self, aim: String, ratio: Option<Ratio>, bound: f64) {
-        self.judge(aim, ratio, bound, |found| found <= bound);
+        self.add_verdict(aim, ratio, bound, |found| found <= bound);
     }
 
-    /// A figure that could not be had counts as a miss.
-    fn judge(&mut self, aim: String, ratio: Option<Ratio>, bound: f64, met: impl Fn(f64) -> bool) {
+    /// Records a verdict. A figure that is not available counts as a miss.
+    fn add_verdict(
+        &mut self,
+        aim: String,
+        ratio: Option<Ratio>,
+        bound: f64,
+        met: impl Fn(f64) -> bool,
+    ) {
         let found = ratio.as_ref().map_or(f64::NAN, |ratio| ratio.full);
         self.verdicts.push(Verdict {
             aim: aim.into(),
--- a/src/experiment/deployment.rs
+++ b/src/experiment/deployment.rs
@@ -1,17 +1,17 @@
-//! The sizes and places of a deployment.
+//! The sizes and network delays of a deployment.
 
 use crate::clock::Span;
 use serde::Serialize;
 use std::fmt;
 use std::str::FromStr;
 
-/// A text names none of the known things.
+/// The name is not one of the accepted ones.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("`{given}` is not known: use one of {known}")]
 pub struct Unknown {
-    /// What was given.
+    /// The given name.
     pub given: Box<str>,
-    /// What may be given.
+    /// The accepted names.
     pub known: &'static str,
 }
 
@@ -25,28 +25,28 @@
     Permits,
 }
 
-/// What a deployment consists of.
+/// The sizes and network delays of a deployment, and its mix of requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Groups, each over all failure domains.
+    /// Number of groups, each spread over all failure domains.
     pub groups: usize,
-    /// Databases of a group, one in each failure domain.
+    /// Number of databases in a group, one in each failure domain.
     pub databases: usize,
-    /// Statements that a database runs at once.
+    /// Number of statements that a database runs at once.
     pub slots: u32,
-    /// Connections that a database accepts.
+    /// Number of connections that a database accepts.
     pub connections: u32,
-    /// Entries, spread over the failure domains.
+    /// Number of entries, spread over the failure domains.
     pub entries: usize,
-    /// One way between a caller and an entry.
+    /// One-way delay between a caller and an entry.
     pub to_caller: Span,
-    /// One way between failure domains.
+    /// One-way delay between failure domains.
     pub between_domains: Span,
-    /// What opening a connection takes.
+    /// Time to open a connection.
     pub connect: Span,
-    /// Of a hundred requests, how many write.
+    /// Share of requests that write, in percent.
     pub writes: u32,
-    /// Of a hundred requests, how many read under a session's floor; the rest reads by age.
+    /// Share of requests that read under a session's floor, in percent; the rest are reads by age.
     pub session_reads: u32,
 }
 
@@ -54,7 +54,7 @@
     /// Both deployments.
     pub const ALL: [Deployment; 2] = [Deployment::Association, Deployment::Permits];
 
-    /// Its sizes. Mixes of requests are assumptions: brokers book and read their lots all day;
+    /// Its sizes. The mixes of requests are assumptions: brokers book and read their lots all day;
     /// status checks by phone are most of the permit desk's load.
     pub fn size(self) -> Size {
         let association = Size {
--- a/src/experiment/engine.rs
+++ b/src/experiment/engine.rs
@@ -1,6 +1,6 @@
-//! Discrete events on virtual time: callers, entries, holders and targets of a deployment.
+//! Discrete-event simulation on virtual time of a deployment's callers, entries, holders and targets.
 //!
-//! Entries run the real `Router` and `Budget`, holders the real `Gate` and `Pool`. Played are the
+//! Entries run the real `Router` and `Budget`, holders the real `Gate` and `Pool`. Simulated are the
 //! network (fixed delays), the databases ([`super::target`]) and the detection of a lost domain
 //! (a fixed span). Arrivals are open loop and drawn from the seed alone, so that two policies
 //! see the same requests at the same times.
@@ -24,64 +24,64 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// How long a session's reads stick to the primary after a write, under stickiness by time:
-/// a common default, above the lags that are played.
-pub const STICKY: Span = Span::from_secs(2);
+/// How long a session's reads stay on the primary after a write, under time-based stickiness:
+/// a common default, longer than the simulated replication lags.
+pub const STICKY_PERIOD: Span = Span::from_secs(2);
 
-/// How long a holder waits for a replica that is not new enough.
-const CATCH_UP: Span = Span::from_millis(50);
+/// How long a holder delays a read for a replica that is not new enough.
+const CATCH_UP_TIMEOUT: Span = Span::from_millis(50);
 
-/// After how long a broken stream to a lost domain is noticed.
-const NOTICE: Span = Span::from_secs(1);
+/// Time until a broken stream to a lost domain is detected.
+const DETECTION_DELAY: Span = Span::from_secs(1);
 
-/// How long a group whose primary is lost has none.
-const GAP: Span = Span::from_millis(2_500);
+/// Time from the loss of a group's primary to the promotion of another.
+const PROMOTION_DELAY: Span = Span::from_millis(2_500);
 
-/// Requests born before this moment are not counted: queues and routers have to settle.
-pub const WARM: Time = Time(8_000_000);
+/// Requests sent before this moment are not counted: queues and routers have to settle first.
+pub const WARM_UP_END: Time = Time(8_000_000);
 
-/// Names a database: its group, and its place there.
+/// Identifies a database by its group and its index there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Place {
+struct Location {
     group: usize,
     index: usize,
 }
 
-/// What happens next.
+/// A simulation event.
 #[derive(Debug)]
 enum Event {
     Arrive(usize),
-    Follow(Arrival),
+    FollowUp(Arrival),
     AtHolder {
         work: u64,
-        place: Place,
+        location: Location,
         life: u64,
     },
     Connected {
-        place: Place,
+        location: Location,
         life: u64,
     },
     Ended {
-        place: Place,
+        location: Location,
         life: u64,
         work: u64,
     },
     Wake {
-        place: Place,
+        location: Location,
         life: u64,
     },
     AtEntry {
         work: u64,
         attempt: u32,
-        place: Place,
+        location: Location,
         reply: Reply,
     },
-    Return(u64),
+    Submit(u64),
     Fault(Fault),
     Promote(usize),
 }
 
-/// What a holder tells an entry.
+/// A holder's answer to an entry.
 #[derive(Debug)]
 enum Reply {
     Done(Hint),
@@ -89,7 +89,7 @@
     Broken,
 }
 
-/// A request under way.
+/// A request in progress.
 #[derive(Debug)]
 struct Work {
     arrival: Arrival,
@@ -98,9 +98,9 @@
     floor: Option<(Position, Time)>,
     order: Vec<usize>,
     sent: Time,
-    /// Counts its dispatches: an answer to an earlier one is void.
+    /// Number of dispatches; answers to an earlier dispatch are ignored.
     attempt: u32,
-    /// Where it was sent last.
+    /// The index of the database that it was last sent to.
     at: Option<usize>,
     replica: bool,
     stale: bool,
@@ -116,7 +116,7 @@
     last_write: BTreeMap<u32, (Position, Time)>,
 }
 
-/// A proxy as callers meet it.
+/// A proxy in its role as an entry: it accepts requests from callers.
 #[derive(Debug)]
 struct Entry {
     domain: usize,
@@ -124,16 +124,16 @@
     budget: Budget,
 }
 
-/// The whole of an experiment's run.
+/// The state of a simulation run.
 #[derive(Debug)]
 pub struct Engine {
     size: Size,
     policy: Policy,
-    returns: bool,
+    retries: bool,
     now: Time,
     ends: Time,
     events: BinaryHeap<Reverse<(Time, u64, u64)>>,
-    bodies: BTreeMap<u64, Event>,
+    scheduled: BTreeMap<u64, Event>,
     sequence: u64,
     sources: Vec<Source>,
     works: BTreeMap<u64, Work>,
@@ -145,7 +145,7 @@
 }
 
 impl Engine {
-    /// A run of `plan` that stops taking requests at `ends`.
+    /// Creates a run of `plan` that stops taking requests at `ends`.
     pub fn new(size: Size, policy: Policy, plan: Plan, seed: u64, ends: Time) -> Self {
         let groups = (0..size.groups)
             .map(|group| Group::new(&size, &policy, group))
@@ -160,11 +160,11 @@
         let mut engine = Self {
             size,
             policy,
-            returns: plan.returns,
+            retries: plan.retries,
             now: Time::default(),
             ends,
             events: BinaryHeap::new(),
-            bodies: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             sequence: 0,
             sources,
             works: BTreeMap::new(),
@@ -183,11 +183,11 @@
         engine
     }
 
-    /// Runs until every request has ended, and tells what callers got.
+    /// Runs until every request has ended; returns the outcomes for callers.
     pub fn run(mut self) -> Stats {
         while let Some(Reverse((at, _, body))) = self.events.pop() {
             self.now = at;
-            if let Some(event) = self.bodies.remove(&body) {
+            if let Some(event) = self.scheduled.remove(&body) {
                 self.handle(event);
             }
         }
@@ -198,36 +198,44 @@
         self.sequence += 1;
         self.events
             .push(Reverse((at, self.sequence, self.sequence)));
-        self.bodies.insert(self.sequence, event);
+        self.scheduled.insert(self.sequence, event);
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(source) => self.arrive(source),
-            Event::Follow(arrival) => self.begin(arrival),
-            Event::AtHolder { work, place, life } => self.at_holder(work, place, life),
-            Event::Connected { place, life } => {
-                if self.holder(place).life == life {
+            Event::FollowUp(arrival) => self.begin(arrival),
+            Event::AtHolder {
+                work,
+                location,
+                life,
+            } => self.at_holder(work, location, life),
+            Event::Connected { location, life } => {
+                if self.holder(location).life == life {
                     let now = self.now;
-                    self.holder(place).connected(now);
-                    self.advance(place);
+                    self.holder(location).connected(now);
+                    self.advance(location);
                 }
             }
-            Event::Ended { place, life, work } => {
-                if self.holder(place).life == life {
-                    self.ended(place, work);
+            Event::Ended {
+                location,
+                life,
+                work,
+            } => {
+                if self.holder(location).life == life {
+                    self.ended(location, work);
                 }
             }
-            Event::Wake { place, life } => {
-                if self.holder(place).life == life {
-                    self.holder(place).wakes_at = None;
-                    self.advance(place);
+            Event::Wake { location, life } => {
+                if self.holder(location).life == life {
+                    self.holder(location).wakes_at = None;
+                    self.advance(location);
                 }
             }
             Event::AtEntry {
                 work,
                 attempt,
-                place,
+                location,
                 reply,
             } => {
                 if self
@@ -235,57 +243,56 @@
                     .get(&work)
                     .is_some_and(|work| work.attempt == attempt)
                 {
-                    self.at_entry(work, place, reply);
+                    self.at_entry(work, location, reply);
                 }
             }
-            Event::Return(work) => self.submit(work),
+            Event::Submit(work) => self.submit(work),
             Event::Fault(fault) => self.fault(fault),
             Event::Promote(group) => self.promote(group),
         }
     }
 
-    fn holder(&mut self, place: Place) -> &mut Holder {
-        &mut self.groups[place.group].holders[place.index]
+    fn holder(&mut self, location: Location) -> &mut Holder {
+        &mut self.groups[location.group].holders[location.index]
     }
 
     fn fault(&mut self, fault: Fault) {
         let now = self.now;
         for group in 0..self.groups.len() {
             for index in 0..self.groups[group].holders.len() {
-                let place = Place { group, index };
+                let location = Location { group, index };
                 let last = index + 1 == self.groups[group].holders.len();
-                let first_domain = self.holder(place).domain == 0;
+                let first_domain = self.holder(location).domain == 0;
                 match fault {
-                    Fault::Slow(factor) if last => self.holder(place).target.slowness = factor,
-                    Fault::Lost if first_domain => self.lose(place),
-                    Fault::Back if first_domain => self.holder(place).target.recover(now),
+                    Fault::Slow(factor) if last => self.holder(location).target.slowness = factor,
+                    Fault::Lost if first_domain => self.lose(location),
+                    Fault::Back if first_domain => self.holder(location).target.recover(now),
                     _ => {}
                 }
             }
         }
     }
 
-    fn lose(&mut self, place: Place) {
+    fn lose(&mut self, location: Location) {
         let now = self.now;
         self.lost_at = Some(now);
         let (size, policy) = (self.size, self.policy.clone());
-        self.holder(place).lose(&size, &policy);
-        if self.groups[place.group].primary == Some(place.index) {
-            self.groups[place.group].primary = None;
-            self.schedule(now + GAP, Event::Promote(place.group));
+        self.holder(location).lose(&size, &policy);
+        if self.groups[location.group].primary == Some(location.index) {
+            self.groups[location.group].primary = None;
+            self.schedule(now + PROMOTION_DELAY, Event::Promote(location.group));
         }
-        let there: Vec<u64> = self.works_at(place);
-        for work in there {
-            self.reply(now + NOTICE, work, place, Reply::Broken);
+        let affected: Vec<u64> = self.works_at(location);
+        for work in affected {
+            self.reply(now + DETECTION_DELAY, work, location, Reply::Broken);
         }
     }
 
-    /// Work that was last sent to `place`; its answer will not come.
-    fn works_at(&mut self, place: Place) -> Vec<u64> {
-        let at = self
-            .works
-            .iter_mut()
-            .filter(|(_, work)| work.arrival.group == place.group && work.at == Some(place.index));
+    /// Requests that were last sent to `location`, which will not answer them.
+    fn works_at(&mut self, location: Location) -> Vec<u64> {
+        let at = self.works.iter_mut().filter(|(_, work)| {
+            work.arrival.group == location.group && work.at == Some(location.index)
+        });
         at.map(|(id, _)| *id).collect()
     }
 
--- a/src/experiment/engine/entry.rs
+++ b/src/experiment/engine/entry.rs
@@ -1,6 +1,6 @@
-//! The entry's side of an experiment: requests arrive, are sent on, and end.
+//! The entry's part of the simulation: it receives requests, dispatches them and ends them.
 
-use super::{Engine, Event, Place, Reply, STICKY, WARM, Work};
+use super::{Engine, Event, Location, Reply, STICKY_PERIOD, WARM_UP_END, Work};
 use crate::clock::{Span, Time};
 use crate::core::request::{Cause, Class, NotRun};
 use crate::experiment::source::Arrival;
@@ -14,21 +14,21 @@
         }
         let drawn = self.sources[source].next(self.now);
         self.schedule(drawn.next, Event::Arrive(source));
-        for (at, arrival) in drawn.follows {
-            self.schedule(at, Event::Follow(arrival));
+        for (at, arrival) in drawn.follow_ups {
+            self.schedule(at, Event::FollowUp(arrival));
         }
         if let Some(arrival) = drawn.arrival {
             self.begin(arrival);
         }
     }
 
-    /// A caller sends a new request; it reaches its entry a way later.
+    /// Sends a new request, which reaches its entry after the delay from the caller.
     pub(super) fn begin(&mut self, arrival: Arrival) {
         self.next_work += 1;
         let id = self.next_work;
         let work = Work {
             entry: arrival.entry,
-            deadline: arrival.born + arrival.patience,
+            deadline: arrival.sent_at + arrival.timeout,
             floor: None,
             order: Vec::new(),
             sent: self.now,
@@ -40,10 +40,10 @@
         };
         self.works.insert(id, work);
         let at = self.now + self.size.to_caller;
-        self.schedule(at, Event::Return(id));
+        self.schedule(at, Event::Submit(id));
     }
 
-    /// The entry chooses a database.
+    /// Computes the order of databases to try and dispatches the request.
     pub(super) fn submit(&mut self, id: u64) {
         let now = self.now;
         let Some(mut work) = self.works.remove(&id) else {
@@ -56,7 +56,7 @@
         let entry = &mut self.entries[work.entry];
         work.order = match work.arrival.kind.class {
             Class::Confirm => group.primary.into_iter().collect(),
-            _ if self.policy.sticky && sticks(now, work.floor) => {
+            _ if self.policy.sticky && is_sticky(now, work.floor) => {
                 group.primary.into_iter().collect()
             }
             _ => group.order(now, &work, &mut entry.routers[work.arrival.group]),
@@ -66,7 +66,7 @@
         self.dispatch(id);
     }
 
-    /// Sends work to the first database that is left in its order.
+    /// Sends a request to the next database in its order.
     pub(super) fn dispatch(&mut self, id: u64) {
         let Some(work) = self.works.get_mut(&id) else {
             return;
@@ -79,35 +79,35 @@
             self.not_run(id, not_run);
             return;
         }
-        let place = Place {
+        let location = Location {
             group: work.arrival.group,
             index: work.order.remove(0),
         };
         work.sent = self.now;
         work.attempt += 1;
-        work.at = Some(place.index);
-        let group = &self.groups[place.group];
-        let router = &mut self.entries[work.entry].routers[place.group];
-        router.sent(self.now, &group.names[place.index]);
-        let way = self.way(id, place);
-        let life = self.holder(place).life;
-        let at = self.now + way;
+        work.at = Some(location.index);
+        let group = &self.groups[location.group];
+        let router = &mut self.entries[work.entry].routers[location.group];
+        router.sent(self.now, &group.names[location.index]);
+        let network_delay = self.network_delay(id, location);
+        let life = self.holder(location).life;
+        let at = self.now + network_delay;
         let event = Event::AtHolder {
             work: id,
-            place,
+            location,
             life,
         };
         self.schedule(at, event);
     }
 
-    pub(super) fn at_entry(&mut self, id: u64, place: Place, reply: Reply) {
+    pub(super) fn at_entry(&mut self, id: u64, location: Location, reply: Reply) {
         let now = self.now;
         let Some(work) = self.works.get(&id) else {
             return;
         };
         let entry = &mut self.entries[work.entry];
-        let router = &mut entry.routers[place.group];
-        let name = &self.groups[place.group].names[place.index];
+        let router = &mut entry.routers[location.group];
+        let name = &self.groups[location.group].names[location.index];
         let mut not_run = NotRun {
             cause: Cause::Refused,
             retry_after: Span::from_millis(500),
@@ -119,9 +119,9 @@
                 self.end(id, End::Done);
                 return;
             }
-            Reply::NotRun(told, hint) => {
+            Reply::NotRun(refusal, hint) => {
                 router.refused(now, name, &hint);
-                not_run = told;
+                not_run = refusal;
             }
             Reply::Broken => {
                 router.failed(now, name);
@@ -131,21 +131,26 @@
                 }
             }
         }
-        let again = not_run.cause != Cause::Expired && !work.order.is_empty();
+        let may_retry = not_run.cause != Cause::Expired && !work.order.is_empty();
         let free = not_run.cause == Cause::Behind;
-        if again && now < work.deadline && (free || entry.budget.withdraw(now)) {
+        if may_retry && now < work.deadline && (free || entry.budget.withdraw(now)) {
             self.dispatch(id);
             return;
         }
         self.not_run(id, not_run);
     }
 
-    /// Tells a caller that its request was not run; it may come back.
+    /// Ends a request as not run, or schedules its retry if the caller retries.
     pub(super) fn not_run(&mut self, id: u64, not_run: NotRun) {
-        let back = self.now + self.size.to_caller + not_run.retry_after + self.size.to_caller;
-        let returns = self.returns && not_run.cause != Cause::Expired;
-        if returns && self.works.get(&id).is_some_and(|work| back < work.deadline) {
-            self.schedule(back, Event::Return(id));
+        let retry_at = self.now + self.size.to_caller + not_run.retry_after + self.size.to_caller;
+        let retries = self.retries && not_run.cause != Cause::Expired;
+        if retries
+            && self
+                .works
+                .get(&id)
+                .is_some_and(|work| retry_at < work.deadline)
+        {
+            self.schedule(retry_at, Event::Submit(id));
             return;
         }
         self.end(id, End::NotRun);
@@ -155,17 +160,17 @@
         let Some(work) = self.works.remove(&id) else {
             return;
         };
-        if work.arrival.born < WARM {
+        if work.arrival.sent_at < WARM_UP_END {
             return;
         }
-        let heard = self.now + self.size.to_caller;
-        let late = end == End::Done && heard > work.deadline;
+        let received = self.now + self.size.to_caller;
+        let late = end == End::Done && received > work.deadline;
         self.stats.record(&Ended {
             kind: work.arrival.kind,
             caller: work.arrival.caller.as_str(),
             end: if late { End::Late } else { end },
-            born: work.arrival.born,
-            heard,
+            sent_at: work.arrival.sent_at,
+            received,
             service: work.arrival.service,
             replica: work.replica,
             stale: work.stale,
@@ -173,6 +178,6 @@
     }
 }
 
-fn sticks(now: Time, floor: Option<(Position, Time)>) -> bool {
-    floor.is_some_and(|(_, written)| now.since(written) < STICKY)
+fn is_sticky(now: Time, floor: Option<(Position, Time)>) -> bool {
+    floor.is_some_and(|(_, written)| now.since(written) < STICKY_PERIOD)
 }
--- a/src/experiment/engine/serve.rs
+++ b/src/experiment/engine/serve.rs
@@ -1,6 +1,6 @@
-//! The holder's side of an experiment: work is let in, run and answered.
+//! The holder's part of the simulation: it admits work, runs it and answers.
 
-use super::{CATCH_UP, Engine, Event, NOTICE, Place, Reply};
+use super::{CATCH_UP_TIMEOUT, DETECTION_DELAY, Engine, Event, Location, Reply};
 use crate::clock::{Span, Time};
 use crate::core::gate::Item;
 use crate::core::message::Hint;
@@ -10,20 +10,20 @@
 use crate::types::RequestId;
 
 impl Engine {
-    pub(super) fn at_holder(&mut self, id: u64, place: Place, life: u64) {
+    pub(super) fn at_holder(&mut self, id: u64, location: Location, life: u64) {
         let now = self.now;
-        if self.holder(place).life != life || !self.holder(place).target.up {
-            let noticed = self.lost_at.map_or(now, |lost| lost + NOTICE);
-            self.reply(noticed.max(now), id, place, Reply::Broken);
+        if self.holder(location).life != life || !self.holder(location).target.up {
+            let noticed = self.lost_at.map_or(now, |lost| lost + DETECTION_DELAY);
+            self.reply(noticed.max(now), id, location, Reply::Broken);
             return;
         }
-        let hint = self.hint(place);
+        let hint = self.hint(location);
         let Some(work) = self.works.get_mut(&id) else {
             return;
         };
-        let group = &mut self.groups[place.group];
-        work.replica = group.primary != Some(place.index);
-        let lag = group.holders[place.index].target.lag(now);
+        let group = &mut self.groups[location.group];
+        work.replica = group.primary != Some(location.index);
+        let lag = group.holders[location.index].target.lag(now);
         let missing = match work.floor {
             Some((_, written)) if work.replica => (written + lag).since(now),
             _ => Span::ZERO,
@@ -33,7 +33,7 @@
             && matches!(work.arrival.kind.class, Class::Aged | Class::Long)
             && hint.age.is_some_and(|age| age > MAX_AGE);
         if !self.policy.sticky && (too_old || work.stale) {
-            self.wait_for_log(id, place, life, missing);
+            self.wait_for_log(id, location, life, missing);
             return;
         }
         let item = Item {
@@ -42,19 +42,19 @@
             class: work.arrival.kind.class,
             deadline: work.deadline - self.size.to_caller - self.size.between_domains,
         };
-        if let Err(not_run) = group.holders[place.index].offer(now, item) {
-            self.reply(now, id, place, Reply::NotRun(not_run, hint));
+        if let Err(not_run) = group.holders[location.index].offer(now, item) {
+            self.reply(now, id, location, Reply::NotRun(not_run, hint));
         }
-        self.advance(place);
+        self.advance(location);
     }
 
-    /// Holds a read back until the replica is new enough, if that is soon.
-    pub(super) fn wait_for_log(&mut self, id: u64, place: Place, life: u64, missing: Span) {
+    /// Delays a read until the replica is new enough if that is soon, and refuses it otherwise.
+    pub(super) fn wait_for_log(&mut self, id: u64, location: Location, life: u64, missing: Span) {
         let now = self.now;
-        if missing > Span::ZERO && missing <= CATCH_UP {
+        if missing > Span::ZERO && missing <= CATCH_UP_TIMEOUT {
             let event = Event::AtHolder {
                 work: id,
-                place,
+                location,
                 life,
             };
             self.schedule(now + missing, event);
@@ -62,25 +62,30 @@
         }
         let not_run = NotRun {
             cause: Cause::Behind,
-            retry_after: CATCH_UP,
+            retry_after: CATCH_UP_TIMEOUT,
         };
-        let hint = self.hint(place);
-        self.reply(now + CATCH_UP, id, place, Reply::NotRun(not_run, hint));
+        let hint = self.hint(location);
+        self.reply(
+            now + CATCH_UP_TIMEOUT,
+            id,
+            location,
+            Reply::NotRun(not_run, hint),
+        );
     }
 
-    /// Carries out what a holder wants.
-    pub(super) fn advance(&mut self, place: Place) {
+    /// Carries out a holder's effects.
+    pub(super) fn advance(&mut self, location: Location) {
         let now = self.now;
         let connect = self.size.connect;
-        let effects = self.holder(place).advance(now);
-        let life = self.holder(place).life;
+        let effects = self.holder(location).advance(now);
+        let life = self.holder(location).life;
         for item in effects.late {
             let not_run = NotRun {
                 cause: Cause::Expired,
-                retry_after: self.holder(place).gate.wait(now),
+                retry_after: self.holder(location).gate.wait(now),
             };
-            let hint = self.hint(place);
-            self.reply(now, item.request.0, place, Reply::NotRun(not_run, hint));
+            let hint = self.hint(location);
+            self.reply(now, item.request.0, location, Reply::NotRun(not_run, hint));
         }
         for item in effects.start {
             let Some(work) = self.works.get(&item.request.0) else {
@@ -90,36 +95,49 @@
                 work: item.request.0,
                 service: work.arrival.service,
             };
-            let runs = self.holder(place).target.start(now, statement);
-            self.runs(place, life, statement.work, runs);
+            let runs = self.holder(location).target.start(now, statement);
+            self.schedule_end(location, life, statement.work, runs);
         }
         for _ in 0..effects.open {
-            self.schedule(now + connect, Event::Connected { place, life });
+            self.schedule(now + connect, Event::Connected { location, life });
         }
-        let holder = self.holder(place);
+        let holder = self.holder(location);
         let Some(wake) = holder.gate.wake() else {
             return;
         };
         if holder.wakes_at.is_none_or(|at| wake < at) {
             holder.wakes_at = Some(wake);
-            self.schedule(wake.max(now), Event::Wake { place, life });
+            self.schedule(wake.max(now), Event::Wake { location, life });
         }
     }
 
-    pub(super) fn runs(&mut self, place: Place, life: u64, work: u64, span: Option<Span>) {
+    pub(super) fn schedule_end(
+        &mut self,
+        location: Location,
+        life: u64,
+        work: u64,
+        span: Option<Span>,
+    ) {
         if let Some(span) = span {
             let at = self.now + span;
-            self.schedule(at, Event::Ended { place, life, work });
+            self.schedule(
+                at,
+                Event::Ended {
+                    location,
+                    life,
+                    work,
+                },
+            );
         }
     }
 
-    pub(super) fn ended(&mut self, place: Place, id: u64) {
+    pub(super) fn ended(&mut self, location: Location, id: u64) {
         let now = self.now;
-        let life = self.holder(place).life;
-        if let Some((next, span)) = self.holder(place).target.end(now) {
-            self.runs(place, life, next.work, Some(span));
+        let life = self.holder(location).life;
+        if let Some((next, span)) = self.holder(location).target.end(now) {
+            self.schedule_end(location, life, next.work, Some(span));
         }
-        let group = &mut self.groups[place.group];
+        let group = &mut self.groups[location.group];
         if let Some(work) = self.works.get(&id)
             && work.arrival.kind.class == Class::Confirm
         {
@@ -128,17 +146,17 @@
                 .last_write
                 .insert(work.arrival.session, (position, now));
         }
-        self.holder(place).ended(now, RequestId(id));
-        let hint = self.hint(place);
-        self.reply(now, id, place, Reply::Done(hint));
-        self.advance(place);
+        self.holder(location).ended(now, RequestId(id));
+        let hint = self.hint(location);
+        self.reply(now, id, location, Reply::Done(hint));
+        self.advance(location);
     }
 
-    pub(super) fn hint(&mut self, place: Place) -> Hint {
+    pub(super) fn hint(&mut self, location: Location) -> Hint {
         let now = self.now;
-        let group = &self.groups[place.group];
-        let holder = &group.holders[place.index];
-        let (position, age) = if group.primary == Some(place.index) {
+        let group = &self.groups[location.group];
+        let holder = &group.holders[location.index];
+        let (position, age) = if group.primary == Some(location.index) {
             (group.log.end(), Span::ZERO)
         } else {
             let target = &holder.target;
@@ -153,26 +171,26 @@
         }
     }
 
-    pub(super) fn reply(&mut self, at: Time, work: u64, place: Place, reply: Reply) {
+    pub(super) fn reply(&mut self, at: Time, work: u64, location: Location, reply: Reply) {
         let Some(attempt) = self.works.get(&work).map(|work| work.attempt) else {
             return;
         };
-        let at = at + self.way(work, place);
+        let at = at + self.network_delay(work, location);
         let event = Event::AtEntry {
             work,
             attempt,
-            place,
+            location,
             reply,
         };
         self.schedule(at, event);
     }
 
-    pub(super) fn way(&self, id: u64, place: Place) -> Span {
+    pub(super) fn network_delay(&self, id: u64, location: Location) -> Span {
         let Some(work) = self.works.get(&id) else {
             return Span::ZERO;
         };
-        let there = self.groups[place.group].holders[place.index].domain;
-        if self.entries[work.entry].domain == there {
+        let holder_domain = self.groups[location.group].holders[location.index].domain;
+        if self.entries[work.entry].domain == holder_domain {
             return Span::ZERO;
         }
         self.size.between_domains
--- a/src/experiment/holder.rs
+++ b/src/experiment/holder.rs
@@ -1,4 +1,4 @@
-//! The holder of a database in an experiment: the real gate and pool, before a played target.
+//! The holder of a database in an experiment: the real gate and pool, before a simulated target.
 
 use crate::clock::Time;
 use crate::core::gate::{self, Gate, Item};
@@ -13,15 +13,15 @@
 /// One database and its holder.
 #[derive(Debug)]
 pub struct Holder {
-    /// The failure domain of both.
+    /// The failure domain of the database and its holder.
     pub domain: usize,
     /// The database.
     pub target: Target,
-    /// What is let in.
+    /// Admission to the database.
     pub gate: Gate,
-    /// Counts the lives of the holder: what belongs to an earlier one is void.
+    /// The holder's life, counted up at each loss; events of an earlier life are ignored.
     pub life: u64,
-    /// The earliest wake that is scheduled.
+    /// The earliest scheduled wake-up.
     pub wakes_at: Option<Time>,
     pool: Pool,
     ready: VecDeque<Item>,
@@ -30,19 +30,19 @@
     opening: u32,
 }
 
-/// What a holder wants after something happened.
+/// The actions that follow from a change of a holder's state.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// Work to be started on a connection.
+    /// Work to start on a connection.
     pub start: Vec<Item>,
-    /// Work that was given up.
+    /// Work whose deadline passed in the queue.
     pub late: Vec<Item>,
-    /// Connections to open.
+    /// Number of connections to open.
     pub open: u32,
 }
 
 impl Holder {
-    /// The holder of database `index` of group `group`.
+    /// Creates the holder of database `index` of group `group`.
     pub fn new(size: &Size, policy: &Policy, group: usize, index: usize) -> Self {
         Self {
             domain: (group + index) % size.databases,
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Work arrives.
+    /// Offers arriving work to the gate.
     pub fn offer(&mut self, now: Time, item: Item) -> Result<(), NotRun> {
         self.gate.offer(now, item)
     }
 
-    /// Takes what can be started, given up and opened now.
+    /// Returns the work to start, the expired work and the number of connections to open now.
     pub fn advance(&mut self, now: Time) -> Effects {
         let mut effects = Effects {
             late: self.gate.expire(now),
@@ -87,21 +87,21 @@
         effects
     }
 
-    /// A connection is open.
+    /// Records that a connection was opened.
     pub fn connected(&mut self, now: Time) {
         self.opening -= 1;
         self.idle += 1;
         self.pool.opened(now);
     }
 
-    /// A statement ended.
+    /// Records that a statement ended.
     pub fn ended(&mut self, now: Time, request: RequestId) {
         self.busy -= 1;
         self.idle += 1;
         self.gate.finish(now, request);
     }
 
-    /// The domain is lost: the holder that comes after starts with nothing.
+    /// Loses the domain; the holder's next life starts with an empty queue and no connections.
     pub fn lose(&mut self, size: &Size, policy: &Policy) {
         self.target.lose();
         self.life += 1;
@@ -122,7 +122,7 @@
     }
 }
 
-/// Without a limit, the connections are what bounds the statements in flight.
+/// Under the naive policy, which has no limit, only the connections bound the statements in flight.
 fn new_gate(size: &Size, policy: gate::Policy) -> Gate {
     let in_flight = if policy == gate::Policy::naive() {
         size.connections
@@ -132,7 +132,7 @@
     Gate::with(in_flight, policy)
 }
 
-/// The pool that belongs to a deployment's sizes.
+/// The pool policy for a deployment's sizes.
 pub fn full_pool(size: &Size) -> pool::Policy {
     pool::Policy::for_slots(size.slots)
 }
--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -1,7 +1,7 @@
-//! Experiments with the decisions under load: played callers and databases on virtual time drive
-//! the code that serves real ones, beside the naive baseline.
+//! Load experiments with routing and admission: simulated callers and databases on virtual time drive
+//! the production code, and a naive baseline for comparison.
 //!
-//! Given the same seed a run gives the same figures on every machine.
+//! A run with the same seed gives the same figures on every machine.
 
 pub mod aim;
 pub mod deployment;
@@ -16,37 +16,37 @@
 
 use crate::clock::{Span, Time};
 use crate::experiment::deployment::Deployment;
-use crate::experiment::engine::{Engine, WARM};
+use crate::experiment::engine::{Engine, WARM_UP_END};
 use crate::experiment::pattern::Pattern;
 use crate::experiment::policy::Policy;
 use crate::experiment::report::Report;
 use std::fmt;
 
-/// What one run plays.
+/// The parameters of one run.
 #[derive(Debug, Clone)]
 pub struct Trial {
-    /// The sizes.
+    /// The sizes of the deployment.
     pub deployment: Deployment,
-    /// The load.
+    /// The load pattern.
     pub pattern: Pattern,
-    /// The multiple of the slots' rate, for saturation.
+    /// The load as a multiple of the slots' rate, for saturation.
     pub load: f64,
-    /// Without the greedy callers or the long work.
+    /// Whether to omit the greedy callers or the long work.
     pub alone: bool,
-    /// The rules.
+    /// The policy.
     pub policy: Policy,
-    /// What the draws start from.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// How long requests are counted.
+    /// The span over which requests are counted.
     pub length: Span,
 }
 
 impl Trial {
-    /// Plays it.
+    /// Runs the simulation.
     pub fn run(&self) -> Report {
         let size = self.deployment.size();
         let plan = pattern::plan(self.pattern, &size, self.load, self.alone);
-        let ends: Time = WARM + self.length;
+        let ends: Time = WARM_UP_END + self.length;
         let engine = Engine::new(size, self.policy.clone(), plan, self.seed, ends);
         Report::new(self, &engine.run())
     }
--- a/src/experiment/pattern.rs
+++ b/src/experiment/pattern.rs
@@ -1,4 +1,4 @@
-//! The patterns of load, as streams of requests and faults on virtual time.
+//! Load patterns: streams of requests and faults on virtual time.
 
 use crate::clock::{Span, Time};
 use crate::core::request::Class;
@@ -7,40 +7,40 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// What a short statement takes on average. Times are exponential, so some take five times that.
-pub const SHORT: Span = Span::from_millis(4);
+/// Mean time of a short statement. Times are exponential, so some take five times that.
+pub const SHORT_STATEMENT_TIME: Span = Span::from_millis(4);
 
-/// What a long statement takes on average.
-pub const LONG: Span = Span::from_millis(800);
+/// Mean time of a long statement.
+pub const LONG_STATEMENT_TIME: Span = Span::from_millis(800);
 
-/// What a caller waits at the most, the configuration's default.
-pub const PATIENCE: Span = Span::from_secs(5);
+/// How long a caller waits for an answer: the configuration's default.
+pub const REQUEST_TIMEOUT: Span = Span::from_secs(5);
 
-/// What a caller of long work waits at the most.
-pub const LONG_PATIENCE: Span = Span::from_secs(60);
+/// How long a caller of long work waits for an answer.
+pub const LONG_REQUEST_TIMEOUT: Span = Span::from_secs(60);
 
-/// The age that aged reads accept.
+/// The maximum age that aged reads accept.
 pub const MAX_AGE: Span = Span::from_secs(5);
 
-/// Ordinary callers of each group.
+/// Number of ordinary callers per group.
 const CALLERS: usize = 40;
 
-/// Greedy callers of each group.
+/// Number of greedy callers per group.
 const GREEDY_CALLERS: usize = 2;
 
-/// The moment when a pattern's trouble begins, and when it ends.
-const TROUBLE: (Time, Time) = (Time(12_000_000), Time(19_000_000));
+/// When a pattern's fault begins and ends.
+const FAULT_PERIOD: (Time, Time) = (Time(12_000_000), Time(19_000_000));
 
-/// A pattern of load.
+/// A load pattern.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Pattern {
-    /// Half of the slots' rate, nothing else.
+    /// Half of the slots' rate, without faults.
     Calm,
-    /// Half of the slots' rate, and four times it for a second in every five; those who are
-    /// turned away come back when they were told to.
+    /// Half of the slots' rate, and four times it for a second in every five; refused callers
+    /// retry after the time in the refusal.
     Burst,
-    /// Two callers a group ask for four times the slots' rate, beside forty who ask for 0.3.
+    /// Two callers per group send four times the slots' rate, beside forty who send 0.3 times it.
     Greedy,
     /// One replica of each group is ten times slower for seven seconds.
     Slow,
@@ -92,7 +92,7 @@
     }
 }
 
-/// What the requests of a stream do.
+/// The kinds of request in a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
     /// The deployment's mix of writes, session reads and aged reads.
@@ -106,22 +106,22 @@
 pub struct Stream {
     /// The group.
     pub group: usize,
-    /// The part of the names of its callers that they have in common.
+    /// The common prefix of its callers' names.
     pub prefix: &'static str,
-    /// How many callers there are; each request is of one of them at random.
+    /// Number of callers; each request comes from one of them at random.
     pub callers: usize,
-    /// What they do.
+    /// The kinds of request.
     pub mix: Mix,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// The multiple of the rate in the first second of every five.
     pub burst: f64,
 }
 
-/// A change of a database or a domain.
+/// A fault of a database or a failure domain, or the end of one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// The last replica of each group runs statements this many times slower.
+    /// The last replica of each group runs statements slower by this factor.
     Slow(f64),
     /// The first failure domain is lost.
     Lost,
@@ -129,22 +129,22 @@
     Back,
 }
 
-/// A pattern as laid out for a deployment.
+/// The streams and faults of a pattern in a deployment.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// The streams of requests.
     pub streams: Vec<Stream>,
     /// The faults and their times.
     pub faults: Vec<(Time, Fault)>,
-    /// Whether callers who are turned away come back when they were told to.
-    pub returns: bool,
+    /// Whether refused callers retry after the time in the refusal.
+    pub retries: bool,
 }
 
-/// Lays `pattern` out; `load` multiplies the rate of saturation, `alone` leaves out the greedy
+/// Builds the plan of `pattern`; `load` multiplies the rate of saturation, `alone` omits the greedy
 /// callers or the long work.
 pub fn plan(pattern: Pattern, size: &Size, load: f64, alone: bool) -> Plan {
     let slots = size.databases as f64 * f64::from(size.slots);
-    let full = slots / seconds(SHORT);
+    let full = slots / seconds(SHORT_STATEMENT_TIME);
     let base = match pattern {
         Pattern::Calm | Pattern::Burst | Pattern::Slow | Pattern::Domain => 0.5,
         Pattern::Greedy | Pattern::Long => 0.3,
@@ -177,7 +177,7 @@
                 prefix: "report",
                 callers: GREEDY_CALLERS,
                 mix: Mix::Long,
-                rate: slots / seconds(LONG),
+                rate: slots / seconds(LONG_STATEMENT_TIME),
                 ..usual
             });
         }
@@ -185,12 +185,12 @@
     Plan {
         streams,
         faults: faults(pattern),
-        returns: pattern == Pattern::Burst,
+        retries: pattern == Pattern::Burst,
     }
 }
 
 fn faults(pattern: Pattern) -> Vec<(Time, Fault)> {
-    let (from, to) = TROUBLE;
+    let (from, to) = FAULT_PERIOD;
     match pattern {
         Pattern::Slow => vec![(from, Fault::Slow(10.0)), (to, Fault::Slow(1.0))],
         Pattern::Domain => vec![(from, Fault::Lost), (to, Fault::Back)],
@@ -198,16 +198,16 @@
     }
 }
 
-/// A span in seconds.
+/// Converts a span to seconds.
 pub fn seconds(span: Span) -> f64 {
     span.0 as f64 / 1e6
 }
 
-/// What is reported apart: classes, and within them callers that differ.
+/// The key of a row in reports: the class, and the callers' prefix within it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Kind {
     /// The class.
     pub class: Class,
-    /// The common part of the callers' names.
+    /// The common prefix of the callers' names.
     pub prefix: &'static str,
 }
--- a/src/experiment/policy.rs
+++ b/src/experiment/policy.rs
@@ -6,12 +6,12 @@
 use crate::experiment::holder;
 use std::str::FromStr;
 
-/// One rule for each decision.
+/// The policy of each decision.
 #[derive(Debug, Clone)]
 pub struct Policy {
     /// The name in reports.
     pub name: Box<str>,
-    /// Queue and slots.
+    /// Queueing and limits on running statements.
     pub gate: gate::Policy,
     /// Choice of database.
     pub route: route::Policy,
@@ -19,13 +19,13 @@
     pub pool: pool::Policy,
     /// Retries.
     pub budget: Budget,
-    /// Whether a session's reads go to the primary for [`crate::experiment::engine::STICKY`] after its write, instead of
-    /// anywhere that has the write.
+    /// Whether a session's reads go to the primary for [`crate::experiment::engine::STICKY_PERIOD`]
+    /// after its write, rather than to any database that has the write.
     pub sticky: bool,
 }
 
 impl Policy {
-    /// All rules of the proxy.
+    /// The proxy's own policy, with all rules.
     pub fn full(size: &Size) -> Self {
         Self {
             name: "full".into(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// First come first served, no limit but the connections, round robin, stickiness by time.
+    /// First come first served, limited only by connections, with round robin and time-based stickiness.
     pub fn naive() -> Self {
         Self {
             name: "naive".into(),
@@ -50,24 +50,24 @@
     }
 }
 
-/// One rule that can be left out of a run, to see what it is worth.
+/// A rule that a run can omit to measure its effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
     /// Admission by expected wait.
     Bounded,
-    /// Short queues under a load that lasts.
+    /// Shorter queues under a lasting overload.
     Short,
     /// Fair shares and classes.
     Fair,
-    /// Slots that long work can't take.
+    /// Slots reserved from long work.
     Reserve,
     /// The adaptive limit.
     Adaptive,
-    /// Routing by what is known of replicas.
+    /// Routing by the state of replicas.
     Informed,
-    /// Slow shifts.
+    /// Gradual shifts of load between databases.
     Ramped,
-    /// Spilling to the primary.
+    /// Spilling reads to the primary.
     Spills,
     /// Spare connections.
     Spare,
@@ -102,7 +102,7 @@
 }
 
 impl Policy {
-    /// This policy with `rule` left out.
+    /// This policy without `rule`.
     pub fn without(mut self, rule: Rule) -> Self {
         match rule {
             Rule::Bounded => self.gate.bounded = false,
--- a/src/experiment/report.rs
+++ b/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! What a run gave, as a table or JSON.
+//! The results of a run, as a table or JSON.
 
 use crate::core::request::Class;
 use crate::experiment::Trial;
@@ -13,51 +13,51 @@
 pub struct Row {
     /// The class.
     pub class: Class,
-    /// The common part of its callers' names.
+    /// The common prefix of the callers' names.
     pub callers: Box<str>,
-    /// Requests sent, a second.
+    /// Requests sent per second.
     pub offered: f64,
-    /// Requests answered in time, a second.
+    /// Requests answered in time, per second.
     pub goodput: f64,
     /// Median from sending to answer, in milliseconds.
     pub answer_p50: f64,
     /// 99th percentile from sending to answer, in milliseconds.
     pub answer_p99: f64,
-    /// Median of the same without the statement's own time.
+    /// Median of the same without the statement's own time, in milliseconds.
     pub wait_p50: f64,
-    /// Its 99th percentile.
+    /// 99th percentile of the same without the statement's own time, in milliseconds.
     pub wait_p99: f64,
-    /// Share told that it was not run, in per cent.
+    /// Share answered "not run", in percent.
     pub not_run: f64,
-    /// 99th percentile of the time until it was told so, in milliseconds.
+    /// 99th percentile of the time until the answer "not run", in milliseconds.
     pub refusal_p99: f64,
-    /// Share answered after its caller had given up, in per cent.
+    /// Share answered after the caller's timeout, in percent.
     pub late: f64,
-    /// Share whose outcome is unknown, in per cent.
+    /// Share whose outcome is unknown, in percent.
     pub unknown: f64,
-    /// Share of the answered that replicas served, in per cent.
+    /// Share of the answered requests that replicas served, in percent.
     pub replica: f64,
-    /// Answers that lacked the session's own write.
+    /// Number of answers that lacked the session's own write.
     pub stale: u64,
 }
 
 /// Figures of one run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Report {
-    /// What was played.
+    /// The parameters of the run.
     pub trial: Box<str>,
     /// By kind of request.
     pub rows: Vec<Row>,
-    /// Requests answered in time, a second, of all kinds.
+    /// Requests of all kinds answered in time, per second.
     pub goodput: f64,
-    /// Jain's index over callers of what they got against their max-min fair part.
+    /// Jain's index over callers of the requests served against their max-min fair share.
     pub fairness: f64,
 }
 
 const MICROS_PER_MILLI: f64 = 1e3;
 
 impl Report {
-    /// Sums up a trial's counts.
+    /// Summarises a trial's counts.
     pub fn new(trial: &Trial, stats: &Stats) -> Self {
         let length = seconds(trial.length);
         let rows: Vec<Row> = stats
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The row of a class of the ordinary callers.
+    /// The row of a class for the ordinary callers.
     pub fn row(&self, class: Class) -> Option<&Row> {
         self.rows
             .iter()
--- a/src/experiment/source.rs
+++ b/src/experiment/source.rs
@@ -1,57 +1,58 @@
-//! Requests drawn from a stream by a seeded generator.
+//! Requests generated from a stream by a seeded generator.
 
 use crate::clock::{Span, Time};
 use crate::core::request::Class;
 use crate::experiment::deployment::Size;
 use crate::experiment::pattern::{
-    Kind, LONG, LONG_PATIENCE, Mix, PATIENCE, SHORT, Stream, seconds,
+    Kind, LONG_REQUEST_TIMEOUT, LONG_STATEMENT_TIME, Mix, REQUEST_TIMEOUT, SHORT_STATEMENT_TIME,
+    Stream, seconds,
 };
 use crate::types::CallerId;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Sessions of each caller. A firm has so many brokers or clerks.
-const SESSIONS: u32 = 50;
+/// Sessions per caller: a firm has this many brokers or clerks.
+const SESSIONS_PER_CALLER: u32 = 50;
 
-/// Half of all session reads look at what the session has just written, within this time.
-const FOLLOWS_WITHIN: Span = Span::from_secs(1);
+/// Half of all session reads read back the session's last write, within this time.
+const READ_BACK_WINDOW: Span = Span::from_secs(1);
 
-/// A burst comes once in this time, and lasts for its first second.
+/// The interval between bursts; each lasts for the first fifth of it, one second.
 const BURST_PERIOD: Span = Span::from_secs(5);
 
 /// One request as its caller sends it.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// What it is reported as.
+    /// The kind that it is reported under.
     pub kind: Kind,
-    /// The group asked.
+    /// The group that it is sent to.
     pub group: usize,
-    /// Whose it is.
+    /// The caller that sends it.
     pub caller: CallerId,
     /// The session, unique in its group.
     pub session: u32,
-    /// The entry that it reaches, by the balancer.
+    /// The index of the entry that the load balancer chose.
     pub entry: usize,
-    /// Its time on a warm database.
+    /// Its execution time on a warm database.
     pub service: Span,
     /// When it is sent.
-    pub born: Time,
-    /// How long its caller has use for an answer.
-    pub patience: Span,
+    pub sent_at: Time,
+    /// How long its caller waits for an answer.
+    pub timeout: Span,
 }
 
-/// One draw from a source.
+/// The result of one draw from a source.
 #[derive(Debug)]
 pub struct Drawn {
-    /// The request that is sent now.
+    /// The request to send now.
     pub arrival: Option<Arrival>,
-    /// Reads by which its session looks at what it wrote.
-    pub follows: Vec<(Time, Arrival)>,
+    /// Later reads by which the session reads back its write.
+    pub follow_ups: Vec<(Time, Arrival)>,
     /// When to draw again.
     pub next: Time,
 }
 
-/// A stream and its generator.
+/// A stream and its random number generator.
 #[derive(Debug)]
 pub struct Source {
     stream: Stream,
@@ -62,7 +63,7 @@
 }
 
 impl Source {
-    /// The source of `stream`, the `number`th of its plan.
+    /// Creates the source of `stream`; `number` is its index in the plan.
     pub fn new(stream: Stream, size: &Size, seed: u64, number: u64) -> Self {
         let callers = (0..stream.callers)
             .filter_map(|caller| {
@@ -81,12 +82,12 @@
         }
     }
 
-    /// Draws what is sent at `now`; the first draw only tells when to begin.
+    /// Draws the request to send at `now`; the first draw returns only the time of the next.
     pub fn next(&mut self, now: Time) -> Drawn {
         let arrival = self.started.then(|| self.arrival(now));
         self.started = true;
-        let follows = match &arrival {
-            Some(arrival) if arrival.kind.class == Class::Confirm => self.follows(arrival),
+        let follow_ups = match &arrival {
+            Some(arrival) if arrival.kind.class == Class::Confirm => self.follow_ups(arrival),
             _ => Vec::new(),
         };
         let burst = now.0 % BURST_PERIOD.0 < BURST_PERIOD.0 / 5;
@@ -94,12 +95,12 @@
         let gap = self.exponential(Span((1e6 / rate) as u64));
         Drawn {
             arrival,
-            follows,
+            follow_ups,
             next: now + gap,
         }
     }
 
-    /// The rate without follow-ups, which come on top.
+    /// The rate without follow-up reads, which are sent in addition.
     fn rate(&self) -> f64 {
         let followed = match self.stream.mix {
             Mix::Usual => f64::from(self.size.session_reads / 2),
@@ -108,12 +109,12 @@
         self.stream.rate * (100.0 - followed) / 100.0
     }
 
-    fn arrival(&mut self, born: Time) -> Arrival {
+    fn arrival(&mut self, sent_at: Time) -> Arrival {
         let caller = self.random.random_range(0..self.callers.len());
         let class = self.class();
-        let (mean, patience) = match class {
-            Class::Long => (LONG, LONG_PATIENCE),
-            _ => (SHORT, PATIENCE),
+        let (mean, timeout) = match class {
+            Class::Long => (LONG_STATEMENT_TIME, LONG_REQUEST_TIMEOUT),
+            _ => (SHORT_STATEMENT_TIME, REQUEST_TIMEOUT),
         };
         Arrival {
             kind: Kind {
@@ -122,15 +123,16 @@
             },
             group: self.stream.group,
             caller: self.callers[caller].clone(),
-            session: caller as u32 * SESSIONS + self.random.random_range(0..SESSIONS),
+            session: caller as u32 * SESSIONS_PER_CALLER
+                + self.random.random_range(0..SESSIONS_PER_CALLER),
             entry: self.random.random_range(0..self.size.entries),
             service: self.exponential(mean),
-            born,
-            patience,
+            sent_at,
+            timeout,
         }
     }
 
-    /// Draws a class for what isn't sent as the follow-up of a write.
+    /// Draws the class of a request that is not a follow-up read.
     fn class(&mut self) -> Class {
         if self.stream.mix == Mix::Long {
             return Class::Long;
@@ -146,19 +148,19 @@
         }
     }
 
-    fn follows(&mut self, write: &Arrival) -> Vec<(Time, Arrival)> {
+    fn follow_ups(&mut self, write: &Arrival) -> Vec<(Time, Arrival)> {
         let mean = f64::from(self.size.session_reads) / 2.0 / f64::from(self.size.writes);
         let count = mean.floor() as u32 + u32::from(self.random.random_bool(mean.fract()));
         (0..count)
             .map(|_| {
-                let gap = self.random.random_range(0..FOLLOWS_WITHIN.0);
-                let born = write.born + Span(gap);
+                let gap = self.random.random_range(0..READ_BACK_WINDOW.0);
+                let sent_at = write.sent_at + Span(gap);
                 let mut read = write.clone();
                 read.kind.class = Class::Session;
                 read.entry = self.random.random_range(0..self.size.entries);
-                read.service = self.exponential(SHORT);
-                read.born = born;
-                (born, read)
+                read.service = self.exponential(SHORT_STATEMENT_TIME);
+                read.sent_at = sent_at;
+                (sent_at, read)
             })
             .collect()
     }
--- a/src/experiment/stats.rs
+++ b/src/experiment/stats.rs
@@ -1,4 +1,4 @@
-//! What callers got, counted.
+//! Counts of the outcomes for callers.
 
 use crate::clock::{Span, Time};
 use crate::experiment::pattern::Kind;
@@ -11,58 +11,58 @@
 pub enum End {
     /// Answered in time.
     Done,
-    /// Answered after the caller had given up.
+    /// Answered after the caller's timeout.
     Late,
-    /// Turned away or given up unrun, and told so.
+    /// Refused or expired before it ran, and answered "not run".
     NotRun,
-    /// Lost with a database while it ran.
+    /// Lost with a database while it ran, so that its outcome is unknown.
     Unknown,
 }
 
-/// One request that ended.
+/// A request that ended.
 #[derive(Debug, Clone)]
 pub struct Ended<'a> {
-    /// What it was.
+    /// The kind of request.
     pub kind: Kind,
-    /// Whose it was.
+    /// The caller that sent it.
     pub caller: &'a str,
-    /// How.
+    /// The outcome.
     pub end: End,
     /// When it was first sent.
-    pub born: Time,
-    /// When its caller heard.
-    pub heard: Time,
-    /// What it would have taken without waiting for anything.
+    pub sent_at: Time,
+    /// When its caller received the answer.
+    pub received: Time,
+    /// Its execution time on a warm database.
     pub service: Span,
     /// Whether a replica answered.
     pub replica: bool,
-    /// Whether it read less than its session had written.
+    /// Whether the answer lacked the session's own write.
     pub stale: bool,
 }
 
-/// Highest time that histograms hold, in microseconds; longer ones count as this.
+/// Highest time in the histograms, in microseconds; longer ones are recorded as this.
 const HIGHEST: u64 = 120_000_000;
 
 /// Counts of one kind of request.
 #[derive(Debug)]
 pub struct Count {
-    /// Requests by how they ended.
+    /// Requests answered in time.
     pub done: u64,
-    /// Answered too late.
+    /// Requests answered after the caller's timeout.
     pub late: u64,
-    /// Turned away.
+    /// Requests answered "not run".
     pub not_run: u64,
-    /// Outcome unknown.
+    /// Requests with an unknown outcome.
     pub unknown: u64,
-    /// Done by a replica.
+    /// Requests answered in time by a replica.
     pub replica: u64,
-    /// Done, but older than its session's writes.
+    /// Requests answered in time without the session's own writes.
     pub stale: u64,
-    /// From sending to hearing, in microseconds, of those done.
+    /// Time from sending to answer, in microseconds, of those answered in time.
     pub answer: Histogram<u64>,
     /// The same without the statement's own time.
     pub wait: Histogram<u64>,
-    /// From sending to hearing "not run", in microseconds.
+    /// Time from sending to the answer "not run", in microseconds.
     pub refusal: Histogram<u64>,
 }
 
@@ -92,16 +92,16 @@
 pub struct Stats {
     /// By kind of request.
     pub kinds: BTreeMap<Kind, Count>,
-    /// By caller: offered, and done in time.
+    /// By caller: requests sent, and requests answered in time.
     pub callers: BTreeMap<Box<str>, Share>,
 }
 
-/// What one caller asked for and got.
+/// The requests of one caller.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Share {
     /// Requests sent.
     pub offered: u64,
-    /// Requests done in time.
+    /// Requests answered in time.
     pub done: u64,
 }
 
@@ -122,7 +122,7 @@
                 Err(_) => return,
             },
         };
-        let took = ended.heard.since(ended.born);
+        let took = ended.received.since(ended.sent_at);
         match ended.end {
             End::Done => {
                 count.done += 1;
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Jain's index of what callers got against the max-min fair part of what was served: 1 if
-    /// each got its demand or an equal share, 1/n if one of n got all.
+    /// Jain's index of the requests served against each caller's max-min fair share: 1 if each got
+    /// its demand or an equal share, 1/n if one of n got all.
     pub fn fairness(&self) -> f64 {
         let fair = self.fair_share();
         let parts: Vec<f64> = self
@@ -159,7 +159,7 @@
         sum * sum / (parts.len() as f64 * squares)
     }
 
-    /// The level up to which each caller's demand is met when what was served is dealt out equally.
+    /// The max-min fair share: the level up to which each caller's demand is met.
     fn fair_share(&self) -> f64 {
         let mut offered: Vec<u64> = self.callers.values().map(|share| share.offered).collect();
         offered.sort_unstable();
--- a/src/experiment/target.rs
+++ b/src/experiment/target.rs
@@ -1,39 +1,39 @@
-//! A database as the experiment plays it: slots, speed, and a log that replicas apply late.
+//! A simulated database: slots, speed, and a log that replicas apply with a lag.
 
 use crate::clock::{Span, Time};
 use crate::types::{Offset, Position, Term};
 use std::collections::VecDeque;
 
-/// How often a database is probed: a proof of age is this old at the most.
-const PROBE: Span = Span::from_millis(250);
+/// The interval between probes of a database, and so the maximum age of a probe's result.
+const PROBE_INTERVAL: Span = Span::from_millis(250);
 
-/// What cold caches multiply a statement's time by in the first moment after a return.
-const COLD: f64 = 5.0;
+/// The factor by which cold caches slow statements down right after recovery.
+const COLD_CACHE_FACTOR: f64 = 5.0;
 
-/// The time in which the slowness of cold caches halves.
-const WARM_UP: Span = Span::from_secs(1);
+/// The time in which the slowdown by cold caches halves.
+const COLD_CACHE_HALF_LIFE: Span = Span::from_secs(1);
 
-/// The least lag of a replica; the second replica of a group has three times that.
-const LAG: Span = Span::from_millis(40);
+/// The mean lag of the first replica of a group; the second replica has three times that.
+const MEAN_LAG: Span = Span::from_millis(40);
 
-/// Lags swing by half up and down within this period.
-const SWING: Span = Span::from_secs(7);
+/// The period in which a lag swings by half above and below its mean.
+const LAG_PERIOD: Span = Span::from_secs(7);
 
 /// A statement at a database.
 #[derive(Debug, Clone, Copy)]
 pub struct Statement {
-    /// The work's number.
+    /// The number of the request.
     pub work: u64,
-    /// Its time on a warm database.
+    /// Its execution time on a warm database.
     pub service: Span,
 }
 
-/// One database.
+/// A simulated database.
 #[derive(Debug)]
 pub struct Target {
     /// Whether it can be reached.
     pub up: bool,
-    /// How many times slower than usual it is.
+    /// The factor by which a fault slows statements down.
     pub slowness: f64,
     slots: usize,
     running: usize,
@@ -43,7 +43,7 @@
 }
 
 impl Target {
-    /// The database number `index` of its group.
+    /// Creates the database `index` of its group.
     pub fn new(slots: u32, index: usize) -> Self {
         Self {
             up: true,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A statement arrives; returns how long it runs if it starts now.
+    /// Starts a statement or queues it; returns how long it runs if it starts now.
     pub fn start(&mut self, now: Time, statement: Statement) -> Option<Span> {
         if self.running >= self.slots {
             self.queue.push_back(statement);
@@ -66,7 +66,7 @@
         Some(self.time_of(now, statement))
     }
 
-    /// A statement ended; returns the one that starts in its place, and its time.
+    /// Ends a statement; returns the queued one that starts in its place, and how long that runs.
     pub fn end(&mut self, now: Time) -> Option<(Statement, Span)> {
         self.running = self.running.saturating_sub(1);
         let statement = self.queue.pop_front()?;
@@ -74,14 +74,14 @@
         Some((statement, self.time_of(now, statement)))
     }
 
-    /// All that ran is gone.
+    /// Makes the database unreachable and drops its statements.
     pub fn lose(&mut self) {
         self.up = false;
         self.running = 0;
         self.queue.clear();
     }
 
-    /// It can be reached again.
+    /// Makes the database reachable again, with cold caches.
     pub fn recover(&mut self, now: Time) {
         self.up = true;
         self.cold_since = Some(now);
@@ -89,22 +89,22 @@
 
     fn time_of(&self, now: Time, statement: Statement) -> Span {
         let cold = self.cold_since.map_or(0.0, |since| {
-            let halvings = now.since(since).0 as f64 / WARM_UP.0 as f64;
-            (COLD - 1.0) * 0.5f64.powf(halvings)
+            let halvings = now.since(since).0 as f64 / COLD_CACHE_HALF_LIFE.0 as f64;
+            (COLD_CACHE_FACTOR - 1.0) * 0.5f64.powf(halvings)
         });
         Span((statement.service.0 as f64 * self.slowness * (1.0 + cold)) as u64)
     }
 
-    /// How far behind the primary it is as a replica.
+    /// Its lag behind the primary, as a replica.
     pub fn lag(&self, now: Time) -> Span {
-        let base = LAG.0 as f64 * (1 + 2 * (self.index % 2)) as f64;
-        let phase = now.0 as f64 / SWING.0 as f64 * std::f64::consts::TAU;
+        let base = MEAN_LAG.0 as f64 * (1 + 2 * (self.index % 2)) as f64;
+        let phase = now.0 as f64 / LAG_PERIOD.0 as f64 * std::f64::consts::TAU;
         Span((base * (1.0 + 0.5 * (phase + self.index as f64).sin())) as u64)
     }
 
-    /// Its proven age: its lag, and the time since it was probed.
+    /// The upper bound on its age: its lag plus the time since the last probe.
     pub fn age(&self, now: Time) -> Span {
-        self.lag(now) + Span(now.0 % PROBE.0)
+        self.lag(now) + Span(now.0 % PROBE_INTERVAL.0)
     }
 }
 
@@ -116,16 +116,16 @@
     end: u64,
 }
 
-/// What is forgotten of a log: far longer ago than any lag.
-const MEMORY: Span = Span::from_secs(30);
+/// How long log entries are kept: far longer than any lag.
+const LOG_RETENTION: Span = Span::from_secs(30);
 
 impl Log {
-    /// A write commits; returns its position.
+    /// Commits a write; returns its position.
     pub fn write(&mut self, now: Time) -> Position {
         self.end += 1;
         self.written.push_back((now, self.end));
         while let Some(&(at, end)) = self.written.front() {
-            if now.since(at) < MEMORY {
+            if now.since(at) < LOG_RETENTION {
                 break;
             }
             self.applied_by_all = end;
@@ -139,7 +139,7 @@
         position(self.end)
     }
 
-    /// How far the log was at `at`.
+    /// The end of the log at the time `at`.
     pub fn end_at(&self, at: Time) -> Position {
         let count = self.written.partition_point(|(written, _)| *written <= at);
         match count.checked_sub(1) {
--- a/tests/decisions_experiment.rs
+++ b/tests/decisions_experiment.rs
@@ -1,4 +1,4 @@
-//! What callers get under each pattern of load, in short runs of the experiment with a fixed seed.
+//! Outcomes for callers under each load pattern, in short runs of the experiment with a fixed seed.
 
 use lentilspoke::clock::Span;
 use lentilspoke::core::request::Class;
@@ -29,8 +29,8 @@
     report.row(class).unwrap()
 }
 
-// The slots are asked for four times what they can serve. Callers get as much as at once the rate;
-// first come first served would give nearly everyone an answer just too late.
+// Requests arrive at four times the slots' rate. Goodput is as high as at the rate itself; first
+// come first served would answer nearly every request just too late.
 #[test]
 fn saturation_keeps_goodput() {
     let once = full(Pattern::Saturation, 1.0);
@@ -41,8 +41,8 @@
     assert!(naive.goodput < 0.2 * once.goodput, "{naive}");
 }
 
-// Two callers a group ask for four times the slots' rate. The others are all served, within
-// milliseconds, and get no less than their max-min fair part.
+// Two callers per group send four times the slots' rate. All requests of the others are served within
+// milliseconds, and no caller gets less than its max-min fair share.
 #[test]
 fn greedy_callers_do_not_crowd_out_others() {
     let report = full(Pattern::Greedy, 1.0);
@@ -53,8 +53,8 @@
     assert!(report.fairness > 0.99, "{report}");
 }
 
-// Reports that run for most of a second are sent faster than all slots could serve them. Short work
-// is all served; without the reserved slot nearly no read would be.
+// Reports that run for most of a second arrive faster than all slots can serve them. All short work
+// is served; without the reserved slot hardly any reads would be.
 #[test]
 fn long_work_does_not_block_short() {
     let report = full(Pattern::Long, 1.0);
@@ -64,8 +64,8 @@
     assert!(row(&naive, Class::Aged).goodput < 0.5 * row(&report, Class::Aged).goodput);
 }
 
-// A replica of each group is ten times slower for a while: nobody is turned away, and reads
-// shift to the other replica and what the primary has to spare.
+// A replica of each group is ten times slower for a while: no request is refused, and reads
+// shift to the other replica and the primary's spare capacity.
 #[test]
 fn a_slow_replica_is_shifted_away_from() {
     let report = full(Pattern::Slow, 1.0);
@@ -75,8 +75,8 @@
     assert!(row(&naive, Class::Aged).answer_p99 > 500.0, "{naive}");
 }
 
-// A failure domain is lost. Reads that were under way there are sent elsewhere; only confirmations of
-// the group without a primary are told "not run", at once.
+// A failure domain is lost. Reads in progress there are sent elsewhere; only confirmations of the
+// group without a primary are answered "not run", at once.
 #[test]
 fn a_lost_domain_costs_no_reads() {
     let report = full(Pattern::Domain, 1.0);
@@ -87,8 +87,8 @@
     assert!(row(&report, Class::Confirm).refusal_p99 < 50.0, "{report}");
 }
 
-// Reads of a stated age go to replicas while these lag less, and a session's reads go wherever its
-// write has arrived, far sooner than a fixed time after it.
+// Reads by age go to replicas whose lag allows it, and a session's reads to any database that has
+// its write, far sooner than a fixed time after it.
 #[test]
 fn replicas_serve_the_reads() {
     let report = full(Pattern::Calm, 1.0);
@@ -99,8 +99,8 @@
     assert!(report.rows.iter().all(|row| row.stale == 0), "{report}");
 }
 
-// Bursts of four times the slots' rate for a second in every five; those turned away come back when
-// they were told to. Confirmations all arrive, and more requests are served than first come
+// Bursts of four times the slots' rate for a second in every five; refused callers retry after the
+// time in the refusal. All confirmations are served, and more requests than under first come
 // first served.
 #[test]
 fn bursts_are_ridden_out() {
