--- a/src/slopes/backend.rs
+++ b/src/slopes/backend.rs
@@ -1,4 +1,4 @@
-//! A fleet's databases, which only answer orders about terms.
+//! Simulated databases of a fleet, which only execute orders about terms.
 
 use crate::config::{Database, Document};
 use crate::core::database::{Order, Refusal, State};
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 #[derive(Debug)]
-pub(super) struct Base {
+pub(super) struct Backend {
     group: GroupId,
     term: Term,
     open: bool,
@@ -16,7 +16,7 @@
     lineage: Lineage,
 }
 
-impl Base {
+impl Backend {
     fn state(&self) -> State {
         let position = Position::default();
         State {
@@ -28,7 +28,7 @@
         }
     }
 
-    pub fn obey(&mut self, order: Order, seat: usize) -> Result<State, Refusal> {
+    pub fn execute(&mut self, order: Order, host: usize) -> Result<State, Refusal> {
         match order {
             Order::Raise(term) if may_raise(self.term, term) => {
                 self.term = term;
@@ -39,7 +39,7 @@
                     self.lineage.open(term, Position::default());
                 }
                 self.open = true;
-                self.opener = Some(seat);
+                self.opener = Some(host);
             }
             Order::Raise(_) | Order::Open(_) => return Err(Refusal::Term(self.term)),
             Order::Report | Order::Reach(_) => {}
@@ -48,32 +48,32 @@
     }
 }
 
-/// How many groups have no primary that was opened in their highest term by a seat that lives.
+/// Number of groups without a primary that a live host opened in the group's highest term.
 pub(super) fn unserved<'a>(
-    bases: impl Iterator<Item = &'a Base>,
+    backends: impl Iterator<Item = &'a Backend>,
     live: impl Fn(usize) -> bool,
 ) -> usize {
-    let mut highest: HashMap<&GroupId, &Base> = HashMap::new();
-    for base in bases {
-        let best = highest.entry(&base.group).or_insert(base);
-        if (base.term, base.open) > (best.term, best.open) {
-            *best = base;
+    let mut highest: HashMap<&GroupId, &Backend> = HashMap::new();
+    for backend in backends {
+        let best = highest.entry(&backend.group).or_insert(backend);
+        if (backend.term, backend.open) > (best.term, best.open) {
+            *best = backend;
         }
     }
-    let served = |base: &&&Base| base.open && base.opener.is_some_and(&live);
+    let served = |backend: &&&Backend| backend.open && backend.opener.is_some_and(&live);
     highest.len() - highest.values().filter(served).count()
 }
 
-pub(super) fn bases(document: &Document) -> HashMap<DatabaseId, Base> {
-    let base = |(group, id, _): (&GroupId, &DatabaseId, &Database)| {
-        let base = Base {
+pub(super) fn backends(document: &Document) -> HashMap<DatabaseId, Backend> {
+    let backend = |(group, id, _): (&GroupId, &DatabaseId, &Database)| {
+        let backend = Backend {
             group: group.clone(),
             term: Term(0),
             open: false,
             opener: None,
             lineage: Lineage::default(),
         };
-        (id.clone(), base)
+        (id.clone(), backend)
     };
-    document.databases().map(base).collect()
+    document.databases().map(backend).collect()
 }
--- a/src/slopes/callers.rs
+++ b/src/slopes/callers.rs
@@ -1,7 +1,7 @@
-//! Resident memory of a process for each caller that is connected and idle.
+//! Resident memory of a process per connected, idle caller.
 //!
-//! Connections only grow while this is measured, so that memory which the allocator keeps of
-//! closed ones hides nothing. The callers' ends are bare sockets of this process.
+//! Connections are only added during the measurement, because memory that the allocator keeps from
+//! closed ones would hide growth. The callers' ends are plain sockets of this process.
 
 use crate::clock::Span;
 use crate::process;
@@ -17,10 +17,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// How long one answer may take.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// How long to wait for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The first byte of the message that ends each answer, ReadyForQuery; its whole length is six.
+/// The first byte of ReadyForQuery, the message that ends each answer; the message is six bytes long.
 const READY: u8 = b'Z';
 const READY_LENGTH: usize = 6;
 
@@ -38,17 +38,17 @@
     Message(#[from] pgwire::error::PgWireError),
 }
 
-/// What is measured.
+/// The parameters of a measurement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// Connections, rising.
+    /// Numbers of connections, in rising order.
     pub counts: Vec<usize>,
-    /// How long memory is left to settle before it is read.
+    /// How long memory settles before it is read.
     pub settle: Span,
 }
 
-/// Measures idle callers, and hands each row of the report to `print`. Lets `then` measure
-/// more while they are still connected, so that it finds no memory free that they gave back.
+/// Measures idle callers and passes each row of the report to `print`. Calls `then` while they are
+/// still connected, so that its measurement can't reuse memory that they freed.
 pub async fn run(plan: &Plan, print: impl Fn(String), then: impl FnOnce()) -> Result<(), Error> {
     let demo = ideal(1).await?;
     let measured = match demo.callers().first() {
@@ -76,13 +76,13 @@
         connected.push(read(count, plan.settle).await);
     }
     show("0 statements each", &connected, &print);
-    let mut asked = 0;
+    let mut queried = 0;
     let mut used = vec![read(0, plan.settle).await];
     for &count in &plan.counts {
-        for stream in open.iter_mut().take(count).skip(asked) {
-            ask(stream).await?;
+        for stream in open.iter_mut().take(count).skip(queried) {
+            run_query(stream).await?;
         }
-        asked = count;
+        queried = count;
         used.push(read(count, plan.settle).await);
     }
     show("1 statement, added", &used, &print);
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// Prints levels and the line through them.
+/// Prints the readings and the line fitted through them.
 pub fn show(name: &str, levels: &[Level], print: &impl Fn(String)) {
     for level in levels {
         print(format!(
@@ -121,14 +121,14 @@
     Ok(stream)
 }
 
-async fn ask(stream: &mut TcpStream) -> Result<(), Error> {
+async fn run_query(stream: &mut TcpStream) -> Result<(), Error> {
     let query = Query::new("SELECT body FROM ledger WHERE id = 'none'".into());
     let mut text = BytesMut::new();
     PgWireFrontendMessage::Query(query).encode(&mut text)?;
     exchange(stream, &text).await
 }
 
-/// Sends `text` and reads until the answer's end.
+/// Sends `text` and reads until the end of the answer.
 async fn exchange(stream: &mut TcpStream, text: &[u8]) -> Result<(), Error> {
     stream.write_all(text).await?;
     let whole = async {
@@ -147,6 +147,6 @@
         }
     };
     let late = || std::io::Error::from(std::io::ErrorKind::TimedOut);
-    let answered = tokio::time::timeout(PATIENCE, whole).await;
+    let answered = tokio::time::timeout(ANSWER_TIMEOUT, whole).await;
     Ok(answered.unwrap_or_else(|_| Err(late()))?)
 }
--- a/src/slopes/cost.rs
+++ b/src/slopes/cost.rs
@@ -1,16 +1,16 @@
-//! What control costs a fleet's nodes.
+//! The cost of the control protocol for a fleet's nodes.
 
 use crate::clock::Span;
 use std::time::Duration;
 
-/// What a fleet's nodes did in a stretch of time, for each node and second.
+/// Work of a fleet's nodes during a span, per node and second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Cost {
     /// Control messages sent, on average.
     pub messages: f64,
     /// Control bytes sent, on average.
     pub bytes: f64,
-    /// Control bytes sent by the node that sent most.
+    /// Control bytes sent by the node that sent the most.
     pub most_bytes: f64,
     /// Processor time in microseconds, on average.
     pub micros: f64,
@@ -20,18 +20,18 @@
     pub streams: f64,
 }
 
-/// What one node has done since it started.
+/// Totals of one node since it started.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Spent {
+pub(super) struct Usage {
     pub messages: u64,
     pub bytes: u64,
     pub busy: Duration,
 }
 
 impl Cost {
-    /// What live nodes spent between two looks at them, `span` apart.
+    /// The cost for live nodes between two samples of their totals, `span` apart.
     pub(super) fn of(
-        nodes: impl Iterator<Item = (Spent, Spent)>,
+        nodes: impl Iterator<Item = (Usage, Usage)>,
         span: Span,
         streams: usize,
     ) -> Self {
--- a/src/slopes/deployment.rs
+++ b/src/slopes/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment of any size: its VMs, and its configuration.
+//! A deployment of any size: its VMs and its configuration.
 
 use crate::clock::Span;
 use crate::config::{Database, Document, Group, Pool, Timing};
@@ -7,13 +7,13 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Failure domains at the size of letter 1; the first four are one region, the rest the other.
+/// Failure domains at full size; the first four are in one region, the others in a second one.
 pub const DOMAINS: usize = 7;
 
-/// The failure domains of the first region.
+/// Number of failure domains in the first region.
 pub(super) const FIRST_REGION: usize = 4;
 
-/// Databases of a group.
+/// Number of databases in a group.
 pub const MEMBERS: usize = 3;
 
 fn address(kind: u8, index: usize) -> SocketAddr {
@@ -38,8 +38,8 @@
     (0..nodes).map(member).collect()
 }
 
-/// A configuration of `groups` groups, each with its databases in failure domains of one region
-/// and the third in another where the numbers fall so.
+/// A configuration of `groups` groups. Each has its databases in consecutive failure domains, so that
+/// some groups have databases in both regions.
 pub fn document(groups: usize) -> Result<Document, Invalid> {
     let mut found = BTreeMap::new();
     for group in 0..groups {
--- a/src/slopes/fleet.rs
+++ b/src/slopes/fleet.rs
@@ -1,8 +1,8 @@
-//! Many cores on one virtual clock, to measure what control costs as nodes and databases grow.
+//! Many cores on one virtual clock, to measure the cost of control as nodes and databases grow.
 //!
-//! Every node is the real core with the whole configuration and VM list. Databases only answer
+//! Every node is the real core with the whole configuration and VM list. Databases only execute
 //! orders about terms, connections open and stay idle, and a stream between two nodes carries
-//! each message after the latency between their failure domains. No caller is served.
+//! each message after the latency between their failure domains. No requests are served.
 
 use crate::clock::{Span, Time};
 use crate::config::{Accepted, Database, Document};
@@ -11,8 +11,8 @@
 use crate::core::message::Message;
 use crate::core::node::{Input, Node};
 use crate::core::output::Output;
-use crate::slopes::base::{self, Base};
-use crate::slopes::cost::{Cost, Spent};
+use crate::slopes::backend::{self, Backend};
+use crate::slopes::cost::{Cost, Usage};
 use crate::slopes::deployment::{DOMAINS, FIRST_REGION, document, members};
 use crate::types::{DatabaseId, GroupId, Invalid, Life, Version, VmId};
 use std::cmp::Reverse;
@@ -20,15 +20,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const WITHIN_REGION: Span = Span(500);
-const BETWEEN_REGIONS: Span = Span::from_millis(10);
-const TO_DATABASE: Span = Span::from_millis(1);
-const TO_CONNECT: Span = Span::from_millis(10);
+const INTRA_REGION_LATENCY: Span = Span(500);
+const INTER_REGION_LATENCY: Span = Span::from_millis(10);
+const DATABASE_LATENCY: Span = Span::from_millis(1);
+const CONNECT_TIME: Span = Span::from_millis(10);
 
-/// How long until a stream to a VM that vanished counts as broken (`net::peer::DOUBT`).
-const UNTIL_DOWN: Span = Span::from_secs(2);
+/// Time until a stream to a VM that vanished counts as broken (`net::peer::DOUBT`).
+const BROKEN_STREAM_TIMEOUT: Span = Span::from_secs(2);
 
-/// How many nodes and groups a fleet has.
+/// The number of nodes and groups in a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Size {
     /// Proxies.
@@ -37,27 +37,27 @@
     pub groups: usize,
 }
 
-/// Nodes and databases on one clock.
+/// Nodes and databases on one virtual clock.
 #[derive(Debug)]
 pub struct Fleet {
     now: Time,
-    nodes: Vec<Option<Seat>>,
-    seats: HashMap<VmId, usize>,
+    nodes: Vec<Option<Host>>,
+    indexes: HashMap<VmId, usize>,
     members: Vec<Member>,
     document: Document,
-    bases: HashMap<DatabaseId, Base>,
+    backends: HashMap<DatabaseId, Backend>,
     streams: HashSet<(usize, usize)>,
     queue: BinaryHeap<Reverse<Due>>,
-    happenings: HashMap<u64, Happening>,
+    deliveries: HashMap<u64, Delivery>,
     serial: u64,
 }
 
 #[derive(Debug)]
-struct Seat {
+struct Host {
     node: Node,
     domain: usize,
     busy: Duration,
-    ticking: Option<Time>,
+    next_tick: Option<Time>,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -67,25 +67,25 @@
 }
 
 #[derive(Debug)]
-struct Happening {
-    seat: usize,
+struct Delivery {
+    host: usize,
     input: Input,
 }
 
 impl Fleet {
-    /// Starts a fleet that has just learned its members and configuration.
+    /// Starts a fleet whose nodes have just received their members and configuration.
     pub fn start(size: Size) -> Result<Self, Invalid> {
         let document = document(size.groups)?;
         let mut fleet = Self {
             now: Time::default(),
             nodes: Vec::new(),
-            seats: HashMap::new(),
+            indexes: HashMap::new(),
             members: members(size.nodes)?,
-            bases: base::bases(&document),
+            backends: backend::backends(&document),
             document,
             streams: HashSet::new(),
             queue: BinaryHeap::new(),
-            happenings: HashMap::new(),
+            deliveries: HashMap::new(),
             serial: 0,
         };
         for (index, member) in fleet.members.iter().enumerate() {
@@ -97,19 +97,19 @@
             };
             let node = Node::new(identity, fleet.now);
             let domain = index % DOMAINS;
-            let seat = Seat {
+            let host = Host {
                 node,
                 domain,
                 busy: Duration::ZERO,
-                ticking: None,
+                next_tick: None,
             };
-            fleet.nodes.push(Some(seat));
-            fleet.seats.insert(member.vm.clone(), index);
+            fleet.nodes.push(Some(host));
+            fleet.indexes.insert(member.vm.clone(), index);
         }
         fleet.tell_members();
         let accepted = fleet.accepted(Version(1));
-        for seat in 0..size.nodes {
-            fleet.later(seat, Span::ZERO, Input::Accepted(Arc::clone(&accepted)));
+        for host in 0..size.nodes {
+            fleet.schedule(host, Span::ZERO, Input::Accepted(Arc::clone(&accepted)));
         }
         Ok(fleet)
     }
@@ -121,11 +121,11 @@
         })
     }
 
-    /// Tells every node the list of VMs, spread over the time between two polls.
+    /// Sends the list of VMs to every node, spread over the interval between two polls.
     pub fn tell_members(&mut self) {
-        for seat in 0..self.nodes.len() {
-            let spread = Span((seat as u64 * 7_919) % 2_000_000);
-            self.later(seat, spread, Input::Members(self.members.clone()));
+        for host in 0..self.nodes.len() {
+            let spread = Span((host as u64 * 7_919) % 2_000_000);
+            self.schedule(host, spread, Input::Members(self.members.clone()));
         }
     }
 
@@ -134,19 +134,19 @@
         self.now
     }
 
-    /// Lets `span` pass, and says what it cost each live node a second.
+    /// Runs for `span` and returns its cost per live node and second.
     pub fn run(&mut self, span: Span) -> Cost {
-        let before: Vec<_> = self.nodes.iter().map(Seat::spent).collect();
+        let before: Vec<_> = self.nodes.iter().map(Host::usage).collect();
         let until = self.now + span;
         while self.step(until) {}
         self.now = until;
-        let after: Vec<_> = self.nodes.iter().map(Seat::spent).collect();
-        let spent = before.into_iter().zip(after);
-        let live = spent.filter_map(|(before, after)| Some((before?, after?)));
+        let after: Vec<_> = self.nodes.iter().map(Host::usage).collect();
+        let usage = before.into_iter().zip(after);
+        let live = usage.filter_map(|(before, after)| Some((before?, after?)));
         Cost::of(live, span, self.streams.len())
     }
 
-    /// Runs until `done`, but no longer than `limit`; returns how long it took, if it was done.
+    /// Runs until `done`, for at most `limit`; returns the time until it was done, `None` if it was not.
     pub fn run_until(&mut self, limit: Span, done: impl Fn(&Fleet) -> bool) -> Option<Span> {
         let start = self.now;
         let until = start + limit;
@@ -161,48 +161,48 @@
         done(self).then(|| self.now.since(start))
     }
 
-    /// One node hears of a new configuration, as the one does that an operator applied it at.
+    /// Sends a new configuration to one node, as when an operator applies it there.
     pub fn apply(&mut self, version: Version) {
         let accepted = self.accepted(version);
-        self.later(0, Span::ZERO, Input::Accepted(accepted));
+        self.schedule(0, Span::ZERO, Input::Accepted(accepted));
     }
 
     /// Whether every live node has at least `version` in force.
     pub fn in_force(&self, version: Version) -> bool {
-        let known = |seat: &Seat| seat.node.accepted().is_some_and(|a| a.version >= version);
+        let known = |host: &Host| host.node.accepted().is_some_and(|a| a.version >= version);
         self.nodes.iter().flatten().all(known)
     }
 
     /// Control bytes that the live nodes have sent so far.
     pub fn bytes(&self) -> u64 {
         let live = self.nodes.iter().flatten();
-        live.map(|seat| seat.node.counters().control_bytes).sum()
+        live.map(|host| host.node.counters().control_bytes).sum()
     }
 
-    /// Whether every group has a primary that was opened in the group's highest term by a node
-    /// that lives, and no other.
+    /// Whether every group has a primary that a live node opened in the group's highest term, and
+    /// no other.
     pub fn served(&self) -> bool {
         self.unserved() == 0
     }
 
-    /// How many groups have no such primary.
+    /// Number of groups without such a primary.
     pub fn unserved(&self) -> usize {
-        let live = |seat: usize| self.nodes.get(seat).is_some_and(Option::is_some);
-        base::unserved(self.bases.values(), live)
+        let live = |host: usize| self.nodes.get(host).is_some_and(Option::is_some);
+        backend::unserved(self.backends.values(), live)
     }
 
-    /// VMs vanish without a word; the platform's list shows it after `lag`. Returns how many
+    /// Removes VMs without a notice; the platform's list shows it after `lag`. Returns how many
     /// databases get another holder.
     pub fn lose(&mut self, lost: impl Fn(usize) -> bool, lag: Span) -> usize {
         let before = self.holders();
-        let gone: Vec<usize> = (0..self.nodes.len()).filter(|&seat| lost(seat)).collect();
-        for &seat in &gone {
-            self.nodes[seat] = None;
-            self.break_streams(seat);
+        let gone: Vec<usize> = (0..self.nodes.len()).filter(|&host| lost(host)).collect();
+        for &host in &gone {
+            self.nodes[host] = None;
+            self.break_streams(host);
         }
         let dead: HashSet<VmId> = gone
             .iter()
-            .map(|&seat| self.members[seat].vm.clone())
+            .map(|&host| self.members[host].vm.clone())
             .collect();
         let rest: Vec<Member> = self
             .members
@@ -210,13 +210,13 @@
             .filter(|m| !dead.contains(&m.vm))
             .cloned()
             .collect();
-        for seat in 0..self.nodes.len() {
-            let spread = lag + Span((seat as u64 * 7_919) % 2_000_000);
-            self.later(seat, spread, Input::Members(rest.clone()));
+        for host in 0..self.nodes.len() {
+            let spread = lag + Span((host as u64 * 7_919) % 2_000_000);
+            self.schedule(host, spread, Input::Members(rest.clone()));
         }
         let full = std::mem::replace(&mut self.members, rest);
         let after = self.holders();
-        // Seats keep their numbers, so the full list stays for naming them.
+        // Hosts keep their indexes, so the full list is still needed to name them.
         self.members = full;
         before
             .iter()
@@ -232,29 +232,29 @@
         self.document.databases().filter_map(first).collect()
     }
 
-    fn break_streams(&mut self, seat: usize) {
+    fn break_streams(&mut self, host: usize) {
         let broken: Vec<(usize, usize)> = self
             .streams
             .iter()
-            .filter(|(a, b)| *a == seat || *b == seat)
+            .filter(|(a, b)| *a == host || *b == host)
             .copied()
             .collect();
         for pair in broken {
             self.streams.remove(&pair);
-            let other = if pair.0 == seat { pair.1 } else { pair.0 };
-            let vm = self.members[seat].vm.clone();
-            self.later(other, UNTIL_DOWN, Input::PeerDown(vm));
+            let other = if pair.0 == host { pair.1 } else { pair.0 };
+            let vm = self.members[host].vm.clone();
+            self.schedule(other, BROKEN_STREAM_TIMEOUT, Input::PeerDown(vm));
         }
     }
 
-    fn later(&mut self, seat: usize, span: Span, input: Input) {
+    fn schedule(&mut self, host: usize, span: Span, input: Input) {
         self.serial += 1;
         let due = Due {
             at: self.now + span,
             serial: self.serial,
         };
-        self.happenings
-            .insert(self.serial, Happening { seat, input });
+        self.deliveries
+            .insert(self.serial, Delivery { host, input });
         self.queue.push(Reverse(due));
     }
 
@@ -267,44 +267,44 @@
             return false;
         };
         self.now = self.now.max(due.at);
-        if let Some(happening) = self.happenings.remove(&due.serial) {
-            self.happen(happening);
+        if let Some(delivery) = self.deliveries.remove(&due.serial) {
+            self.deliver(delivery);
         }
         true
     }
 
-    fn happen(&mut self, happening: Happening) {
-        let Happening { seat, input } = happening;
+    fn deliver(&mut self, delivery: Delivery) {
+        let Delivery { host, input } = delivery;
         let now = self.now;
-        let Some(Some(found)) = self.nodes.get_mut(seat) else {
+        let Some(Some(found)) = self.nodes.get_mut(host) else {
             return;
         };
         if matches!(input, Input::Tick) {
-            if found.ticking != Some(now) {
+            if found.next_tick != Some(now) {
                 return;
             }
-            found.ticking = None;
+            found.next_tick = None;
         }
         let mut outputs = Vec::new();
         let started = Instant::now();
         found.node.handle(now, input, &mut outputs);
         found.busy += started.elapsed();
         let wake = found.node.wake();
-        let sooner = wake.filter(|wake| found.ticking.is_none_or(|ticking| *wake < ticking));
+        let sooner = wake.filter(|wake| found.next_tick.is_none_or(|next_tick| *wake < next_tick));
         if let Some(wake) = sooner {
-            // A wake-up that is due already still takes a moment.
+            // A wake-up that is already due is delayed by a microsecond.
             let at = wake.max(now + Span(1));
-            found.ticking = Some(at);
-            self.later(seat, at.since(now), Input::Tick);
+            found.next_tick = Some(at);
+            self.schedule(host, at.since(now), Input::Tick);
         }
         for output in outputs {
-            self.carry_out(seat, output);
+            self.carry_out(host, output);
         }
     }
 
-    fn carry_out(&mut self, seat: usize, output: Output) {
+    fn carry_out(&mut self, host: usize, output: Output) {
         match output {
-            Output::Send { to, message } => self.send(seat, &to, message),
+            Output::Send { to, message } => self.send(host, &to, message),
             Output::Database(Command::Control {
                 id,
                 database,
@@ -312,51 +312,55 @@
                 ..
             }) => {
                 let result = self
-                    .bases
+                    .backends
                     .get_mut(&database)
-                    .map(|base| base.obey(order, seat));
+                    .map(|backend| backend.execute(order, host));
                 let event = Event::Controlled { id, result };
-                self.later(seat, TO_DATABASE, Input::Database(event));
+                self.schedule(host, DATABASE_LATENCY, Input::Database(event));
             }
             Output::Database(Command::Connect { conn, .. }) => {
-                self.later(seat, TO_CONNECT, Input::Database(Event::Connected { conn }));
+                self.schedule(
+                    host,
+                    CONNECT_TIME,
+                    Input::Database(Event::Connected { conn }),
+                );
             }
             _ => {}
         }
     }
 
-    fn send(&mut self, seat: usize, to: &VmId, message: Message) {
-        let Some(&other) = self.seats.get(to) else {
+    fn send(&mut self, host: usize, to: &VmId, message: Message) {
+        let Some(&other) = self.indexes.get(to) else {
             return;
         };
-        let from = self.members[seat].vm.clone();
+        let from = self.members[host].vm.clone();
         let Some(Some(target)) = self.nodes.get(other) else {
-            return self.later(seat, UNTIL_DOWN, Input::PeerDown(to.clone()));
+            return self.schedule(host, BROKEN_STREAM_TIMEOUT, Input::PeerDown(to.clone()));
         };
-        let latency = latency(seat % DOMAINS, target.domain);
-        if self.streams.insert((seat.min(other), seat.max(other))) {
-            self.later(seat, Span::ZERO, Input::PeerUp(to.clone()));
-            self.later(other, latency, Input::PeerUp(from.clone()));
+        let latency = latency(host % DOMAINS, target.domain);
+        if self.streams.insert((host.min(other), host.max(other))) {
+            self.schedule(host, Span::ZERO, Input::PeerUp(to.clone()));
+            self.schedule(other, latency, Input::PeerUp(from.clone()));
         }
-        self.later(other, latency, Input::Message { from, message });
+        self.schedule(other, latency, Input::Message { from, message });
     }
 }
 
-impl Seat {
-    fn spent(seat: &Option<Seat>) -> Option<Spent> {
-        let seat = seat.as_ref()?;
-        let counters = seat.node.counters();
-        Some(Spent {
+impl Host {
+    fn usage(host: &Option<Host>) -> Option<Usage> {
+        let host = host.as_ref()?;
+        let counters = host.node.counters();
+        Some(Usage {
             messages: counters.control_messages,
             bytes: counters.control_bytes,
-            busy: seat.busy,
+            busy: host.busy,
         })
     }
 }
 
 fn latency(a: usize, b: usize) -> Span {
     match (a < FIRST_REGION) == (b < FIRST_REGION) {
-        true => WITHIN_REGION,
-        false => BETWEEN_REGIONS,
+        true => INTRA_REGION_LATENCY,
+        false => INTER_REGION_LATENCY,
     }
 }
--- a/src/slopes/mod.rs
+++ b/src/slopes/mod.rs
@@ -1,6 +1,6 @@
-//! Measurements of what a proxy's roles cost, from which `docs/CAPACITY.md` is worked out.
+//! Measurements of the cost of a proxy's roles, from which `docs/CAPACITY.md` is derived.
 
-mod base;
+mod backend;
 pub mod callers;
 pub mod cost;
 pub mod deployment;
--- a/src/slopes/path.rs
+++ b/src/slopes/path.rs
@@ -1,8 +1,8 @@
-//! What a statement takes through a proxy, beside one that goes to the database itself.
+//! Latency and processor time of a statement through a proxy, compared with a direct connection.
 //!
-//! The ways take turns statement by statement, so that other work on the machine meets them
-//! alike. Databases and callers are in this process, each on threads of their own; what a
-//! proxy costs is the processor time of its thread.
+//! The routes alternate statement by statement, so that other load on the machine affects them
+//! equally. Databases and callers are in this process, each on their own threads; a proxy's cost
+//! is the processor time of its thread.
 
 use crate::clock::Span;
 use crate::process;
@@ -15,25 +15,25 @@
 use tokio_postgres::types::{ToSql, Type};
 use tokio_postgres::{Client, Config, NoTls};
 
-/// Statements of each kind before any is measured.
+/// Statements of each kind that run before the measured ones.
 const WARM_UP: usize = 200;
 
-/// A closed loop goes on for this long before it is measured, while pools grow.
+/// How long a closed loop runs before it is measured, while pools grow.
 const LOOP_WARM_UP: Span = Span::from_millis(500);
 
-/// The longest time that is told apart, in nanoseconds.
-const LONGEST_NANOS: u64 = 60_000_000_000;
+/// The highest time in the histograms, in nanoseconds.
+const MAX_NANOS: u64 = 60_000_000_000;
 
 const GROUP: &str = "ledger1";
 const MAJORITY_CALLER: &str = "broker";
 const PROXIES: [&str; 2] = ["vm1", "vm2"];
 
-/// What is measured.
+/// The parameters of a measurement.
 #[derive(Debug, Clone, Copy)]
 pub struct Plan {
-    /// Statements of each kind and way, one after another.
+    /// Number of statements of each kind and route, run one after another.
     pub statements: usize,
-    /// Callers of a closed loop.
+    /// Number of callers in a closed loop.
     pub callers: usize,
     /// How long a closed loop lasts.
     pub length: Span,
@@ -51,7 +51,7 @@
     /// No database of the group is open.
     #[error("the group has no primary: run again")]
     NoPrimary,
-    /// The system does not tell a thread's processor time.
+    /// The system does not report a thread's processor time.
     #[error("the processor time of {0} is not told: this needs Linux's /proc")]
     NoProcessorTime(&'static str),
 }
@@ -89,14 +89,14 @@
     }
 }
 
-/// The way that a statement takes, and where it starts.
+/// A route of statements to the database, and the address where it begins.
 #[derive(Debug, Clone, Copy)]
-struct Way {
+struct Route {
     name: &'static str,
     address: SocketAddr,
 }
 
-/// One connection, with the read that it has prepared.
+/// One connection, with its prepared read.
 struct Caller {
     client: Client,
     read: tokio_postgres::Statement,
@@ -111,7 +111,7 @@
         config.user(kind.caller()).dbname(GROUP);
         let (client, connection) = config.connect(NoTls).await?;
         actix_rt::spawn(async move {
-            // Its end shows at the client.
+            // The client reports the end of the connection.
             let _ = connection.await;
         });
         let read = client
@@ -146,7 +146,7 @@
     }
 }
 
-/// Measures, and hands each row of the report to `print`.
+/// Measures all kinds of statement and passes each row of the report to `print`.
 pub async fn run(plan: &Plan, print: impl Fn(String)) -> Result<(), Error> {
     let demo = ideal(PROXIES.len() as u8).await?;
     let measured = measure(&demo, plan, print).await;
@@ -164,7 +164,7 @@
 }
 
 async fn measure(demo: &Demo, plan: &Plan, print: impl Fn(String)) -> Result<(), Error> {
-    let ways = ways(demo)?;
+    let routes = routes(demo)?;
     let numbers = Cell::new(0);
     let number = || {
         numbers.set(numbers.get() + 1);
@@ -173,11 +173,11 @@
     print("one after another    | way       |  p50 us   p99 us | added p50  added p99".into());
     for kind in Kind::ALL {
         let mut callers = Vec::new();
-        for way in &ways {
-            callers.push(Caller::connect(way.address, kind, number()).await?);
+        for route in &routes {
+            callers.push(Caller::connect(route.address, kind, number()).await?);
         }
-        let times = in_turn(&mut callers, kind, plan.statements).await?;
-        for row in compared(kind, &ways, &times) {
+        let times = run_alternating(&mut callers, kind, plan.statements).await?;
+        for row in comparison_rows(kind, &routes, &times) {
             print(row);
         }
     }
@@ -186,39 +186,39 @@
         plan.callers
     ));
     for kind in Kind::ALL {
-        for way in &ways {
+        for route in &routes {
             let mut callers = Vec::new();
             for _ in 0..plan.callers {
-                callers.push(Caller::connect(way.address, kind, number()).await?);
+                callers.push(Caller::connect(route.address, kind, number()).await?);
             }
             closed_loop(&mut callers, kind, LOOP_WARM_UP).await?;
             let row = closed_loop(&mut callers, kind, plan.length).await?;
-            print(format!("{:20} | {:9} | {row}", kind.name(), way.name));
+            print(format!("{:20} | {:9} | {row}", kind.name(), route.name));
         }
     }
     Ok(())
 }
 
-fn ways(demo: &Demo) -> Result<Vec<Way>, Error> {
+fn routes(demo: &Demo) -> Result<Vec<Route>, Error> {
     let group = demo.groups().iter().find(|(id, _)| id.as_str() == GROUP);
     let (_, handle) = group.ok_or(Error::NoPrimary)?;
     let primary = handle.primary().and_then(|id| handle.address(&id));
     let direct = primary.ok_or(Error::NoPrimary)?;
     let proxies = demo.callers();
-    let way = |(name, address)| Way { name, address };
+    let route = |(name, address)| Route { name, address };
     let addresses = std::iter::once(direct).chain(proxies);
     let names = ["direct", "local", "forwarded"];
-    Ok(names.into_iter().zip(addresses).map(way).collect())
+    Ok(names.into_iter().zip(addresses).map(route).collect())
 }
 
-async fn in_turn(
+async fn run_alternating(
     callers: &mut [Caller],
     kind: Kind,
     statements: usize,
 ) -> Result<Vec<Histogram<u64>>, Error> {
-    // These bounds are valid, so that each caller gets a histogram.
+    // These bounds are valid, so each caller gets a histogram.
     let mut times: Vec<Histogram<u64>> = (0..callers.len())
-        .filter_map(|_| Histogram::new_with_bounds(1, LONGEST_NANOS, 3).ok())
+        .filter_map(|_| Histogram::new_with_bounds(1, MAX_NANOS, 3).ok())
         .collect();
     for round in 0..WARM_UP + statements {
         for (caller, times) in callers.iter_mut().zip(&mut times) {
@@ -233,21 +233,21 @@
     Ok(times)
 }
 
-fn compared(kind: Kind, ways: &[Way], times: &[Histogram<u64>]) -> Vec<String> {
+fn comparison_rows(kind: Kind, routes: &[Route], times: &[Histogram<u64>]) -> Vec<String> {
     let micros = |times: &Histogram<u64>, share| times.value_at_quantile(share) as f64 / 1e3;
-    let row = |(way, time): (&Way, &Histogram<u64>)| {
+    let row = |(route, time): (&Route, &Histogram<u64>)| {
         let (p50, p99) = (micros(time, 0.5), micros(time, 0.99));
         let direct = times.first().unwrap_or(time);
-        let (least50, least99) = (micros(direct, 0.5), micros(direct, 0.99));
+        let (direct_p50, direct_p99) = (micros(direct, 0.5), micros(direct, 0.99));
         format!(
             "{:20} | {:9} | {p50:7.1} {p99:8.1} | {:9.1} {:10.1}",
             kind.name(),
-            way.name,
-            p50 - least50,
-            p99 - least99,
+            route.name,
+            p50 - direct_p50,
+            p99 - direct_p99,
         )
     };
-    ways.iter().zip(times).map(row).collect()
+    routes.iter().zip(times).map(row).collect()
 }
 
 async fn closed_loop(callers: &mut [Caller], kind: Kind, length: Span) -> Result<String, Error> {
@@ -281,11 +281,11 @@
     ))
 }
 
-/// Statements a second of one core at `micros` each; a proxy that takes no part only probes.
+/// Statements per second on one core at `micros` each; below the limit the proxy only sends probes.
 fn per_core(micros: f64) -> String {
-    const NO_PART: f64 = 5.0;
+    const IDLE_MICROS: f64 = 5.0;
     match micros {
-        ..NO_PART => "-".into(),
+        ..IDLE_MICROS => "-".into(),
         _ => format!("{:.0}", 1e6 / micros),
     }
 }
--- a/src/slopes/report.rs
+++ b/src/slopes/report.rs
@@ -1,22 +1,22 @@
-//! Straight lines through measured points.
+//! Lines fitted through measured points, and memory readings.
 
 use serde::Serialize;
 use std::fmt;
 use std::time::Duration;
 
-/// The line through points by least squares, with the largest distance of a point from it.
+/// The least-squares line through points, with the largest distance of a point from it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Fit {
-    /// What each unit adds.
+    /// The increase per unit.
     pub slope: f64,
-    /// What there is without any unit.
+    /// The value at zero units.
     pub base: f64,
     /// The largest distance of a point from the line, in the measured unit.
     pub error: f64,
 }
 
 impl Fit {
-    /// The line through `points`; `None` with fewer than two different units.
+    /// Fits a line to `points`; `None` with fewer than two different units.
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean = |pick: fn(&(f64, f64)) -> f64| points.iter().map(pick).sum::<f64>() / count;
@@ -43,32 +43,32 @@
     }
 }
 
-/// Resident memory at a count of things.
+/// Resident memory at a number of items.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Level {
-    /// How many things there are.
+    /// The number of items.
     pub count: usize,
-    /// The middle reading in bytes.
+    /// The median reading in bytes.
     pub bytes: u64,
-    /// Between the lowest and the highest reading, in bytes.
+    /// The difference between the highest and the lowest reading, in bytes.
     pub spread: u64,
 }
 
 impl Level {
-    /// As a point of a [`Fit`].
+    /// Returns the level as a point of a [`Fit`].
     pub fn point(&self) -> (f64, f64) {
         (self.count as f64, self.bytes as f64)
     }
 }
 
-/// Reads memory by `read` a few times, as other threads of the process use some too.
+/// Reads memory several times by `read`, because other threads of the process use some too.
 pub fn level(count: usize, read: impl Fn() -> u64) -> Level {
     const READINGS: usize = 5;
-    const BETWEEN: Duration = Duration::from_millis(20);
+    const READING_INTERVAL: Duration = Duration::from_millis(20);
     let mut readings = [0; READINGS];
     for reading in &mut readings {
         *reading = read();
-        std::thread::sleep(BETWEEN);
+        std::thread::sleep(READING_INTERVAL);
     }
     readings.sort_unstable();
     Level {
--- a/src/slopes/state.rs
+++ b/src/slopes/state.rs
@@ -1,5 +1,5 @@
 //! Resident memory of one core as its configuration, its list of VMs and the sessions that it
-//! is the steward of grow. Databases are stand-ins that answer at once; nothing has a socket.
+//! is the steward of grow. Databases are simulated and answer at once; there are no sockets.
 
 use crate::clock::{Span, Time};
 use crate::config::Accepted;
@@ -19,28 +19,28 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// How long a core gets to take the lead of its groups.
-const START: Span = Span::from_secs(4);
+/// How long a core has to take the lead of its groups.
+const WARM_UP: Span = Span::from_secs(4);
 
-const STEP: Span = Span::from_millis(10);
+const TICK_INTERVAL: Span = Span::from_millis(10);
 
-/// Groups among which sessions are spread: a group remembers 16,384 of them.
+/// Groups that sessions are spread over: a group remembers 16,384 of them.
 const SESSION_GROUPS: usize = 8;
 
 /// One core, and databases that answer at once.
-struct Alone {
+struct Simulation {
     node: Node,
     now: Time,
     inputs: VecDeque<Input>,
     terms: HashMap<DatabaseId, (Term, bool)>,
-    /// The log of each group, which its replicas have as soon as its primary.
+    /// The log of each group, which its replicas receive at the same time as its primary.
     logs: HashMap<GroupId, Lineage>,
     groups: HashMap<DatabaseId, GroupId>,
     offset: u64,
     done: usize,
 }
 
-impl Alone {
+impl Simulation {
     fn new(groups: usize, vms: usize) -> Result<Self, Invalid> {
         let members = deployment::members(vms)?;
         let me = members.first().cloned();
@@ -53,7 +53,7 @@
             domain,
             life: Life(1),
         };
-        let mut alone = Self {
+        let mut simulation = Self {
             node: Node::new(identity, Time::default()),
             now: Time::default(),
             inputs: VecDeque::new(),
@@ -65,25 +65,25 @@
         };
         let document = deployment::document(groups)?;
         for (group, database, _) in document.databases() {
-            alone.groups.insert(database.clone(), group.clone());
+            simulation.groups.insert(database.clone(), group.clone());
         }
-        alone.give(Input::Members(members));
-        alone.give(Input::Accepted(Arc::new(Accepted {
+        simulation.handle(Input::Members(members));
+        simulation.handle(Input::Accepted(Arc::new(Accepted {
             version: Version(1),
             document,
         })));
-        Ok(alone)
+        Ok(simulation)
     }
 
     fn run(&mut self, span: Span) {
         let until = self.now + span;
         while self.now < until {
-            self.now = self.now + STEP;
-            self.give(Input::Tick);
+            self.now = self.now + TICK_INTERVAL;
+            self.handle(Input::Tick);
         }
     }
 
-    fn give(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         self.inputs.push_back(input);
         while let Some(input) = self.inputs.pop_front() {
             let mut outputs = Vec::new();
@@ -118,7 +118,7 @@
                 ..
             }) => Event::Controlled {
                 id,
-                result: self.obey(&database, order).map(Ok),
+                result: self.execute(&database, order).map(Ok),
             },
             _ => return,
         };
@@ -140,7 +140,7 @@
         }
     }
 
-    fn obey(&mut self, database: &DatabaseId, order: Order) -> Option<State> {
+    fn execute(&mut self, database: &DatabaseId, order: Order) -> Option<State> {
         let offset = Offset(self.offset);
         let (term, open) = self.terms.entry(database.clone()).or_default();
         let lineage = self
@@ -181,24 +181,24 @@
             deadline: self.now + Span::from_secs(5),
             body: Bytes::from_static(b"x"),
         };
-        self.give(Input::Submit(request));
+        self.handle(Input::Submit(request));
         Ok(())
     }
 }
 
-/// Cores of each size, so that what one of them finds free already weighs little.
-const COPIES: usize = 4;
+/// Number of cores of each size, so that memory which one of them reuses has little weight.
+const CORES_PER_SIZE: usize = 4;
 
-/// Levels of memory, and the cores that take it.
+/// Levels of memory, and the measured cores.
 ///
-/// Memory of cores that are gone would be used again and hide what the next ones take; so they
-/// are kept until all is measured.
+/// The cores are kept until all measurements are done: memory freed by them would be reused and
+/// hide the use of the next ones.
 pub struct Measured {
-    /// The memory that one core took.
+    /// The memory of one core.
     pub levels: Vec<Level>,
-    /// Requests that were answered.
+    /// Number of requests that were answered.
     pub done: usize,
-    kept: Vec<Alone>,
+    kept: Vec<Simulation>,
 }
 
 impl std::fmt::Debug for Measured {
@@ -211,57 +211,57 @@
     }
 }
 
-/// Memory of a steward at each of `counts` of sessions that wrote once.
+/// Memory of a steward at each of `counts` of sessions, each with one write.
 pub fn sessions(counts: &[usize]) -> Result<Measured, Invalid> {
-    let mut alone = Alone::new(SESSION_GROUPS, 1)?;
-    alone.run(START);
+    let mut simulation = Simulation::new(SESSION_GROUPS, 1)?;
+    simulation.run(WARM_UP);
     let mut levels = vec![resident(0)];
     let mut number = 0;
     for &count in counts {
         while number < count {
-            alone.write(number)?;
+            simulation.write(number)?;
             number += 1;
-            // Deadlines and probes go on, as they do between a proxy's statements.
+            // Deadlines and probes continue, as between a proxy's statements.
             if number % 64 == 0 {
-                alone.run(STEP);
+                simulation.run(TICK_INTERVAL);
             }
         }
         levels.push(resident(count));
     }
     Ok(Measured {
         levels,
-        done: alone.done,
-        kept: vec![alone],
+        done: simulation.done,
+        kept: vec![simulation],
     })
 }
 
-/// Memory of one core by the VMs that it knows of.
+/// Memory of one core by the number of VMs in its list.
 pub fn vms(counts: &[usize]) -> Result<Measured, Invalid> {
-    grow(counts, |count| Alone::new(1, count))
+    grow(counts, |count| Simulation::new(1, count))
 }
 
 /// Memory of one core by the groups of its configuration, each of three databases; it holds few
 /// of them, as at full size.
 pub fn groups(counts: &[usize]) -> Result<Measured, Invalid> {
-    grow(counts, |count| Alone::new(count, 580))
+    grow(counts, |count| Simulation::new(count, 580))
 }
 
 fn grow(
     counts: &[usize],
-    make: impl Fn(usize) -> Result<Alone, Invalid>,
+    make: impl Fn(usize) -> Result<Simulation, Invalid>,
 ) -> Result<Measured, Invalid> {
     let mut levels = Vec::new();
-    // What only the first core sets up is not counted.
+    // Memory that only the first core allocates is not counted.
     let mut kept = vec![make(1)?];
     for &count in counts {
         let before = resident(0);
-        for _ in 0..COPIES {
+        for _ in 0..CORES_PER_SIZE {
             kept.push(make(count)?);
         }
         let after = resident(count);
         levels.push(Level {
             count,
-            bytes: after.bytes.saturating_sub(before.bytes) / COPIES as u64,
+            bytes: after.bytes.saturating_sub(before.bytes) / CORES_PER_SIZE as u64,
             spread: before.spread.max(after.spread),
         });
     }
--- a/src/slopes/streams.rs
+++ b/src/slopes/streams.rs
@@ -1,4 +1,4 @@
-//! Resident memory of a process for each stream to another proxy, both ends counted.
+//! Resident memory of a process per stream to another proxy, counting both ends.
 
 use crate::core::message::{Hello, Message};
 use crate::net::peer::{Event, Identity, Peers};
@@ -11,13 +11,13 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// How long streams are left to settle before memory is read.
-const SETTLE: Duration = Duration::from_secs(1);
+/// How long streams settle before memory is read.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// Why a measurement ended early.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address could not be listened on.
+    /// An address could not be bound.
     #[error("a stream's end could not listen: {0}; check the limit on open files")]
     Listen(#[from] std::io::Error),
     /// A name was not valid.
@@ -25,23 +25,23 @@
     Name(#[from] Invalid),
 }
 
-struct End {
+struct Endpoint {
     peers: Rc<Peers>,
     events: mpsc::UnboundedReceiver<Event>,
     address: std::net::SocketAddr,
 }
 
-/// Opens streams from one process's hub to as many others as each of `counts` asks, rising.
+/// Opens streams from one hub in this process to each of `counts` peers, in rising order.
 pub async fn run(counts: &[usize]) -> Result<Vec<Level>, Error> {
-    let hub = end("hub").await?;
-    let mut others: Vec<End> = Vec::new();
+    let hub = endpoint("hub").await?;
+    let mut others: Vec<Endpoint> = Vec::new();
     let mut levels = vec![read(0).await];
     for &count in counts {
         while others.len() < count {
-            let mut other = end(&format!("other-{}", others.len())).await?;
+            let mut other = endpoint(&format!("other-{}", others.len())).await?;
             other.peers.learn([("hub".parse()?, hub.address)]);
             other.peers.send("hub".parse()?, hello());
-            // The stream is open once its end hears of it.
+            // The stream is open once its other end reports an event.
             other.events.recv().await;
             others.push(other);
         }
@@ -50,7 +50,7 @@
     Ok(levels)
 }
 
-async fn end(name: &str) -> Result<End, Error> {
+async fn endpoint(name: &str) -> Result<Endpoint, Error> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
     let (sender, events) = mpsc::unbounded_channel();
@@ -65,7 +65,7 @@
         sender,
     );
     peers.listen(listener);
-    Ok(End {
+    Ok(Endpoint {
         peers,
         events,
         address,
@@ -81,6 +81,6 @@
 }
 
 async fn read(count: usize) -> Level {
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     level(count, || process::resident().unwrap_or_default())
 }
--- a/tests/slopes.rs
+++ b/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! What the slopes' measurements print, and what of it must be the same in each run.
+//! Output of the `slopes` measurements, and the parts of it that must be equal in each run.
 
 mod command;
 
@@ -29,15 +29,15 @@
 }
 
 /// Sizes, messages and bytes of each row; processor time and memory differ between runs.
-fn counted(said: &str) -> String {
+fn counted(output: &str) -> String {
     let columns = |row: &str| row.split('|').take(2).collect::<Vec<_>>().join("|");
-    said.lines().map(columns).collect::<Vec<_>>().join("\n")
+    output.lines().map(columns).collect::<Vec<_>>().join("\n")
 }
 
-/// The columns after memory, told by the virtual clock: in force, lost, moved.
-fn timed(said: &str) -> Vec<String> {
+/// The columns after memory, measured on the virtual clock: in force, lost, moved.
+fn timed(output: &str) -> Vec<String> {
     let last = |row: &str| row.rsplit('|').next().map(str::to_owned);
-    said.lines().filter_map(last).collect()
+    output.lines().filter_map(last).collect()
 }
 
 #[test]
@@ -52,12 +52,12 @@
 
 #[test]
 fn without_a_measurement_the_usage_is_told() {
-    let said = lentilspoke(&["slopes"]);
-    assert!(said.starts_with("exit 2\n"), "{said}");
+    let output = lentilspoke(&["slopes"]);
+    assert!(output.starts_with("exit 2\n"), "{output}");
     assert!(
-        said.contains("Usage: lentilspoke slopes MEASUREMENT"),
-        "{said}"
+        output.contains("Usage: lentilspoke slopes MEASUREMENT"),
+        "{output}"
     );
-    let said = lentilspoke(&["slopes", "sideways"]);
-    assert!(said.starts_with("exit 2\n"), "{said}");
+    let output = lentilspoke(&["slopes", "sideways"]);
+    assert!(output.starts_with("exit 2\n"), "{output}");
 }
