--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -1,9 +1,9 @@
 //! One caller: a session that writes and reads its own rows, at one address or another.
 
 use super::client::{Connections, Mode, Outcome};
-use super::record::{Row, Told, entry};
+use super::record::{Answer, Row, entry};
 use super::stats::{Kind, Stats};
-use super::{Ended, Mix, Plan, over_within};
+use super::{Ended, Mix, Plan, ended_before};
 use crate::clock::{Span, Time};
 use crate::types::GroupId;
 use rand::{RngExt, SeedableRng};
@@ -13,17 +13,17 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// After so many writes a row is left and another one begun, so that bodies stay short.
+/// The number of writes after which a caller starts a new row, so that bodies stay short.
 const WRITES_PER_ROW: usize = 16;
 
 const INSERT: &str = "INSERT INTO ledger (id, body) VALUES ($1, $2) RETURNING id";
 const APPEND: &str = "UPDATE ledger SET body = body || $2 WHERE id = $1 RETURNING id";
 const READ: &str = "SELECT body FROM ledger WHERE id = $1";
 
-/// What a caller has written, per group.
+/// The rows that a caller has written, per group.
 pub(super) type Rows = BTreeMap<GroupId, Vec<Row>>;
 
-/// One caller at work.
+/// The state of one caller.
 struct Caller {
     name: String,
     plan: Rc<Plan>,
@@ -36,7 +36,7 @@
     closed: BTreeMap<GroupId, bool>,
 }
 
-/// Works until the run is over; returns what was written and told.
+/// Runs operations until the run is over; returns the rows written and the answers to each write.
 pub(super) async fn run(
     number: u32,
     plan: Rc<Plan>,
@@ -44,7 +44,7 @@
     mut ended: Ended,
 ) -> Rows {
     let mut random = ChaCha8Rng::seed_from_u64(plan.seed.wrapping_add(u64::from(number)));
-    // A second run with the same seed must not meet the first one's rows.
+    // The random part keeps a second run with the same seed from using the first one's rows.
     let name = format!("load-{:08x}-{number}", rand::random::<u32>());
     let address = random.random_range(0..plan.addresses.len().max(1));
     let start = stats.borrow().start();
@@ -61,17 +61,17 @@
     };
     loop {
         let due = pace.next();
-        if over_within(&mut ended, due).await {
+        if ended_before(&mut ended, due).await {
             return caller.rows;
         }
         caller.step(due).await;
     }
 }
 
-/// When operations are due.
+/// The schedule of a caller's operations.
 struct Pace {
     next: Instant,
-    /// Between two of one caller; `None`: as soon as the last one has ended.
+    /// Time between a caller's operations; `None`: each starts when the last one has ended.
     interval: Option<Span>,
 }
 
@@ -88,8 +88,8 @@
         }
     }
 
-    /// A caller that fell behind its rate catches up, and its latencies count from when the
-    /// operation was due: a slow system must not slow down its own measurement.
+    /// A caller that fell behind its rate catches up, and its latencies count from the time when the
+    /// operation was due, so that a slow system does not reduce the load that measures it.
     fn next(&mut self) -> Instant {
         let Some(interval) = self.interval else {
             return Instant::now();
@@ -111,7 +111,7 @@
         let Some(group) = self.plan.groups.get(group).cloned() else {
             return;
         };
-        let kind = draw(self.plan.mix, self.random.random_range(0..100));
+        let kind = choose_kind(self.plan.mix, self.random.random_range(0..100));
         let outcome = match kind {
             Kind::Write => self.write(&group).await,
             Kind::SessionRead => self.read(&group, Mode::Session).await,
@@ -120,7 +120,7 @@
         self.stats.borrow_mut().count(kind, outcome, due.elapsed());
         match outcome {
             Outcome::NotRun(pause) => tokio::time::sleep(pause.into()).await,
-            Outcome::DeclaredLost => self.disclaim(&group),
+            Outcome::DeclaredLost => self.mark_lost(&group),
             _ => {}
         }
     }
@@ -129,38 +129,41 @@
         let rows = self.rows.entry(group.clone()).or_default();
         let full = rows
             .last()
-            .is_none_or(|row| row.told.len() >= WRITES_PER_ROW);
+            .is_none_or(|row| row.answers.len() >= WRITES_PER_ROW);
         let closed = self.closed.insert(group.clone(), false) == Some(true);
-        let begins = full || closed;
-        if begins {
+        let starts_row = full || closed;
+        if starts_row {
             let id = format!("{}-{}", self.name, rows.len());
             rows.push(Row {
                 id: id.into(),
-                told: Vec::new(),
+                answers: Vec::new(),
             });
         }
         let Some(row) = rows.last() else {
             return Outcome::Failed;
         };
-        let (id, text) = (row.id.clone(), entry(row.told.len()));
-        let sql = if begins { INSERT } else { APPEND };
-        let place = (self.address, group, Mode::Session);
-        let answer = self.connections.query(place, sql, &[&id, &text]).await;
+        let (id, text) = (row.id.clone(), entry(row.answers.len()));
+        let sql = if starts_row { INSERT } else { APPEND };
+        let destination = (self.address, group, Mode::Session);
+        let answer = self
+            .connections
+            .query(destination, sql, &[&id, &text])
+            .await;
         let now = Instant::now();
-        let (told, outcome) = match answer {
-            Ok(rows) if rows.is_empty() => (Told::Unknown, Outcome::Done),
-            Ok(_) => (Told::Done(self.time(now)), Outcome::Done),
-            Err(Outcome::Unknown) => (Told::Unknown, Outcome::Unknown),
-            Err(outcome) => (Told::NotRun, outcome),
+        let (recorded, outcome) = match answer {
+            Ok(rows) if rows.is_empty() => (Answer::Unknown, Outcome::Done),
+            Ok(_) => (Answer::Done(self.time(now)), Outcome::Done),
+            Err(Outcome::Unknown) => (Answer::Unknown, Outcome::Unknown),
+            Err(outcome) => (Answer::NotRun, outcome),
         };
-        if matches!(told, Told::Done(_)) {
+        if matches!(recorded, Answer::Done(_)) {
             self.stats.borrow_mut().acknowledged(group, now);
         }
-        // A row whose insert may be missing takes no appends.
-        let row_may_be_missing = begins && !matches!(told, Told::Done(_));
+        // A row whose insert may be missing gets no appends.
+        let row_may_be_missing = starts_row && !matches!(recorded, Answer::Done(_));
         self.closed.insert(group.clone(), row_may_be_missing);
         if let Some(row) = self.rows.get_mut(group).and_then(|rows| rows.last_mut()) {
-            row.told.push(told);
+            row.answers.push(recorded);
         }
         outcome
     }
@@ -168,17 +171,17 @@
     async fn read(&mut self, group: &GroupId, mode: Mode) -> Outcome {
         let row = self.rows.get(group).and_then(|rows| rows.last()).cloned();
         let id = row.as_ref().map_or("none", |row| &row.id).to_owned();
-        let asked = self.time(Instant::now());
-        let place = (self.address, group, mode);
-        let rows = match self.connections.query(place, READ, &[&id]).await {
+        let sent_at = self.time(Instant::now());
+        let destination = (self.address, group, mode);
+        let rows = match self.connections.query(destination, READ, &[&id]).await {
             Ok(rows) => rows,
-            // A read that got no answer ran or not, which makes no difference to its caller.
+            // Whether a read without an answer ran makes no difference to its caller.
             Err(outcome) => return outcome,
         };
         let body: Option<&str> = rows.first().and_then(|row| row.try_get(0).ok());
         let since = match mode {
-            Mode::Session => asked,
-            Mode::Aged => asked - self.plan.max_age,
+            Mode::Session => sent_at,
+            Mode::Aged => sent_at - self.plan.max_age,
         };
         if let Some(row) = row {
             let fault = row.check(body, since);
@@ -187,33 +190,33 @@
                 Mode::Session => stats.stale += fault.missing,
                 Mode::Aged => stats.too_old += fault.missing,
             }
-            stats.seen.doubled += fault.doubled;
-            stats.seen.not_run_but_there += fault.not_run_but_there;
-            stats.seen.foreign += fault.foreign;
+            stats.read_faults.doubled += fault.doubled;
+            stats.read_faults.not_run_but_there += fault.not_run_but_there;
+            stats.read_faults.foreign += fault.foreign;
         }
         Outcome::Done
     }
 
-    /// The proxy has told that writes of the session in `group` are lost; which ones, a caller
-    /// finds out by reading.
-    fn disclaim(&mut self, group: &GroupId) {
+    /// Handles the proxy's report that writes of the session in `group` are lost. It does not name
+    /// them; the caller finds out by reading.
+    fn mark_lost(&mut self, group: &GroupId) {
         let rows = self.rows.get_mut(group).into_iter().flatten();
-        for told in rows.flat_map(|row| &mut row.told) {
-            if matches!(told, Told::Done(_)) {
-                *told = Told::Disclaimed;
+        for recorded in rows.flat_map(|row| &mut row.answers) {
+            if matches!(recorded, Answer::Done(_)) {
+                *recorded = Answer::DeclaredLost;
             }
         }
         self.closed.insert(group.clone(), true);
     }
 
-    /// The moment on the run's own clock; one microsecond in, so that zero is before all.
+    /// Converts to the run's own clock, which starts at one microsecond so that zero precedes all times.
     fn time(&self, at: Instant) -> Time {
         let since = at.duration_since(self.stats.borrow().start());
         Time(Span::from(since).0 + 1)
     }
 }
 
-fn draw(mix: Mix, number: u8) -> Kind {
+fn choose_kind(mix: Mix, number: u8) -> Kind {
     if number < mix.writes {
         Kind::Write
     } else if number < mix.writes.saturating_add(mix.session_reads) {
--- a/src/load/client.rs
+++ b/src/load/client.rs
@@ -1,4 +1,4 @@
-//! A caller's connections, and what an error tells about a request.
+//! A caller's connections, and the mapping from errors to request outcomes.
 
 use super::Plan;
 use crate::clock::Span;
@@ -9,32 +9,32 @@
 use tokio_postgres::types::{ToSql, Type};
 use tokio_postgres::{Client, Config, NoTls, Row};
 
-/// What a caller was told about one request.
+/// The outcome of one request as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Outcome {
     Done,
-    /// Not run; worth sending again after this long.
+    /// Not run; the caller may retry after this time.
     NotRun(Span),
     Unknown,
-    /// An error of the database; the request had no effect.
+    /// A database error; the request had no effect.
     Failed,
-    /// Not run, and an earlier write of the session is declared lost.
+    /// Not run, and an earlier write of the session was declared lost.
     DeclaredLost,
 }
 
-/// How a statement is to be run.
+/// The consistency mode of a statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Mode {
-    /// As the session, with its floor.
+    /// Within the session, under its floor.
     Session,
-    /// With a stated age and no session.
+    /// With a maximum age and no session.
     Aged,
 }
 
-/// Names one connection.
+/// Identifies one connection: address index, group and mode.
 type Key = (usize, GroupId, Mode);
 
-/// One caller's connections, opened as they are needed.
+/// One caller's connections, opened on demand.
 pub(super) struct Connections {
     name: String,
     addresses: Vec<SocketAddr>,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Runs one statement at address number `at`.
+    /// Runs one statement at the address with index `at`.
     pub(super) async fn query(
         &mut self,
         (at, group, mode): (usize, &GroupId, Mode),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A connection that can't be opened ran nothing.
+    /// Opens a connection. A failure means that nothing ran.
     async fn connect(&self, (at, group, mode): &Key) -> Result<Client, Outcome> {
         const PAUSE: Span = Span::from_millis(20);
         let refused = Outcome::NotRun(PAUSE);
@@ -109,15 +109,15 @@
         let opened = tokio::time::timeout(self.timeout, config.connect(NoTls)).await;
         let (client, connection) = opened.map_err(|_| refused)?.map_err(|_| refused)?;
         actix_rt::spawn(async move {
-            // Its end shows at the client.
+            // The client reports the end of the connection.
             let _ = connection.await;
         });
         Ok(client)
     }
 }
 
-/// Reads the SQLSTATE: the proxy's own class says what became of the request; any other code
-/// comes from the database, which undid the statement.
+/// Maps a SQLSTATE to an outcome: the proxy's own class states what became of the request; any other
+/// code comes from the database, which rolled the statement back.
 fn outcome_of(error: &tokio_postgres::Error) -> Outcome {
     let Some(error) = error.as_db_error() else {
         return Outcome::Unknown;
@@ -136,10 +136,10 @@
     Outcome::Failed
 }
 
-/// Reads `Retry after 20ms.`
+/// Parses the hint `Retry after 20ms.`
 fn pause(hint: Option<&str>) -> Span {
-    const LONGEST: Span = Span::from_secs(1);
+    const MAX_PAUSE: Span = Span::from_secs(1);
     let text = hint.and_then(|hint| hint.strip_prefix("Retry after "));
     let span = text.and_then(|text| text.trim_end_matches('.').parse().ok());
-    span.unwrap_or(Span::ZERO).min(LONGEST)
+    span.unwrap_or(Span::ZERO).min(MAX_PAUSE)
 }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Load on proxies, with a check of what callers were told against what they read back.
+//! Load generator for proxies that checks the answers to callers against the data read back.
 //!
-//! Each caller is one named session that does one thing at a time and roams between addresses.
-//! It writes rows of its own, each write with a number that no other write of the row has, so
-//! that a write that is lost, doubled or run though refused shows in the row's body.
+//! Each caller is one named session that runs one operation at a time and moves between addresses.
+//! It writes rows of its own. Each write has a number that is unique in its row, so that a write
+//! that is lost, applied twice or run although refused shows in the row's body.
 
 mod caller;
 mod client;
@@ -25,54 +25,54 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What load to put on.
+/// The parameters of the load.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// The proxies' addresses for callers.
     pub addresses: Vec<SocketAddr>,
     /// The proxies' admin addresses, for the share of reads by replicas; may be empty.
     pub admins: Vec<SocketAddr>,
-    /// The groups used in turn.
+    /// The groups, of which each operation uses one at random.
     pub groups: Vec<GroupId>,
-    /// How many callers.
+    /// Number of callers.
     pub callers: u32,
-    /// The shares of the kinds of work.
+    /// The shares of the kinds of operation.
     pub mix: Mix,
-    /// The age that aged reads accept.
+    /// The maximum age that aged reads accept.
     pub max_age: Span,
-    /// In how many of 100 operations a caller moves to another address.
+    /// The share of operations before which a caller moves to another address, in percent.
     pub roam: u8,
-    /// Operations a second of all callers together; `None`: each starts the next one when one
-    /// has ended.
+    /// Operations per second of all callers together; `None`: each caller starts the next operation
+    /// when the last one has ended.
     pub rate: Option<f64>,
-    /// Draws the operations.
+    /// The seed of the random choice of operations.
     pub seed: u64,
-    /// How long an operation may take before the caller gives its connection up.
+    /// How long an operation may take before the caller closes its connection.
     pub timeout: Span,
 }
 
-/// The shares of the kinds of work, in percent.
+/// The shares of the kinds of operation, in percent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Mix {
     /// Writes.
     pub writes: u8,
     /// Reads that must see the session's own writes.
     pub session_reads: u8,
-    /// Reads of a stated age.
+    /// Reads with a maximum age.
     pub aged_reads: u8,
 }
 
 /// Whether the run is over.
 type Ended = watch::Receiver<bool>;
 
-/// Reads counted by the proxies, by the role of the database that answered.
+/// Reads counted by the proxies, by the role of the database that served them.
 #[derive(Debug, Clone, Copy, Default)]
 struct Reads {
     replica: u64,
     primary: u64,
 }
 
-/// Puts on the load until `end`, calling `progress` once a second with a line about it.
+/// Runs the load until `end`, calling `progress` with a line of text once a second.
 pub async fn run(plan: &Plan, end: impl Future<Output = ()>, progress: impl Fn(&str)) -> Report {
     let (over, ended) = watch::channel(false);
     let before = reads(&plan.admins).await;
@@ -102,28 +102,28 @@
     stats.borrow_mut().end(Instant::now(), &plan.groups);
     let after = reads(&plan.admins).await;
     progress("reading back");
-    let found = readback::run(&plan, &callers).await;
+    let findings = readback::run(&plan, &callers).await;
     let share = match (before, after) {
         (Some(before), Some(after)) => share(before, after),
         _ => None,
     };
-    report::build(&plan, &stats.borrow(), share, found)
+    report::build(&plan, &stats.borrow(), share, findings)
 }
 
 async fn tick(stats: &RefCell<Stats>, mut ended: Ended, progress: &impl Fn(&str)) {
     const TICK: Duration = Duration::from_secs(1);
-    while !over_within(&mut ended, Instant::now() + TICK).await {
+    while !ended_before(&mut ended, Instant::now() + TICK).await {
         progress(&stats.borrow().line());
     }
 }
 
-/// Waits until `due`, or until the run is over; tells whether it is.
-async fn over_within(ended: &mut Ended, due: Instant) -> bool {
+/// Waits until `due` or the end of the run; returns whether the run is over.
+async fn ended_before(ended: &mut Ended, due: Instant) -> bool {
     let over = ended.wait_for(|over| *over);
     tokio::time::timeout_at(due, over).await.is_ok()
 }
 
-/// The sum over all admin addresses; `None` if there is none, or one does not answer.
+/// The sum over all admin addresses; `None` if there are none or one does not answer.
 async fn reads(admins: &[SocketAddr]) -> Option<Reads> {
     let mut sum = Reads::default();
     for admin in admins {
--- a/src/load/readback.rs
+++ b/src/load/readback.rs
@@ -1,4 +1,4 @@
-//! Reading all rows back from the primaries once the load is over.
+//! Reads all rows back from the primaries after the load.
 
 use super::Plan;
 use super::caller::Rows;
@@ -10,40 +10,40 @@
 use tokio::time::Instant;
 use tokio_postgres::{Config, NoTls};
 
-/// How long a primary may take to come back.
-const PATIENCE: Duration = Duration::from_secs(30);
-const RETRY: Duration = Duration::from_millis(200);
+/// How long to retry while a group has no primary.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(30);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What reading back found.
+/// The results of reading back.
 #[derive(Debug, Default)]
-pub(super) struct Found {
-    /// The faults of all rows together.
+pub(super) struct Findings {
+    /// The sum of the faults of all rows.
     pub(super) fault: Fault,
-    /// Rows that could not be read, so that nothing is known of them.
+    /// Number of rows that could not be read and are therefore unchecked.
     pub(super) unread: u64,
 }
 
-/// A locking read in a transaction that is rolled back: the primary answers it.
+/// A locking read in a transaction that is rolled back, so that the primary serves it.
 const READ: &str = "SELECT id, body FROM ledger WHERE id LIKE $1 FOR UPDATE";
 
-pub(super) async fn run(plan: &Plan, callers: &[Rows]) -> Found {
-    let mut found = Found::default();
+pub(super) async fn run(plan: &Plan, callers: &[Rows]) -> Findings {
+    let mut findings = Findings::default();
     for (group, rows) in callers.iter().flatten() {
         let Some(first) = rows.first() else { continue };
-        // Ids are NAME-NUMBER.
+        // Ids have the form NAME-NUMBER.
         let name = first
             .id
             .rsplit_once('-')
             .map_or(&*first.id, |(name, _)| name);
         match bodies(plan, group, name).await {
-            Some(bodies) => rows.iter().for_each(|row| found.add(row, &bodies)),
-            None => found.unread += rows.len() as u64,
+            Some(bodies) => rows.iter().for_each(|row| findings.add(row, &bodies)),
+            None => findings.unread += rows.len() as u64,
         }
     }
-    found
+    findings
 }
 
-impl Found {
+impl Findings {
     fn add(&mut self, row: &Row, bodies: &HashMap<String, String>) {
         let body = bodies.get(&*row.id).map(String::as_str);
         let fault = row.check(body, Time(u64::MAX));
@@ -55,10 +55,10 @@
 }
 
 async fn bodies(plan: &Plan, group: &GroupId, name: &str) -> Option<HashMap<String, String>> {
-    let deadline = Instant::now() + PATIENCE;
-    let mut turn = 0;
+    let deadline = Instant::now() + READ_BACK_TIMEOUT;
+    let mut tries = 0;
     loop {
-        let address = plan.addresses.get(turn % plan.addresses.len().max(1))?;
+        let address = plan.addresses.get(tries % plan.addresses.len().max(1))?;
         let attempt = tokio::time::timeout(plan.timeout.into(), read(address, group, name));
         match attempt.await {
             Ok(Ok(bodies)) => return Some(bodies),
@@ -68,8 +68,8 @@
         if Instant::now() >= deadline {
             return None;
         }
-        tokio::time::sleep(RETRY).await;
-        turn += 1;
+        tokio::time::sleep(RETRY_INTERVAL).await;
+        tries += 1;
     }
 }
 
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -1,7 +1,7 @@
-//! What a run found, for people and as JSON.
+//! The results of a run, as text and JSON.
 
 use super::Plan;
-use super::readback::Found;
+use super::readback::Findings;
 use super::stats::{Kind, Stats, Tally};
 use crate::clock::Span;
 use crate::types::GroupId;
@@ -9,59 +9,59 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The findings of a run.
+/// The results of a run.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Report {
-    /// How long the load was on, in seconds.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
-    /// Operations done, a second.
+    /// Operations done per second.
     pub throughput: f64,
-    /// By kind of work.
+    /// The counts by kind of operation.
     pub kinds: BTreeMap<Kind, Line>,
-    /// The share of reads that replicas answered, by the proxies' count; absent without admin
+    /// The share of reads served by replicas, as counted by the proxies; absent without admin
     /// addresses.
     pub replica_share: Option<f64>,
     /// The longest time without an acknowledged write, per group.
     pub longest_gap: BTreeMap<GroupId, Span>,
-    /// Acknowledged writes that were not there at the end.
+    /// Acknowledged writes that were missing at the end.
     pub lost: u64,
-    /// Writes that were there twice.
+    /// Writes that were applied more than once.
     pub doubled: u64,
-    /// Session reads that missed a write of their own, and aged reads that were too old.
+    /// Session reads that missed their own write, and aged reads that were too old.
     pub stale: u64,
-    /// Writes that were told "not run" and were there.
+    /// Writes that were answered "not run" but are present.
     pub not_run_but_there: u64,
-    /// Entries that nobody wrote.
+    /// Entries that no caller wrote.
     pub foreign: u64,
     /// Rows that could not be read back.
     pub unread: u64,
 }
 
-/// One kind of work.
+/// The counts and latencies of one kind of operation.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Line {
-    /// Answered.
+    /// Operations that were answered.
     pub done: u64,
-    /// Told "not run".
+    /// Operations answered "not run".
     pub not_run: u64,
-    /// Told "outcome unknown", or left without an answer.
+    /// Operations answered "outcome unknown", or without an answer.
     pub unknown: u64,
-    /// Told that an earlier write is lost.
+    /// Operations answered with the loss of an earlier write.
     pub declared_lost: u64,
-    /// Failed in the database.
+    /// Operations that failed in the database.
     pub failed: u64,
-    /// The median latency of what was answered.
+    /// The median latency of answered operations.
     pub p50: Span,
-    /// 99 of 100 were answered within this.
+    /// The 99th percentile of the latency of answered operations.
     pub p99: Span,
-    /// 999 of 1,000 were answered within this.
+    /// The 99.9th percentile of the latency of answered operations, 999 of 1,000.
     pub p999: Span,
 }
 
 impl Report {
-    /// Whether everything was as callers were told.
+    /// Whether all answers to callers agree with the data.
     pub fn is_clean(&self) -> bool {
         let faults = [
             self.lost,
@@ -75,7 +75,7 @@
     }
 }
 
-pub(super) fn build(plan: &Plan, stats: &Stats, share: Option<f64>, found: Found) -> Report {
+pub(super) fn build(plan: &Plan, stats: &Stats, share: Option<f64>, findings: Findings) -> Report {
     let done: u64 = stats.kinds.values().map(|tally| tally.done).sum();
     let seconds = stats.elapsed.as_secs_f64();
     log::debug!(callers = plan.callers; "load is over");
@@ -89,15 +89,15 @@
             .collect(),
         replica_share: share,
         longest_gap: stats.gaps.clone(),
-        lost: found.fault.missing,
-        doubled: found.fault.doubled.max(stats.seen.doubled),
+        lost: findings.fault.missing,
+        doubled: findings.fault.doubled.max(stats.read_faults.doubled),
         stale: stats.stale + stats.too_old,
-        not_run_but_there: found
+        not_run_but_there: findings
             .fault
             .not_run_but_there
-            .max(stats.seen.not_run_but_there),
-        foreign: found.fault.foreign.max(stats.seen.foreign),
-        unread: found.unread,
+            .max(stats.read_faults.not_run_but_there),
+        foreign: findings.fault.foreign.max(stats.read_faults.foreign),
+        unread: findings.unread,
     }
 }
 
--- a/src/load/stats.rs
+++ b/src/load/stats.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A kind of work.
+/// A kind of operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -18,11 +18,11 @@
     Write,
     /// A read that must see the session's own writes.
     SessionRead,
-    /// A read of a stated age.
+    /// A read with a maximum age.
     AgedRead,
 }
 
-/// What came of one kind of work.
+/// Outcomes of one kind of operation.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
     pub(super) done: u64,
@@ -30,7 +30,7 @@
     pub(super) unknown: u64,
     pub(super) failed: u64,
     pub(super) declared_lost: u64,
-    /// Latencies of what was done, in microseconds.
+    /// Latencies of operations done, in microseconds.
     pub(super) latency: Option<Histogram<u64>>,
 }
 
@@ -40,20 +40,20 @@
     start: Instant,
     pub(super) elapsed: Duration,
     pub(super) kinds: BTreeMap<Kind, Tally>,
-    /// Session reads that missed a write of their own.
+    /// Session reads that missed their own write.
     pub(super) stale: u64,
-    /// Aged reads that missed a write of their own older than the stated age.
+    /// Aged reads that missed an own write older than the maximum age.
     pub(super) too_old: u64,
-    /// Faults seen by reads during the run, beside missing writes.
-    pub(super) seen: Fault,
+    /// Faults found by reads during the run, apart from missing writes.
+    pub(super) read_faults: Fault,
     acknowledged: BTreeMap<GroupId, Instant>,
     /// The longest time without an acknowledged write, per group.
     pub(super) gaps: BTreeMap<GroupId, Span>,
 }
 
-/// Microseconds that a latency may have in the histograms: ten minutes.
-const LATENCY_LIMIT: u64 = 600_000_000;
-const DIGITS: u8 = 3;
+/// The highest latency in the histograms, in microseconds: ten minutes.
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 impl Stats {
     pub(super) fn new(start: Instant) -> Self {
@@ -63,7 +63,7 @@
             kinds: BTreeMap::new(),
             stale: 0,
             too_old: 0,
-            seen: Fault::default(),
+            read_faults: Fault::default(),
             acknowledged: BTreeMap::new(),
             gaps: BTreeMap::new(),
         }
@@ -82,7 +82,8 @@
                 tally.done += 1;
                 let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
                 if tally.latency.is_none() {
-                    tally.latency = Histogram::new_with_max(LATENCY_LIMIT, DIGITS).ok();
+                    tally.latency =
+                        Histogram::new_with_max(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS).ok();
                 }
                 if let Some(histogram) = &mut tally.latency {
                     histogram.saturating_record(micros);
@@ -95,13 +96,13 @@
         }
     }
 
-    /// A write of `group` was acknowledged.
+    /// Records that a write of `group` was acknowledged.
     pub(super) fn acknowledged(&mut self, group: &GroupId, at: Instant) {
         let last = self.acknowledged.insert(group.clone(), at);
         self.gap(group, at.duration_since(last.unwrap_or(self.start)));
     }
 
-    /// The run is over: what was not acknowledged since is a gap, too.
+    /// Ends the run. The time since the last acknowledged write counts as a gap, too.
     pub(super) fn end(&mut self, at: Instant, groups: &[GroupId]) {
         self.elapsed = at.duration_since(self.start);
         if !self.kinds.contains_key(&Kind::Write) {
@@ -118,7 +119,7 @@
         *longest = (*longest).max(gap.into());
     }
 
-    /// One line about the run so far.
+    /// One line of text about the run so far.
     pub(super) fn line(&self) -> String {
         let sum = |of: fn(&Tally) -> u64| self.kinds.values().map(of).sum::<u64>();
         format!(
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -1,4 +1,4 @@
-//! `lentilspoke load`: its checker finds what it is for, and a small run against the demo is
+//! `lentilspoke load`: its checker detects each fault, and small runs against the demo are
 //! clean.
 
 mod command;
@@ -6,26 +6,26 @@
 use command::lentilspoke;
 use lentilspoke::clock::{Span, Time};
 use lentilspoke::core::database::State;
-use lentilspoke::load::record::{Fault, Row, Told};
+use lentilspoke::load::record::{Answer, Fault, Row};
 use lentilspoke::load::{self, Kind, Mix, Plan, Report};
 use lentilspoke::standin::database::Handle;
 use lentilspoke::standin::demo;
 use lentilspoke::types::{DatabaseId, Position};
 use std::time::Duration;
 
-/// Many times what a busy machine takes for the longest run.
-const GIVE_UP: Duration = Duration::from_secs(180);
+/// Many times the duration of the longest run on a busy machine.
+const RUN_TIMEOUT: Duration = Duration::from_secs(180);
 
 fn row() -> Row {
-    let told = vec![
-        Told::Done(Time(10)),
-        Told::NotRun,
-        Told::Unknown,
-        Told::Done(Time(20)),
+    let answers = vec![
+        Answer::Done(Time(10)),
+        Answer::NotRun,
+        Answer::Unknown,
+        Answer::Done(Time(20)),
     ];
     Row {
         id: "r".into(),
-        told,
+        answers,
     }
 }
 
@@ -86,41 +86,40 @@
     }
 }
 
-/// Where the primary's log ends.
+/// The end of the primary's log.
 fn end(group: &Handle) -> Position {
     let state = group.primary().and_then(|primary| group.state(&primary));
     state.map_or(Position::default(), |state| state.position)
 }
 
-/// Waits until callers have written `count` more times to a group, whichever primary it has.
-async fn written(group: &Handle, count: u64) {
+/// Waits until callers have written `count` more times to a group, whichever database is its primary.
+async fn wait_for_writes(group: &Handle, count: u64) {
     let offset = end(group).offset.0 + count;
     group.until(|group| end(group).offset.0 >= offset).await;
 }
 
-/// Waits until a group has another primary than `former`, and callers write to it.
-async fn replaced(group: &Handle, former: &DatabaseId) {
+/// Waits until a group has a primary other than `former` and callers write to it.
+async fn wait_for_replacement(group: &Handle, former: &DatabaseId) {
     let other = |group: &Handle| group.primary().is_some_and(|primary| primary != *former);
     group.until(other).await;
-    written(group, 20).await;
+    wait_for_writes(group, 20).await;
 }
 
-/// Puts load on until `end`. Whoever waits for what never comes is told so, in place of a run
-/// without an end.
+/// Runs the load until `end`, and panics after a timeout if that never happens.
 async fn run(plan: &Plan, end: impl Future<Output = ()>) -> Report {
     let run = load::run(plan, end, |_| ());
-    let report = tokio::time::timeout(GIVE_UP, run).await;
-    report.expect("what the run waits for does not come")
+    let report = tokio::time::timeout(RUN_TIMEOUT, run).await;
+    report.expect("the run did not end in time")
 }
 
-/// Sessions write and read through two proxies, moving between them: what they are told is so.
+/// Sessions write and read through two proxies and move between them; all answers are correct.
 #[actix_rt::test]
 async fn a_small_run_against_the_demo_is_clean() {
     let demo = start().await;
     let (first, second) = (group(&demo, "ledger1"), group(&demo, "ledger2"));
     let enough = async {
-        written(first, 100).await;
-        written(second, 100).await;
+        wait_for_writes(first, 100).await;
+        wait_for_writes(second, 100).await;
     };
     let report = run(&plan(&demo), enough).await;
     assert!(report.is_clean(), "{report}");
@@ -130,8 +129,8 @@
 }
 
 /// While callers write and read, the primary of one group is killed; another group's primary loses
-/// answers after their effect; connections to a replica of it fall silent for good. Callers may
-/// hear "not run" or "outcome unknown", and nothing that they were told turns out otherwise.
+/// answers after their effect, and connections to a replica of it become silent for good. Callers
+/// may get "not run" or "outcome unknown", and no answer proves wrong.
 #[actix_rt::test]
 async fn a_run_under_faults_is_clean() {
     let demo = start().await;
@@ -139,16 +138,16 @@
     let mut plan = plan(&demo);
     plan.callers = 6;
     let faults = async {
-        written(first, 50).await;
-        written(second, 50).await;
+        wait_for_writes(first, 50).await;
+        wait_for_writes(second, 50).await;
         let primary = second.primary().unwrap();
         second.lose_answers(&primary, 3);
         let replica = second.group().databases.keys().find(|id| **id != primary);
         second.silence(replica.unwrap());
         let former = first.primary().unwrap();
         first.kill(&former);
-        replaced(first, &former).await;
-        written(second, 50).await;
+        wait_for_replacement(first, &former).await;
+        wait_for_writes(second, 50).await;
     };
     let report = run(&plan, faults).await;
     assert!(report.is_clean(), "{report}");
@@ -156,9 +155,9 @@
     assert!(first.primary().is_some());
 }
 
-/// The primary of one group is cut off from its replicas, but neither from the proxies nor the
-/// callers: what it commits from there on will vanish. None of that is told to be done; the group
-/// gets another primary, and when the cut heals nothing that was told is undone.
+/// The primary of one group is cut off from its replicas, but not from the proxies and callers, so
+/// that its later commits will be lost. None of them is acknowledged. The group gets another primary,
+/// and when the connection is restored, no acknowledged write is undone.
 #[actix_rt::test]
 async fn a_primary_cut_off_from_its_replicas_is_replaced() {
     let demo = start().await;
@@ -167,14 +166,14 @@
     plan.callers = 6;
     let before = first.primary().unwrap();
     let faults = async {
-        written(first, 50).await;
+        wait_for_writes(first, 50).await;
         first.isolate(&before, true);
-        replaced(first, &before).await;
+        wait_for_replacement(first, &before).await;
         first.isolate(&before, false);
         let healed = end(first);
         let follows = |state: &State| state.term >= healed.term && state.applied >= healed;
         first.reached(&before, follows).await;
-        written(first, 50).await;
+        wait_for_writes(first, 50).await;
     };
     let report = run(&plan, faults).await;
     assert!(report.is_clean(), "{report}");
