--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -10,8 +10,8 @@
 use lentilspoke::types::{CallerId, DatabaseId, RequestId};
 use std::hint::black_box;
 
-const FAR: Time = Time(u64::MAX / 2);
-const RUN: Span = Span::from_millis(4);
+const FAR_DEADLINE: Time = Time(u64::MAX / 2);
+const RUN_TIME: Span = Span::from_millis(4);
 
 fn callers(count: u64) -> Vec<CallerId> {
     let names = (0..count).map(|number| format!("caller-{number}"));
@@ -23,12 +23,12 @@
         request: RequestId(request),
         caller: caller.clone(),
         class: Class::Session,
-        deadline: FAR,
+        deadline: FAR_DEADLINE,
     }
 }
 
 /// One request through a gate (offer, next, finish) in which `waiting` others of `callers` wait.
-fn through(c: &mut Criterion, name: &str, sizes: &[(u64, u64)], policy: Policy) {
+fn bench_gate(c: &mut Criterion, name: &str, sizes: &[(u64, u64)], policy: Policy) {
     let mut group = c.benchmark_group(name);
     for &(count, waiting) in sizes {
         let callers = callers(count);
@@ -46,10 +46,10 @@
         let label = format!("{count} callers, {} waiting", gate.waiting());
         group.bench_function(BenchmarkId::from_parameter(label), |b| {
             b.iter(|| {
-                now = now + RUN;
+                now = now + RUN_TIME;
                 offer(&mut gate, now);
                 if let Some(next) = gate.next(now) {
-                    gate.finish(now + RUN, next.request);
+                    gate.finish(now + RUN_TIME, next.request);
                 }
             });
         });
@@ -65,13 +65,13 @@
         (10_000, 10_000),
         (100_000, 16_000),
     ];
-    through(c, "gate by callers", &by_callers, Policy::full());
+    bench_gate(c, "gate by callers", &by_callers, Policy::full());
     let by_queue = [(100, 10), (100, 100), (100, 1_000), (100, 10_000)];
-    through(c, "gate by queue", &by_queue, Policy::full());
-    through(c, "naive gate by queue", &by_queue, Policy::naive());
+    bench_gate(c, "gate by queue", &by_queue, Policy::full());
+    bench_gate(c, "naive gate by queue", &by_queue, Policy::naive());
 }
 
-/// Turning a request away, as a saturated gate does with most.
+/// Refusing a request, which is what a saturated gate does with most.
 fn refusal(c: &mut Criterion) {
     let callers = callers(100);
     let mut gate = Gate::new(1);
@@ -88,7 +88,7 @@
     });
 }
 
-/// A choice of database, with what it learns from the answer.
+/// Choosing a database, and recording its answer.
 fn routes(c: &mut Criterion) {
     let mut group = c.benchmark_group("route by databases");
     for count in [2, 3, 5, 9, 33] {
@@ -108,17 +108,17 @@
         let mut now = Time(1);
         group.bench_function(BenchmarkId::from_parameter(count), |b| {
             b.iter(|| {
-                now = now + RUN;
+                now = now + RUN_TIME;
                 let order = router.order(now, &Need::default(), &candidates);
                 router.sent(now, &order[0]);
-                router.answered(now, &order[0], RUN, &Hint::default());
+                router.answered(now, &order[0], RUN_TIME, &Hint::default());
             });
         });
     }
     group.finish();
 }
 
-/// The order of VMs that may hold a database.
+/// Ordering the VMs that may hold a database.
 fn members(c: &mut Criterion) {
     let mut group = c.benchmark_group("member order by nodes");
     let Ok(database) = "ledger1-a".parse::<DatabaseId>() else {
--- a/benches/node.rs
+++ b/benches/node.rs
@@ -1,8 +1,8 @@
-//! What one statement costs in the core, by where it runs, and whether that grows with the
-//! sessions, the databases in the document, or the VMs.
+//! The cost of one statement in the core, by where it runs, and whether it grows with the number of
+//! sessions, databases in the document, or VMs.
 //!
-//! Databases and other proxies answer at once, so all that is measured is `Node::handle` and
-//! the making of the answers; the time of a statement covers all inputs that it takes.
+//! Databases and other proxies answer at once, so only `Node::handle` and the construction of the
+//! answers are measured; the time of a statement covers all inputs that it needs.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use lentilspoke::clock::{Span, Time};
@@ -27,7 +27,7 @@
 const VMS: [usize; 2] = [8, 580];
 const SESSIONS: [usize; 3] = [1, 100, 10_000];
 
-/// A node whose surroundings answer at once.
+/// A node with simulated databases and peers that answer at once.
 struct Bench {
     node: Node,
     now: Time,
@@ -37,10 +37,10 @@
     offset: u64,
     term: Term,
     lineage: Lineage,
-    /// Leads every group that the node does not.
+    /// The VM that leads every group that the node does not.
     other: VmId,
     sessions: Vec<SessionId>,
-    turn: usize,
+    session_index: usize,
     group: GroupId,
     databases: HashMap<GroupId, String>,
 }
@@ -79,7 +79,7 @@
 }
 
 impl Bench {
-    /// `vm0`, which holds something, or `vm5`, which is an entry only where there are few
+    /// Creates `vm0`, which holds databases, or `vm5`, which is only an entry if there are few
     /// databases.
     fn new(databases: usize, vms: usize, sessions: usize, index: usize) -> Self {
         let now = Time(1_000_000);
@@ -105,24 +105,24 @@
             lineage: Lineage::default(),
             other: id("vm1"),
             sessions: (0..sessions).map(|n| id(&format!("session-{n}"))).collect(),
-            turn: 0,
+            session_index: 0,
             group: id("g0"),
             databases: HashMap::new(),
         };
-        bench.give(Input::Members((0..vms).map(member).collect()));
-        bench.give(Input::Accepted(Arc::new(Accepted {
+        bench.handle(Input::Members((0..vms).map(member).collect()));
+        bench.handle(Input::Accepted(Arc::new(Accepted {
             version: Version(1),
             document: document(databases),
         })));
         for _ in 0..400 {
             bench.now = bench.now + Span::from_millis(10);
-            bench.give(Input::Tick);
+            bench.handle(Input::Tick);
         }
         bench
     }
 
-    /// Uses a group that the node has no part in.
-    fn forward(mut self) -> Self {
+    /// Selects a group in which the node has no role.
+    fn with_remote_group(mut self) -> Self {
         let state = serde_json::to_value(self.node.state()).unwrap();
         let stewards = state["stewards"].as_object().unwrap();
         let mut groups = (0..).map(|n| format!("g{n}"));
@@ -130,8 +130,8 @@
         self
     }
 
-    /// Lets the node take the lead of a group that it holds a database of.
-    fn lead(mut self) -> Self {
+    /// Selects a group that the node leads.
+    fn with_led_group(mut self) -> Self {
         let state = serde_json::to_value(self.node.state()).unwrap();
         let stewards = state["stewards"].as_object().unwrap();
         let led = stewards
@@ -141,7 +141,7 @@
         self
     }
 
-    fn give(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         self.inputs.push_back(input);
         let mut out = Vec::new();
         while let Some(input) = self.inputs.pop_front() {
@@ -220,15 +220,15 @@
                 self.answers += 1;
                 return;
             }
-            Message::FloorRequest(ask) => Message::Grant(Grant {
-                request: ask.request,
-                group: ask.group.clone(),
-                floor: ask.session.map(|_| Leased {
+            Message::FloorRequest(question) => Message::Grant(Grant {
+                request: question.request,
+                group: question.group.clone(),
+                floor: question.session.map(|_| Leased {
                     floor: Position::default(),
                     span: Span::from_millis(900),
                     lineage: Lineage::default(),
                 }),
-                primary: Some(self.leader(&ask.group)),
+                primary: Some(self.leader(&question.group)),
             }),
             Message::Probe(probe) => Message::Report(Report {
                 group: probe.group,
@@ -269,10 +269,10 @@
     }
 
     fn request(&mut self, kind: Kind) -> Request {
-        self.turn = (self.turn + 1) % self.sessions.len();
+        self.session_index = (self.session_index + 1) % self.sessions.len();
         Request {
-            link: Link(self.turn as u64),
-            session: Some(self.sessions[self.turn].clone()),
+            link: Link(self.session_index as u64),
+            session: Some(self.sessions[self.session_index].clone()),
             caller: id("broker"),
             pool: id("all"),
             group: self.group.clone(),
@@ -289,20 +289,20 @@
         }
     }
 
-    /// One statement of a caller here, to its reply.
+    /// Runs a statement of a local caller until its reply.
     fn statement(&mut self, kind: Kind) {
         self.now = self.now + Span(50);
         let request = self.request(kind);
         let before = self.replies;
-        self.give(Input::Submit(request));
+        self.handle(Input::Submit(request));
         black_box(self.node.wake());
         if self.node.wake().is_some_and(|wake| wake <= self.now) {
-            self.give(Input::Tick);
+            self.handle(Input::Tick);
         }
         assert_eq!(self.replies, before + 1, "no reply");
     }
 
-    /// One statement that another entry sends, to its answer.
+    /// Runs a statement sent by another entry until its answer.
     fn work(&mut self, kind: Kind, database: &str) {
         self.now = self.now + Span(50);
         let request = self.request(kind);
@@ -326,9 +326,9 @@
         };
         let (before, from) = (self.answers, self.other.clone());
         let message = Message::Work(work);
-        self.give(Input::Message { from, message });
+        self.handle(Input::Message { from, message });
         if self.node.wake().is_some_and(|wake| wake <= self.now) {
-            self.give(Input::Tick);
+            self.handle(Input::Tick);
         }
         assert_eq!(self.answers, before + 1, "no answer");
     }
@@ -361,21 +361,21 @@
                 let size = format!("{databases} databases, {vms} VMs, {sessions} sessions");
                 BenchmarkId::new(what, size)
             };
-            let mut bench = Bench::new(databases, vms, sessions, 0).lead();
+            let mut bench = Bench::new(databases, vms, sessions, 0).with_led_group();
             group.bench_function(name("local write"), |b| {
                 b.iter(|| bench.statement(Kind::Write))
             });
             group.bench_function(name("read at entry"), |b| {
                 b.iter(|| bench.statement(Kind::Read))
             });
-            let held = held(&bench);
+            let held_database = held_database(&bench);
             group.bench_function(name("write at holder"), |b| {
-                b.iter(|| bench.work(Kind::Write, &held));
+                b.iter(|| bench.work(Kind::Write, &held_database));
             });
             group.bench_function(name("read at holder"), |b| {
-                b.iter(|| bench.work(Kind::Read, &held));
+                b.iter(|| bench.work(Kind::Read, &held_database));
             });
-            let mut bench = Bench::new(databases, vms, sessions, 5).forward();
+            let mut bench = Bench::new(databases, vms, sessions, 5).with_remote_group();
             group.bench_function(name("forwarded write at entry"), |b| {
                 b.iter(|| bench.statement(Kind::Write));
             });
@@ -387,14 +387,14 @@
     group.finish();
 }
 
-/// The primary that the node leads.
-fn held(bench: &Bench) -> String {
+/// The primary of the group that the node leads.
+fn held_database(bench: &Bench) -> String {
     let state = serde_json::to_value(bench.node.state()).unwrap();
     let leader = &state["leaders"][bench.group.as_str()];
     leader["database"].as_str().unwrap().to_owned()
 }
 
-/// What a change of the VM list costs at once, with the whole document.
+/// The immediate cost of a change of the VM list, with the whole document.
 fn members(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("members");
     group.sample_size(10);
@@ -409,7 +409,7 @@
         let list: Vec<Member> = (0..vms).map(member).collect();
         let name = format!("{databases} databases, {vms} VMs");
         group.bench_function(name, |b| {
-            b.iter(|| bench.give(Input::Members(list.clone())))
+            b.iter(|| bench.handle(Input::Members(list.clone())))
         });
     }
     group.finish();
--- a/benches/wire.rs
+++ b/benches/wire.rs
@@ -1,4 +1,4 @@
-//! What one statement costs on its way in and out, by step, in processor time.
+//! Processor time of one statement on its way in and out, by step.
 
 use bytes::{Bytes, BytesMut};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
@@ -95,9 +95,9 @@
     }
     let mut session = session();
     build(&parse(), &mut session, &library, true).unwrap();
-    let again = parse();
+    let repeated = parse();
     group.bench_function("prepare_known", |b| {
-        b.iter(|| build(black_box(&again), &mut session, &library, true).unwrap());
+        b.iter(|| build(black_box(&repeated), &mut session, &library, true).unwrap());
     });
     let frames = execute();
     group.bench_function("execute_prepared", |b| {
@@ -149,18 +149,18 @@
     group.finish();
 }
 
-/// A core that answers everything at once with the same rows.
+/// A core that answers every request at once with the same rows.
 fn echo() -> Core {
     let mut body = BytesMut::new();
     put(&mut body, &DataRow::new(BytesMut::from(&[0; 64][..]), 2));
     body.extend_from_slice(&encode(&CommandComplete::new("SELECT 1".into())));
     let body = body.freeze();
-    let told = Rc::new(RefCell::new(None));
-    let teller = Rc::clone(&told);
+    let sender_slot = Rc::new(RefCell::new(None));
+    let submit_slot = Rc::clone(&sender_slot);
     Core {
         open: Box::new(move || {
             let (sender, receiver) = unbounded_channel();
-            told.replace(Some(sender));
+            sender_slot.replace(Some(sender));
             (Link(1), receiver)
         }),
         submit: Box::new(move |_| {
@@ -170,8 +170,8 @@
                 wrote: None,
                 replica: true,
             });
-            if let Some(told) = teller.borrow().as_ref() {
-                let _ = told.send(Told::Outcome {
+            if let Some(sender_slot) = submit_slot.borrow().as_ref() {
+                let _ = sender_slot.send(Told::Outcome {
                     outcome,
                     floor: None,
                 });
@@ -208,8 +208,8 @@
     address
 }
 
-/// Answers each piece of bytes that arrives with a fixed number of bytes.
-fn plain(length: usize) -> SocketAddr {
+/// Answers each read from the socket with a fixed number of bytes.
+fn fixed_responder(length: usize) -> SocketAddr {
     let (listener, address) = listen();
     std::thread::spawn(move || {
         actix_rt::System::new().block_on(async move {
@@ -232,7 +232,7 @@
     stream.read_exact(&mut answer[..length]).unwrap();
 }
 
-/// A round trip over loopback through the callers' side, against one that does nothing.
+/// A round trip over loopback through the callers' side, compared with a plain responder.
 fn loopback(criterion: &mut Criterion) {
     let mut query = BytesMut::new();
     put_raw(&mut query, kind::QUERY, &[READ.as_bytes(), ZERO]);
@@ -254,7 +254,7 @@
     group.bench_function("through_pg", |b| {
         b.iter(|| round_trip(&mut stream, &query, length));
     });
-    let mut stream = TcpStream::connect(plain(length)).unwrap();
+    let mut stream = TcpStream::connect(fixed_responder(length)).unwrap();
     stream.set_nodelay(true).unwrap();
     group.bench_function("baseline", |b| {
         b.iter(|| round_trip(&mut stream, &query, length));
