--- a/src/standin/database/mod.rs
+++ b/src/standin/database/mod.rs
@@ -184,13 +184,13 @@
     }
 
     /// Waits until a database's state satisfies `wanted`.
-    pub async fn reached(&self, id: &DatabaseId, wanted: impl Fn(&State) -> bool) {
+    pub async fn wait_for_state(&self, id: &DatabaseId, wanted: impl Fn(&State) -> bool) {
         let wanted = |group: &Self| group.state(id).is_none_or(|state| wanted(&state));
-        self.until(wanted).await;
+        self.wait_until(wanted).await;
     }
 
     /// Waits until `wanted` is true. It is evaluated again whenever a log or a term changes.
-    pub async fn until(&self, wanted: impl Fn(&Self) -> bool) {
+    pub async fn wait_until(&self, wanted: impl Fn(&Self) -> bool) {
         let mut changed = self.shared.changed.subscribe();
         while !wanted(self) {
             if changed.changed().await.is_err() {
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -95,13 +95,15 @@
 /// Waits until callers have written `count` more times to a group, whichever primary it has.
 async fn written(group: &Handle, count: u64) {
     let offset = end(group).offset.0 + count;
-    group.until(|group| end(group).offset.0 >= offset).await;
+    group
+        .wait_until(|group| end(group).offset.0 >= offset)
+        .await;
 }
 
 /// Waits until a group has another primary than `former`, and callers write to it.
 async fn replaced(group: &Handle, former: &DatabaseId) {
     let other = |group: &Handle| group.primary().is_some_and(|primary| primary != *former);
-    group.until(other).await;
+    group.wait_until(other).await;
     written(group, 20).await;
 }
 
@@ -173,7 +175,7 @@
         first.isolate(&before, false);
         let healed = end(first);
         let follows = |state: &State| state.term >= healed.term && state.applied >= healed;
-        first.reached(&before, follows).await;
+        first.wait_for_state(&before, follows).await;
         written(first, 50).await;
     };
     let report = run(&plan, faults).await;
--- a/tests/serve.rs
+++ b/tests/serve.rs
@@ -128,7 +128,9 @@
     assert!(shown.contains("\"base\": 1"), "{shown}");
     let former = term(&databases);
     drop(first);
-    databases.until(|databases| term(databases) > former).await;
+    databases
+        .wait_until(|databases| term(databases) > former)
+        .await;
     write(second.callers, "lot-2").await;
     assert_eq!(ids(second.callers).await, ["lot-1", "lot-2"]);
 }
--- a/tests/standin_database.rs
+++ b/tests/standin_database.rs
@@ -168,7 +168,7 @@
     let state = order(&handle, "b", "LENTIL REACH 1/1").await;
     assert_eq!(dialect::decode_state(&state).unwrap().position, at(1, 1));
     handle
-        .reached(&id("b"), |state| state.applied == at(1, 1))
+        .wait_for_state(&id("b"), |state| state.applied == at(1, 1))
         .await;
     let replica = connect(&handle, "b").await;
     assert_eq!(count(&replica).await, 1);
@@ -186,7 +186,9 @@
     insert(&client, "shared").await.unwrap();
     for other in ["b", "c"] {
         let here = id(other);
-        handle.reached(&here, |s| s.applied == at(1, 1)).await;
+        handle
+            .wait_for_state(&here, |s| s.applied == at(1, 1))
+            .await;
     }
     handle.isolate(&id("a"), true);
     order(&handle, "b", "LENTIL RAISE 2").await;
@@ -204,12 +206,12 @@
     let new = connect(&handle, "b").await;
     insert(&new, "new").await.unwrap();
     handle
-        .reached(&id("c"), |state| state.applied == at(2, 2))
+        .wait_for_state(&id("c"), |state| state.applied == at(2, 2))
         .await;
     assert_eq!(handle.state(&id("a")).unwrap().position, at(1, 2));
     handle.isolate(&id("a"), false);
     handle
-        .reached(&id("a"), |state| state.applied == at(2, 2))
+        .wait_for_state(&id("a"), |state| state.applied == at(2, 2))
         .await;
     let state = handle.state(&id("a")).unwrap();
     assert!(!state.open);
@@ -231,7 +233,7 @@
     let client = connect(&handle, "a").await;
     insert(&client, "late").await.unwrap();
     handle
-        .reached(&id("c"), |state| state.applied == at(1, 1))
+        .wait_for_state(&id("c"), |state| state.applied == at(1, 1))
         .await;
     assert_eq!(
         handle.state(&id("b")).unwrap().position,
@@ -345,10 +347,14 @@
     let client = connect(&handle, "a").await;
     insert(&client, "lot-1").await.unwrap();
     let here = id("b");
-    handle.reached(&here, |s| s.position == at(1, 1)).await;
+    handle
+        .wait_for_state(&here, |s| s.position == at(1, 1))
+        .await;
     let replica = connect(&handle, "b").await;
     assert_eq!(count(&replica).await, 0);
     handle.set_lag(&here, Lag::default());
-    handle.reached(&here, |s| s.applied == at(1, 1)).await;
+    handle
+        .wait_for_state(&here, |s| s.applied == at(1, 1))
+        .await;
     assert_eq!(count(&replica).await, 1);
 }
