--- a/src/direct/adapter.rs
+++ b/src/direct/adapter.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{Span, Time};
 use crate::direct::config::{Config, Database};
-use crate::direct::statement::{Answer, Message, Order, Query, Status};
+use crate::direct::statement::{Answer, Message, Order, Query, Standing};
 use crate::direct::table::{Command, Fault, Response, RowId};
 use crate::types::{DatabaseId, GroupId, OrganisationId, Position, VmId};
 use bytes::BytesMut;
@@ -55,7 +55,7 @@
     /// only with an error), otherwise to a statement.
     pub read_answer: fn(input: &mut BytesMut, starting: bool) -> Result<Option<Answer>, Garbled>,
     /// Reads the rows that answer [`Order::Status`].
-    pub read_status: fn(answer: &Answer) -> Option<Status>,
+    pub read_status: fn(answer: &Answer) -> Option<Standing>,
 }
 
 /// Where the platform stores its configuration and register, and how to decode them.
--- a/src/direct/control/order.rs
+++ b/src/direct/control/order.rs
@@ -9,7 +9,7 @@
 use crate::direct::control::duty::Renewed;
 use crate::direct::control::promotion::{Choice, Permit, Pick, Reply};
 use crate::direct::control::steward::Cause;
-use crate::direct::statement::Status;
+use crate::direct::statement::Standing;
 use crate::types::{Birth, DatabaseId, Domain, Position};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use std::rc::Rc;
@@ -65,7 +65,7 @@
         self: &Rc<Self>,
         replacement: &Replacement,
         chosen: &Successor,
-        before: Status,
+        before: Standing,
         only: bool,
     ) -> Result<bool, Lost> {
         let id = &chosen.id;
@@ -126,13 +126,13 @@
         &self,
         replacement: &Replacement,
         id: &DatabaseId,
-        before: Status,
+        before: Standing,
         only: bool,
     ) -> Option<bool> {
         let until = self.now() + LEAD_TIMEOUT;
         let settled = self.now() + MAX_PROMOTION_TIME;
         let trusted = !before.primary || (only && *id == replacement.old);
-        let is_new = |standing: Status| trusted || standing.term > before.term;
+        let is_new = |standing: Standing| trusted || standing.term > before.term;
         while self.now() < until {
             let known = self.registered(id);
             let Some(database) = known else {
@@ -225,7 +225,7 @@
         replacement: &Replacement,
         target: Option<Position>,
         excluded: &[DatabaseId],
-    ) -> Result<(Successor, Status), Lost> {
+    ) -> Result<(Successor, Standing), Lost> {
         let mut asked: Vec<Successor> = Vec::new();
         let mut choice = Choice::new(self.now(), None, None, []);
         loop {
--- a/src/direct/control/promotion.rs
+++ b/src/direct/control/promotion.rs
@@ -5,7 +5,7 @@
 use crate::direct::control::rows::MemberId;
 use crate::direct::control::takeover::ORDER_TIMEOUT;
 use crate::direct::lead::{LEASE, MAX_SILENT, TERM};
-use crate::direct::statement::Status;
+use crate::direct::statement::Standing;
 use crate::types::{DatabaseId, Domain, Position, Term};
 use std::collections::BTreeMap;
 
@@ -131,7 +131,7 @@
     /// It cannot be reached, or is no longer a candidate.
     Absent,
     /// Its state.
-    Stands(Status),
+    Stands(Standing),
 }
 
 /// A database that may lead.
@@ -197,7 +197,7 @@
     }
 
     /// The state that a database reported, if any.
-    pub fn standing(&self, id: &DatabaseId) -> Option<Status> {
+    pub fn standing(&self, id: &DatabaseId) -> Option<Standing> {
         let candidate = self.candidates.iter().find(|c| c.id == *id)?;
         match candidate.reply {
             Reply::Stands(standing) => Some(standing),
--- a/src/direct/statement.rs
+++ b/src/direct/statement.rs
@@ -161,7 +161,7 @@
 
 /// The status that a database reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Status {
+pub struct Standing {
     /// Whether it considers itself the primary.
     pub primary: bool,
     /// The newest term that it knows of; a primary's is its own.
--- a/src/standin/direct/wire.rs
+++ b/src/standin/direct/wire.rs
@@ -10,7 +10,7 @@
 use crate::direct::adapter::{Garbled, Wire};
 use crate::direct::identity::Key;
 use crate::direct::statement::{
-    Answer, Code, End, Message, Order, Query, State, Statement, Status,
+    Answer, Code, End, Message, Order, Query, Standing, State, Statement,
 };
 use crate::types::{DatabaseId, GroupId, OrganisationId, Position};
 use bytes::{Bytes, BytesMut};
@@ -319,11 +319,11 @@
     }
 }
 
-fn read_status(answer: &Answer) -> Option<Status> {
+fn read_status(answer: &Answer) -> Option<Standing> {
     let row = std::str::from_utf8(answer.rows.first()?).ok()?;
     let (role, rest) = row.split_once(' ')?;
     let (term, received) = rest.split_once(' ')?;
-    Some(Status {
+    Some(Standing {
         primary: role == "primary",
         term: term.parse().ok()?,
         received: received.parse().ok()?,
--- a/tests/direct_control.rs
+++ b/tests/direct_control.rs
@@ -12,7 +12,7 @@
 use lentilspoke::direct::control::store::WriteTimeout;
 use lentilspoke::direct::control::takeover::{Contact, Watch};
 use lentilspoke::direct::lead::{Lead, Leases};
-use lentilspoke::direct::statement;
+use lentilspoke::direct::statement::Standing;
 use lentilspoke::direct::table::{self, Era};
 use lentilspoke::direct::view::Report;
 use lentilspoke::types::{
@@ -200,7 +200,7 @@
 }
 
 fn state(offset: u64, primary: bool) -> Reply {
-    Reply::Stands(statement::Status {
+    Reply::Stands(Standing {
         primary,
         term: Term(1),
         received: Position::new(Term(1), Offset(offset)),
