--- a/src/direct/control/heartbeat.rs
+++ b/src/direct/control/heartbeat.rs
@@ -159,27 +159,27 @@
             return true;
         };
         match answer {
-            Some(Answer::Update(news)) if news.steward => {
+            Some(Answer::Update(update)) if update.steward => {
                 followed.contact.answered(asked);
                 state.updated = Some(now);
-                if let Some(version) = news.duty.as_ref().and_then(|duty| duty.version) {
+                if let Some(version) = update.duty.as_ref().and_then(|duty| duty.version) {
                     // Every order that this version allows was requested before now.
                     state.watch.note(version, now);
                 }
                 // The steward's reading may be older than this VM's row.
                 let settled = state.refreshed.is_none_or(|at| at + MAX_LEAD_AGE < now);
                 drop(state);
-                if settled || news.member {
-                    self.member.set(news.member);
+                if settled || update.member {
+                    self.member.set(update.member);
                 }
-                self.apply_update(*news, steward.address, asked);
+                self.apply_update(*update, steward.address, asked);
                 true
             }
-            Some(Answer::Update(news)) => {
+            Some(Answer::Update(update)) => {
                 followed.contact.missed += 1;
                 drop(state);
-                self.follow_reported(news.duty.as_ref(), now);
-                self.apply_update(*news, steward.address, asked);
+                self.follow_reported(update.duty.as_ref(), now);
+                self.apply_update(*update, steward.address, asked);
                 false
             }
             Some(Answer::Absent) => {
@@ -337,15 +337,15 @@
             .map(|followed| followed.token);
         let (mut answered, mut in_contact) = (0, 0);
         for (address, answer) in answers {
-            let Some(Answer::Update(news)) = answer else {
+            let Some(Answer::Update(update)) = answer else {
                 continue;
             };
             answered += 1;
-            let heard = news.duty.as_ref();
+            let heard = update.duty.as_ref();
             let fresh = heard.is_some_and(|h| h.age < READ_INTERVAL && Some(h.token) == token);
             in_contact += usize::from(fresh);
             self.follow_reported(heard, self.now());
-            self.apply_update(*news, address, asked);
+            self.apply_update(*update, address, asked);
         }
         (answered, in_contact)
     }
--- a/src/direct/control/join.rs
+++ b/src/direct/control/join.rs
@@ -124,10 +124,10 @@
     /// Has one of the VMs that read for this one write its row, or writes it itself if they are
     /// late.
     async fn join_near(self: &Rc<Self>, members: &BTreeMap<MemberId, (Member, Version)>) -> bool {
-        let mut fellows = rows::peers(members);
+        let mut peers = rows::peers(members);
         let own = self.setup.address;
-        fellows.retain(|fellow| fellow.address != own);
-        fellows.push(Peer {
+        peers.retain(|peer| peer.address != own);
+        peers.push(Peer {
             address: own,
             relay: self.setup.relay,
             domain: self.setup.domain.clone(),
@@ -136,9 +136,9 @@
         });
         let known = members.get(&self.id);
         let expect = known.map_or(Version::NONE, |member| member.1);
-        let mut readers = match reader::reads(&fellows, own) {
+        let mut readers = match reader::reads(&peers, own) {
             true => Vec::new(),
-            false => reader::near(&fellows, own),
+            false => reader::near(&peers, own),
         };
         let offset = (self.random() * readers.len() as f64) as usize;
         readers.rotate_left(offset);
@@ -221,8 +221,8 @@
     pub(super) async fn ask_readers(&self, whole: bool) -> Source {
         let (near, far) = {
             let view = self.setup.shared.get();
-            let (fellows, own) = (view.peers.list(), self.setup.address);
-            (reader::near(fellows, own), reader::far(fellows, own))
+            let (peers, own) = (view.peers.list(), self.setup.address);
+            (reader::near(peers, own), reader::far(peers, own))
         };
         let offset = (self.random() * far.len() as f64) as usize;
         let some = far
@@ -303,19 +303,19 @@
     ) -> Option<Membership> {
         let asked = self.now();
         let answer = (self.setup.call)(address, question, within).await;
-        let Some(Answer::Update(news)) = answer else {
+        let Some(Answer::Update(update)) = answer else {
             return None;
         };
         let membership = Membership {
-            member: news.member,
-            listed: news.listed,
+            member: update.member,
+            listed: update.listed,
         };
         if membership.member {
             let now = self.now();
             self.state.borrow_mut().updated = Some(now);
         }
-        self.follow_reported(news.duty.as_ref(), self.now());
-        self.apply_update(*news, address, asked);
+        self.follow_reported(update.duty.as_ref(), self.now());
+        self.apply_update(*update, address, asked);
         Some(membership)
     }
 }
--- a/src/direct/control/mod.rs
+++ b/src/direct/control/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! A VM that starts has its row written together with those of others (`enroll`). Of many VMs a few
 //! read the store for all ([`reader`]) and pass on large contents (`bulk`). Every VM sends
-//! heartbeats to the steward (`heartbeat`, `news`), follows the configuration (`watch`), and reads
+//! heartbeats to the steward (`heartbeat`, `update`), follows the configuration (`watch`), and reads
 //! the store itself while the steward does not answer (`own`); meanwhile a quorum of peers extends
 //! its leases (`extension`). One VM at a time is the steward: it takes and renews the duty in the
 //! store (`duty`, [`takeover`]), reads for the others and decides what has to be done (`tasks`,
--- a/src/direct/control/own.rs
+++ b/src/direct/control/own.rs
@@ -38,13 +38,13 @@
     }
 
     /// Applies the list of registered VMs.
-    pub(super) fn learn_peers(&self, fellows: Vec<Peer>) {
+    pub(super) fn learn_peers(&self, peers: Vec<Peer>) {
         let now = self.now();
         self.setup
             .shared
             .modify_silently()
             .peers
-            .replace(fellows, now);
+            .replace(peers, now);
     }
 
     /// Applies the duty's row: another VM may have taken the duty, or this VM by a write whose
--- a/src/direct/control/reader.rs
+++ b/src/direct/control/reader.rs
@@ -30,14 +30,14 @@
 
 /// Returns whether the VM at `own` reads the store for itself and for others. A VM that is not in
 /// the list reads, as it has no reliable list.
-pub fn reads(fellows: &[Peer], own: SocketAddr) -> bool {
-    let known = fellows.iter().any(|fellow| fellow.address == own);
-    fellows.len() <= MAX_ALL_READ || !known || readers_of_domain(fellows, own).contains(&own)
+pub fn reads(peers: &[Peer], own: SocketAddr) -> bool {
+    let known = peers.iter().any(|peer| peer.address == own);
+    peers.len() <= MAX_ALL_READ || !known || readers_of_domain(peers, own).contains(&own)
 }
 
 /// Returns the VMs of its domain that `own` asks for what it does not read itself.
-pub fn near(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
-    let mut readers = readers_of_domain(fellows, own);
+pub fn near(peers: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
+    let mut readers = readers_of_domain(peers, own);
     readers.retain(|reader| *reader != own);
     readers
 }
@@ -49,11 +49,11 @@
 /// For a start of all VMs, and for a change of a long configuration. Each VM has at most
 /// [`CHILDREN`] children, so the load of one VM does not grow with the fleet, and the depth grows
 /// with its logarithm.
-pub fn ancestors(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
-    if fellows.len() <= MAX_ALL_READ {
+pub fn ancestors(peers: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
+    if peers.len() <= MAX_ALL_READ {
         return Vec::new();
     }
-    let ranked = ranked(in_same_domain(fellows, own));
+    let ranked = ranked(in_same_domain(peers, own));
     let mut rank = ranked.iter().position(|address| *address == own);
     let mut ancestors = Vec::new();
     // The first ranks are the roots; the children of each rank are numbered after them.
@@ -66,54 +66,50 @@
 }
 
 /// Returns the readers of other failure domains.
-pub fn far(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
-    let near = readers_of_domain(fellows, own);
-    let mut readers = all(fellows);
+pub fn far(peers: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
+    let near = readers_of_domain(peers, own);
+    let mut readers = all(peers);
     readers.retain(|reader| !near.contains(reader));
     readers.into_iter().collect()
 }
 
 /// Returns the readers of all failure domains, or all VMs if they are few.
-pub fn all(fellows: &[Peer]) -> BTreeSet<SocketAddr> {
-    if fellows.len() <= MAX_ALL_READ {
-        return fellows.iter().map(|fellow| fellow.address).collect();
+pub fn all(peers: &[Peer]) -> BTreeSet<SocketAddr> {
+    if peers.len() <= MAX_ALL_READ {
+        return peers.iter().map(|peer| peer.address).collect();
     }
     let mut domains = BTreeMap::<&Domain, Vec<&Peer>>::new();
-    for fellow in fellows {
-        let domain = domains.entry(&fellow.domain).or_default();
-        domain.push(fellow);
+    for peer in peers {
+        let domain = domains.entry(&peer.domain).or_default();
+        domain.push(peer);
     }
     domains.into_values().flat_map(select_readers).collect()
 }
 
-fn readers_of_domain(fellows: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
-    select_readers(in_same_domain(fellows, own))
+fn readers_of_domain(peers: &[Peer], own: SocketAddr) -> Vec<SocketAddr> {
+    select_readers(in_same_domain(peers, own))
 }
 
-fn in_same_domain(fellows: &[Peer], own: SocketAddr) -> Vec<&Peer> {
-    let domain = fellows.iter().find(|f| f.address == own).map(|f| &f.domain);
-    let near = fellows.iter().filter(|f| Some(&f.domain) == domain);
+fn in_same_domain(peers: &[Peer], own: SocketAddr) -> Vec<&Peer> {
+    let domain = peers.iter().find(|f| f.address == own).map(|f| &f.domain);
+    let near = peers.iter().filter(|f| Some(&f.domain) == domain);
     near.collect()
 }
 
 /// Returns the readers among the VMs of a failure domain: those with the most cores, and of these
 /// the first ones by a hash, so that they are not also the first VMs in other lists.
-fn select_readers(fellows: Vec<&Peer>) -> Vec<SocketAddr> {
-    let mut ranked = ranked(fellows);
+fn select_readers(peers: Vec<&Peer>) -> Vec<SocketAddr> {
+    let mut ranked = ranked(peers);
     ranked.truncate(READERS_PER_DOMAIN);
     ranked
 }
 
-fn ranked(mut fellows: Vec<&Peer>) -> Vec<SocketAddr> {
-    fellows.sort_by_cached_key(|fellow| {
-        let address = fellow.address;
-        (
-            Reverse(fellow.cores),
-            Reverse(hash_weight(address)),
-            address,
-        )
+fn ranked(mut peers: Vec<&Peer>) -> Vec<SocketAddr> {
+    peers.sort_by_cached_key(|peer| {
+        let address = peer.address;
+        (Reverse(peer.cores), Reverse(hash_weight(address)), address)
     });
-    fellows.into_iter().map(|fellow| fellow.address).collect()
+    peers.into_iter().map(|peer| peer.address).collect()
 }
 
 fn hash_weight(address: SocketAddr) -> u64 {
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -266,11 +266,11 @@
     }
 
     /// Applies the update of the VM at `from` to a question sent at `asked`.
-    pub(super) fn apply_update(&self, news: Update, from: SocketAddr, asked: Time) {
-        if let Some((era, age)) = news.era {
+    pub(super) fn apply_update(&self, update: Update, from: SocketAddr, asked: Time) {
+        if let Some((era, age)) = update.era {
             self.store.record_era(era, asked - age);
         }
-        if let Some(part) = news.config {
+        if let Some(part) = update.config {
             let known = self.setup.shared.get().config.clone();
             let taken = self
                 .state
@@ -281,29 +281,25 @@
                 watch::apply(self, config, "another VM");
             }
         }
-        self.record_config_version(news.newest, from);
-        if let Some(news) = news.register {
-            self.apply_register(news, asked);
+        self.record_config_version(update.newest, from);
+        if let Some(update) = update.register {
+            self.apply_register(update, asked);
         }
-        for progress in &news.fresh {
+        for progress in &update.fresh {
             let now = self.now();
             let mut view = self.setup.shared.modify_silently();
             view.fresh.receive(progress, asked);
             view.watermarks
                 .note(&progress.group, progress.epoch, progress.position, now);
         }
-        if let Some(fellows) = news.peers {
+        if let Some(peers) = update.peers {
             let now = self.now();
-            self.setup
-                .shared
-                .modify_silently()
-                .peers
-                .apply(fellows, now);
+            self.setup.shared.modify_silently().peers.apply(peers, now);
         }
-        if news.has_majority {
+        if update.has_majority {
             self.setup.shared.modify_silently().tenure.confirm(asked);
         }
-        if let Some(leads) = news.leads {
+        if let Some(leads) = update.leads {
             let read = asked - leads.age;
             self.extend_tenure(read);
             self.apply_leads(leads, asked);
@@ -320,15 +316,15 @@
     }
 
     /// Applies an update of the register. If its content is not included, it is to be fetched.
-    fn apply_register(&self, news: RegisterUpdate, asked: Time) {
-        let at = asked - news.age;
+    fn apply_register(&self, update: RegisterUpdate, asked: Time) {
+        let at = asked - update.age;
         let known = self.state.borrow().register.asked();
         if known.is_some_and(|known| known > at) {
             return;
         }
-        let content = news.content.map(|content| {
+        let content = update.content.map(|content| {
             let state = self.state.borrow();
-            state.register.resolve(content, news.digest)
+            state.register.resolve(content, update.digest)
         });
         match content {
             Some(Some(found)) => {
@@ -336,7 +332,7 @@
                 let changes = state.register.apply(found, at);
                 state.lacks_register = false;
                 drop(state);
-                self.publish(&changes, news.age);
+                self.publish(&changes, update.age);
             }
             // The changes do not apply to the register that is known here now.
             Some(None) => {}
--- a/src/soak/checker.rs
+++ b/src/soak/checker.rs
@@ -57,8 +57,10 @@
 impl Checker {
     /// Creates one for a world that has just started.
     pub fn new(world: &Rc<World>, plan: &Plan, started: Instant) -> Self {
-        let manners = &world.setup.route_kinds;
-        let timeouts = manners.iter().map(|m| (m.name.clone(), m.timeout.into()));
+        let route_kinds = &world.setup.route_kinds;
+        let timeouts = route_kinds
+            .iter()
+            .map(|m| (m.name.clone(), m.timeout.into()));
         Self {
             started,
             known: Known::default(),
@@ -159,9 +161,9 @@
             history.event(order.at, text);
             self.gaps.record_order(order);
         }
-        for reign in &journal.failovers {
-            history.event(reign.at, format!("{} leads", reign.database));
-            self.gaps.record_takeover(reign);
+        for failover in &journal.failovers {
+            history.event(failover.at, format!("{} leads", failover.database));
+            self.gaps.record_takeover(failover);
         }
         for written in world.store.since(self.last) {
             for row in written.rows.iter().filter(|row| &*row.id.table == TABLE) {
--- a/src/soak/gap.rs
+++ b/src/soak/gap.rs
@@ -80,8 +80,8 @@
     }
 
     /// Records a change of primary.
-    pub fn record_takeover(&mut self, reign: &Failover) {
-        self.timeline(&reign.group).takeovers.insert(reign.at);
+    pub fn record_takeover(&mut self, failover: &Failover) {
+        self.timeline(&failover.group).takeovers.insert(failover.at);
     }
 
     /// Records a write to the store, if `key` is that of a group's lead row.
@@ -239,10 +239,10 @@
     /// The parts of a gap with a change of primary: until the lead's row was written, until the promotion
     /// was ordered, until it took effect, and until a write was acknowledged.
     fn parts(&self, from: Instant, to: Instant) -> Option<[Duration; 4]> {
-        let reign = *self.takeovers.range(from..to).next_back()?;
-        let order = *self.orders.range(from..reign).next_back()?;
+        let failover = *self.takeovers.range(from..to).next_back()?;
+        let order = *self.orders.range(from..failover).next_back()?;
         let row = *self.rows.range(from..=order).next()?;
-        Some([row - from, order - row, reign - order, to - reign])
+        Some([row - from, order - row, failover - order, to - failover])
     }
 }
 
--- a/src/soak/profile.rs
+++ b/src/soak/profile.rs
@@ -137,7 +137,7 @@
         }
         Setup {
             places,
-            route_kinds: self.manners(),
+            route_kinds: self.route_kinds(),
             cores: |_| Cores::default(),
             link: |_| None,
             era: Era::default(),
@@ -155,16 +155,16 @@
     }
 
     /// Returns the settings of each kind of route and of the steady writers, which have the primary's.
-    pub fn manners(&self) -> Vec<RouteKind> {
-        let known = ROUTES.iter().filter_map(|name| self.manner(name));
-        let writer = self.manner(ROUTES[0]).map(|manner| RouteKind {
+    pub fn route_kinds(&self) -> Vec<RouteKind> {
+        let known = ROUTES.iter().filter_map(|name| self.route_kind(name));
+        let writer = self.route_kind(ROUTES[0]).map(|route_kind| RouteKind {
             name: WRITER.into(),
-            ..manner
+            ..route_kind
         });
         known.chain(writer).collect()
     }
 
-    fn manner(&self, name: &str) -> Option<RouteKind> {
+    fn route_kind(&self, name: &str) -> Option<RouteKind> {
         let route = self.routes.get(name)?;
         let kind = match name {
             "primary" => Kind::Primary,
--- a/src/soak/tally.rs
+++ b/src/soak/tally.rs
@@ -58,16 +58,16 @@
 impl Tally {
     /// Creates empty counts.
     pub fn new(plan: &Plan) -> Self {
-        let manners = plan.profile.manners();
-        let rows = manners.into_iter().map(|manner| {
+        let route_kinds = plan.profile.route_kinds();
+        let rows = route_kinds.into_iter().map(|route_kind| {
             let row = Row {
-                objective: manner.objective.into(),
+                objective: route_kind.objective.into(),
                 outcomes: Outcomes::default(),
                 latency: histogram(),
                 refused: histogram(),
                 calm: Replicas::default(),
             };
-            (manner.name, row)
+            (route_kind.name, row)
         });
         Self {
             rows: rows.collect(),
--- a/tests/direct_bulk.rs
+++ b/tests/direct_bulk.rs
@@ -34,8 +34,8 @@
     vms.iter().filter(|vm| scene.world.is_ready(vm)).count()
 }
 
-fn fellows(domains: usize, each: usize) -> Vec<Peer> {
-    let fellow = |domain: usize, host: usize| Peer {
+fn peers(domains: usize, each: usize) -> Vec<Peer> {
+    let peer = |domain: usize, host: usize| Peer {
         address: SocketAddr::from((
             [10, domain as u8, (host / 250) as u8, (host % 250) as u8],
             7_440,
@@ -45,8 +45,8 @@
         cores: Cores::from_thousandths(if host < 10 { 1_000 } else { 120 }),
         evicted: false,
     };
-    let fellows = (0..domains).flat_map(|domain| (0..each).map(move |host| fellow(domain, host)));
-    fellows.collect()
+    let peers = (0..domains).flat_map(|domain| (0..each).map(move |host| peer(domain, host)));
+    peers.collect()
 }
 
 /// What one VM or the store sends does not grow with the fleet, and the depth of the tree grows
@@ -54,11 +54,11 @@
 #[test]
 fn no_vm_has_many_children() {
     let shapes = [42, 165, 330].map(|each| {
-        let fellows = fellows(6, each);
+        let peers = peers(6, each);
         let mut children = BTreeMap::<SocketAddr, usize>::new();
         let (mut roots, mut steps) = (0, 0);
-        for fellow in &fellows {
-            let ancestors = reader::ancestors(&fellows, fellow.address);
+        for peer in &peers {
+            let ancestors = reader::ancestors(&peers, peer.address);
             steps = steps.max(ancestors.len());
             match ancestors.first() {
                 Some(parent) => *children.entry(*parent).or_default() += 1,
@@ -66,10 +66,7 @@
             }
         }
         assert!(children.values().all(|count| *count <= CHILDREN));
-        format!(
-            "{} VMs: {roots} read the store, {steps} steps",
-            fellows.len()
-        )
+        format!("{} VMs: {roots} read the store, {steps} steps", peers.len())
     });
     insta::assert_debug_snapshot!(shapes, @r#"
     [
@@ -84,7 +81,7 @@
 #[test]
 fn a_vm_that_is_not_listed_has_no_ancestors() {
     let own = SocketAddr::from(([10, 9, 0, 1], 7_440));
-    assert!(reader::ancestors(&fellows(6, 42), own).is_empty());
+    assert!(reader::ancestors(&peers(6, 42), own).is_empty());
 }
 
 /// Guards against a start of all VMs at which each reads the register and the configuration from
--- a/tests/direct_history.rs
+++ b/tests/direct_history.rs
@@ -12,7 +12,7 @@
 
 const NOW: Time = Time(1_000_000);
 
-fn fellow(number: u8) -> Peer {
+fn peer(number: u8) -> Peer {
     Peer {
         address: format!("10.0.0.{number}:7000").parse().unwrap(),
         relay: None,
@@ -71,12 +71,12 @@
     fn same(lists: Vec<(Vec<u8>, bool)>) -> bool {
         let (mut here, mut there) = (Peers::default(), Peers::default());
         for (list, asks) in lists {
-            here.replace(list.into_iter().map(fellow).collect(), NOW);
+            here.replace(list.into_iter().map(peer).collect(), NOW);
             if !asks {
                 continue;
             }
-            if let Some(news) = here.update_for(there.digest()) {
-                there.apply(news, NOW);
+            if let Some(update) = here.update_for(there.digest()) {
+                there.apply(update, NOW);
             }
             if here.list() != there.list() {
                 return false;
@@ -93,16 +93,16 @@
 /// state gets the whole list.
 #[test]
 fn a_vm_that_leaves_is_sent_as_one_change() {
-    let fellows = |but: Option<u8>| {
+    let peers = |but: Option<u8>| {
         let numbers = (0..=250).filter(|number| Some(*number) != but);
-        numbers.map(fellow).collect::<Vec<_>>()
+        numbers.map(peer).collect::<Vec<_>>()
     };
     let mut here = Peers::default();
-    here.replace(fellows(None), NOW);
+    here.replace(peers(None), NOW);
     let known = here.digest();
-    here.replace(fellows(Some(7)), NOW);
-    let news = here.update_for(known).unwrap();
-    assert_eq!((news.added.len(), news.removed.len()), (0, 1));
+    here.replace(peers(Some(7)), NOW);
+    let update = here.update_for(known).unwrap();
+    assert_eq!((update.added.len(), update.removed.len()), (0, 1));
     assert_eq!(here.update_for(here.digest()), None);
     assert_eq!(here.update_for(12_345).unwrap().added.len(), 250);
 }
--- a/tests/direct_owner.rs
+++ b/tests/direct_owner.rs
@@ -14,7 +14,7 @@
 
 /// VMs in six failure domains.
 fn peers(count: usize) -> Vec<Peer> {
-    let fellow = |number| Peer {
+    let peer = |number| Peer {
         address: format!("10.{}.0.{number}:7000", number % 6)
             .parse()
             .unwrap(),
@@ -23,7 +23,7 @@
         cores: Cores::default(),
         evicted: false,
     };
-    (0..count).map(fellow).collect()
+    (0..count).map(peer).collect()
 }
 
 fn database(number: usize) -> DatabaseId {
@@ -113,7 +113,7 @@
 #[test]
 fn vms_connect_directly_if_none_relays() {
     let mut peers = peers(63);
-    peers.iter_mut().for_each(|fellow| fellow.relay = None);
+    peers.iter_mut().for_each(|peer| peer.relay = None);
     assert_eq!(way_of(1, &peers, &database(1), 32), Way::Own);
 }
 
--- a/tests/direct_quota.rs
+++ b/tests/direct_quota.rs
@@ -32,8 +32,8 @@
 }
 
 /// VMs in two failure domains of each of three regions.
-fn fellows(count: usize) -> Vec<Peer> {
-    let fellow = |number| {
+fn peers(count: usize) -> Vec<Peer> {
+    let peer = |number| {
         let address = |port| -> SocketAddr {
             let text = format!("10.{}.0.{number}:{port}", number % 6);
             text.parse().unwrap()
@@ -46,11 +46,11 @@
             evicted: false,
         }
     };
-    (0..count).map(fellow).collect()
+    (0..count).map(peer).collect()
 }
 
-fn region(fellow: &Peer) -> &str {
-    match fellow.domain.as_str() {
+fn region(peer: &Peer) -> &str {
+    match peer.domain.as_str() {
         "d0" | "d3" => "east",
         "d1" | "d4" => "west",
         _ => "south",
@@ -59,11 +59,11 @@
 
 #[test]
 fn each_region_has_an_allocator() {
-    let fellows = fellows(85);
+    let peers = peers(85);
     let mut shares = BTreeMap::<SocketAddr, usize>::new();
     for number in 0..85 {
-        let allocators = allocators(&fellows, &id(&format!("o{number}")), MAX_ALLOCATORS, region);
-        let of = |relay| fellows.iter().find(|one| one.relay == Some(relay)).unwrap();
+        let allocators = allocators(&peers, &id(&format!("o{number}")), MAX_ALLOCATORS, region);
+        let of = |relay| peers.iter().find(|one| one.relay == Some(relay)).unwrap();
         let mut regions: Vec<_> = allocators.iter().map(|relay| region(of(*relay))).collect();
         regions.sort_unstable();
         assert_eq!(regions, ["east", "south", "west"]);
@@ -77,9 +77,9 @@
 
 #[test]
 fn a_burst_of_one_has_one_allocator() {
-    assert_eq!(allocators(&fellows(85), &id("o1"), 1, region).len(), 1);
+    assert_eq!(allocators(&peers(85), &id("o1"), 1, region).len(), 1);
     assert_eq!(
-        allocators(&fellows(2), &id("o1"), MAX_ALLOCATORS, region).len(),
+        allocators(&peers(2), &id("o1"), MAX_ALLOCATORS, region).len(),
         2
     );
     assert!(allocators(&[], &id("o1"), MAX_ALLOCATORS, region).is_empty());
@@ -88,7 +88,7 @@
 /// When a VM leaves, only organisations of which it was an allocator get another one, and only in its place.
 #[test]
 fn few_allocators_change_with_a_vm() {
-    let all = fellows(85);
+    let all = peers(85);
     let mut fewer = all.clone();
     let gone = fewer.remove(40).relay.unwrap();
     for number in 0..85 {
