--- a/src/direct/control/promotion.rs
+++ b/src/direct/control/promotion.rs
@@ -43,7 +43,7 @@
 /// the same holds from its eviction on, because later readings grant it no lease. The wait ends
 /// sooner if the VM releases the epoch or has ended.
 ///
-/// Once no more than [`UNHEARD`] VMs are left, [`TERM`] from then on is enough. More than [`TERM`]
+/// Once no more than [`MAX_SILENT`] VMs are left, [`TERM`] from then on is enough. More than [`TERM`]
 /// after the intent, a lease is only extended if a VM outside that set confirms it. Such a VM has
 /// released the epoch, has ended, or has no recent reading, so the confirmation was requested
 /// before. A VM that was not registered any more when the rows were read had stopped confirming by
--- a/src/direct/control/state.rs
+++ b/src/direct/control/state.rs
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Returns whether this VM and those whose last heartbeat is less than [`HEARD`] before `until`
-    /// are more than half of the registered VMs.
+    /// Returns whether this VM and those whose last heartbeat is less than [`HEARTBEAT_AGE`] before
+    /// `until` are more than half of the registered VMs.
     pub fn has_majority(&self, own: &MemberId, until: Time) -> bool {
         let Some(reading) = &self.reading else {
             return false;
--- a/src/direct/control/update.rs
+++ b/src/direct/control/update.rs
@@ -229,7 +229,8 @@
         })
     }
 
-    /// Whether more than half of the registered VMs have sent this one a heartbeat within [`HEARTBEAT_AGE`].
+    /// Whether more than half of the registered VMs have sent this one a heartbeat within
+    /// [`HEARTBEAT_AGE`](crate::direct::tenure::HEARTBEAT_AGE).
     pub(super) fn has_majority(&self, now: Time) -> bool {
         let mut state = self.state.borrow_mut();
         let (at, known) = state.majority;
--- a/src/slopes/fleet.rs
+++ b/src/slopes/fleet.rs
@@ -25,7 +25,7 @@
 const DATABASE_LATENCY: Span = Span::from_millis(1);
 const CONNECT_TIME: Span = Span::from_millis(10);
 
-/// Time until a stream to a VM that vanished counts as broken (`net::peer::DOUBT`).
+/// Time until a stream to a VM that vanished counts as broken (`net::peer::ACKNOWLEDGEMENT_TIMEOUT`).
 const BROKEN_STREAM_TIMEOUT: Span = Span::from_secs(2);
 
 /// The number of nodes and groups in a fleet.
